--- a/crates/branch/src/board.rs
+++ b/crates/branch/src/board.rs
@@ -7,7 +7,7 @@
 //! Purges have numbers of their own, those of the service's one order. By them a router that calls again says what it has
 //! ([`Had`]), whichever feed of the service told it.
 use harestage::time::{Moment, Span};
-use harestage_purge::scope::Checked;
+use harestage_purge::scope::CompiledScope;
 use harestage_shape::feed;
 use harestage_shape::form::ShapeForm;
 use harestage_shape::lines::Planned;
@@ -270,7 +270,7 @@
     }
 
     /// Purges of the service in their order; `has` is the number up to which there is none beside them and those before.
-    pub fn take(&mut self, purges: &[(Checked, Moment)], has: u64) -> Took {
+    pub fn take(&mut self, purges: &[(CompiledScope, Moment)], has: u64) -> Took {
         // Each has a number of its own, and the last has this one at most.
         let behind = purges.len() as u64;
         // Told again, as all that lives is: what is known stays as it is.
@@ -292,7 +292,7 @@
             // Told late, or of another order: whoever has less than all of this is told it.
             let number = has.saturating_sub(behind);
             let number = if before > 0 && number <= before { has } else { number };
-            unknown |= !matches!(scope, Checked::Everything);
+            unknown |= !matches!(scope, CompiledScope::Everything);
             self.purge(scope, self.last_at_ms, number);
         }
         if has != before {
@@ -303,20 +303,24 @@
         if has < before || has == before && unknown { Took::Anew } else { Took::OnTop }
     }
 
-    fn has_taken(&self, scope: &Checked, at_ms: u64, known: &HashSet<(u64, u64)>) -> bool {
+    fn has_taken(&self, scope: &CompiledScope, at_ms: u64, known: &HashSet<(u64, u64)>) -> bool {
         let has_group = |group| self.purged_groups.get(&group).is_some_and(|known| known.at_ms >= at_ms);
         match scope {
-            Checked::Object(object) | Checked::Part(object, _) => known.contains(&(*object, at_ms)),
-            Checked::Group(group) => has_group(*group),
+            CompiledScope::Object(object) | CompiledScope::Part(object, _) => {
+                known.contains(&(*object, at_ms))
+            }
+            CompiledScope::Group(group) => has_group(*group),
             _ => (0..self.groups).all(has_group),
         }
     }
 
     /// Routers know objects and groups; anything wider is told of every group.
-    fn purge(&mut self, scope: &Checked, at_ms: u64, number: u64) {
+    fn purge(&mut self, scope: &CompiledScope, at_ms: u64, number: u64) {
         match scope {
-            Checked::Object(object) | Checked::Part(object, _) => self.purge_object(*object, at_ms, number),
-            Checked::Group(group) => self.purge_group(*group, at_ms, number),
+            CompiledScope::Object(object) | CompiledScope::Part(object, _) => {
+                self.purge_object(*object, at_ms, number)
+            }
+            CompiledScope::Group(group) => self.purge_group(*group, at_ms, number),
             _ => (0..self.groups).for_each(|group| self.purge_group(group, at_ms, number)),
         }
     }
--- a/crates/branch/src/net.rs
+++ b/crates/branch/src/net.rs
@@ -13,8 +13,8 @@
 use harestage_following::audit::Audited;
 use harestage_following::control::{Heard, Member};
 use harestage_following::{Line, control, looks, purges};
-use harestage_purge::follow::Act;
-use harestage_purge::lines::Past;
+use harestage_purge::follower::Action;
+use harestage_purge::messages::Past;
 use harestage_shape::control::Report;
 use harestage_shape::feed;
 use harestage_shape::lines;
@@ -300,14 +300,14 @@
 struct Purges(Rc<Shared>);
 
 impl purges::Hands for Purges {
-    async fn apply(&mut self, acts: Vec<Act>, has: u64, ready: bool) {
+    async fn apply(&mut self, acts: Vec<Action>, has: u64, ready: bool) {
         if !acts.is_empty() {
             info!(self.0.log, "purges told"; "has" => has, "many" => acts.len());
         }
         // Routers name no hub as a source that the shape does not name; hubs pass fenced ones by.
         let purges = acts.into_iter().filter_map(|act| match act {
-            Act::Purge { scope, at } => Some((scope, at)),
-            Act::Fences(_) => None,
+            Action::Purge { scope, at } => Some((scope, at)),
+            Action::SetFenced(_) => None,
         });
         let (took, folds, place) = {
             let mut board = self.0.board.borrow_mut();
--- a/crates/branch/tests/boards.rs
+++ b/crates/branch/tests/boards.rs
@@ -64,7 +64,7 @@
 /// Under the next number.
 fn purge(board: &mut Board, scope: &Scope, ms: u64) {
     let has = board.goes().1 + 1;
-    assert_eq!(board.take(&[(scope.checked().unwrap(), at(ms))], has), Took::OnTop);
+    assert_eq!(board.take(&[(scope.compile().unwrap(), at(ms))], has), Took::OnTop);
 }
 
 fn planned(lost: &[&str], ties: &[&str]) -> Planned {
--- a/crates/branch/tests/feeds.rs
+++ b/crates/branch/tests/feeds.rs
@@ -5,8 +5,8 @@
 use harestage_branch::caller::TAKES_WITHIN;
 use harestage_branch::net::BranchFeed;
 use harestage_branch::start::FeedFile;
-use harestage_purge::lines::{Confirm, ToMember, line};
-use harestage_purge::order::{Item, What};
+use harestage_purge::messages::{Ack, ToMember, to_line};
+use harestage_purge::sequencer::{Item, Payload};
 use harestage_shape::lines::{self, ToMember as ToFollower};
 use harestage_wire::feed::{Had, LONGEST_WORD, Word};
 use serde_json::Value;
@@ -67,13 +67,13 @@
     fn tells(&self, stream: TcpStream) {
         let mut to = stream.try_clone().unwrap();
         for text in BufReader::new(stream).lines().map_while(Result::ok) {
-            let said: Confirm = serde_json::from_str(&text).unwrap();
+            let said: Ack = serde_json::from_str(&text).unwrap();
             {
                 let mut has = self.has.0.lock().unwrap();
-                while has.1.len() < said.has as usize {
+                while has.1.len() < said.applied as usize {
                     has.1.push(Instant::now());
                 }
-                has.0 = said.has;
+                has.0 = said.applied;
             }
             self.has.1.notify_all();
             let items = self.items.lock().unwrap().clone();
@@ -83,8 +83,8 @@
                 let many = items.len().max(told.len());
                 told.resize(many, Instant::now());
             }
-            let answer = match said.told_all {
-                false => ToMember::All {
+            let answer = match said.bootstrapped {
+                false => ToMember::Snapshot {
                     term: 1,
                     after: 0,
                     upto,
@@ -92,11 +92,12 @@
                     fenced: Default::default(),
                     items,
                 },
-                true => {
-                    ToMember::Items { term: 1, items: items.into_iter().skip(said.has as usize).collect() }
-                }
+                true => ToMember::Items {
+                    term: 1,
+                    items: items.into_iter().skip(said.applied as usize).collect(),
+                },
             };
-            if to.write_all(&line(&answer)).is_err() {
+            if to.write_all(&to_line(&answer)).is_err() {
                 return;
             }
         }
@@ -106,8 +107,8 @@
     fn purges(&self, key: u64) -> u64 {
         let mut items = self.items.lock().unwrap();
         let (number, at_ms) = (items.len() as u64 + 1, unix_ms());
-        let what = What::Purge { scope: object(key), tenant: 0, key: format!("k{number}") };
-        items.push(Item { number, term: 1, at_ms, what });
+        let what = Payload::Purge { scope: object(key), tenant: 0, key: format!("k{number}") };
+        items.push(Item { number, term: 1, at_ms, payload: what });
         number
     }
 
--- a/crates/branch/tests/purges.rs
+++ b/crates/branch/tests/purges.rs
@@ -5,7 +5,7 @@
 use common::{Known, at, object, version};
 use harestage::time::Moment;
 use harestage_branch::board::{Behind, Board, LIVES, MOST_LIVE_BYTES, MOST_TOLD, Saying, Took};
-use harestage_purge::scope::{Checked, Scope};
+use harestage_purge::scope::{CompiledScope, Scope};
 use harestage_wire::feed::Had;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -21,8 +21,8 @@
     board
 }
 
-fn purge_of(key: u64, ms: u64) -> (Checked, Moment) {
-    (object(key).checked().unwrap(), at(ms))
+fn purge_of(key: u64, ms: u64) -> (CompiledScope, Moment) {
+    (object(key).compile().unwrap(), at(ms))
 }
 
 fn bytes(sayings: &[Saying]) -> usize {
@@ -220,7 +220,7 @@
     fn bring_up(&mut self, feed: usize, upto: usize) {
         let new = &self.items[self.taken[feed]..upto];
         let purges: Vec<_> =
-            new.iter().flatten().map(|(scope, ms)| (scope.clone().checked().unwrap(), at(*ms))).collect();
+            new.iter().flatten().map(|(scope, ms)| (scope.clone().compile().unwrap(), at(*ms))).collect();
         assert_eq!(self.boards[feed].take(&purges, upto as u64), Took::OnTop);
         self.taken[feed] = upto;
     }
@@ -330,7 +330,7 @@
     let mut board = board(256);
     let all: Vec<_> = (1..=43_200).map(|n| purge_of(n, NOON + n * 80)).collect();
     let now = NOON + 43_201 * 80;
-    let mut told = vec![(Checked::Everything, at(NOON))];
+    let mut told = vec![(CompiledScope::Everything, at(NOON))];
     told.extend(all);
     board.take(&told, 43_200);
     let had = Had { number: 43_100, at_ms: NOON + 43_100 * 80, keeps_ms: 3_600_000 };
--- a/crates/cli/src/purge.rs
+++ b/crates/cli/src/purge.rs
@@ -1,7 +1,7 @@
 //! `harestage purge`: the service of purges, and what is asked of it.
 use crate::{ask, exit};
 use clap::{Args, Subcommand};
-use harestage_purge::lines::{Answer, Call};
+use harestage_purge::messages::{Request, Response};
 use harestage_purge::promise::Report;
 use harestage_purge::scope::Scope;
 use std::net::SocketAddr;
@@ -132,22 +132,22 @@
     ExitCode::from(code)
 }
 
-fn call(service: &Service, call: &Call) -> Result<Answer, Failure> {
+fn call(service: &Service, call: &Request) -> Result<Response, Failure> {
     let mut call = ask::Call::find("service of purges", &service.purges, call).map_err(Failure::Away)?;
     match call.next().map_err(Failure::Away)? {
-        Answer::Refused(why) => Err(Failure::Refused(why)),
+        Response::Refused(why) => Err(Failure::Refused(why)),
         answer => Ok(answer),
     }
 }
 
-fn other(answer: &Answer) -> Failure {
+fn other(answer: &Response) -> Failure {
     Failure::Away(format!("an answer of another kind: {answer:?}"))
 }
 
 fn dry(scope: &Scope, service: &Service, json: bool) -> Result<(), Failure> {
-    scope.checked().map_err(|why| Failure::Refused(why.to_string()))?;
-    let status = match call(service, &Call::Status)? {
-        Answer::Status(status) => status,
+    scope.compile().map_err(|why| Failure::Refused(why.to_string()))?;
+    let status = match call(service, &Request::Status)? {
+        Response::Status(status) => status,
         answer => return Err(other(&answer)),
     };
     if json {
@@ -166,8 +166,8 @@
     wait: bool,
     json: bool,
 ) -> Result<(), Failure> {
-    match call(service, &Call::Submit { scope, tenant, key })? {
-        Answer::Accepted { number, promise } => {
+    match call(service, &Request::Submit { scope, tenant, key })? {
+        Response::Accepted { number, promise } => {
             if json {
                 println!("{}", serde_json::json!({"number": number, "promise": promise}));
             } else {
@@ -180,9 +180,9 @@
 }
 
 fn wait_for(number: u64, service: &Service, json: bool) -> Result<(), Failure> {
-    let report = match call(service, &Call::Wait { number })? {
-        Answer::Report(report) => report,
-        Answer::Reached { number } => {
+    let report = match call(service, &Request::Wait { number })? {
+        Response::Report(report) => report,
+        Response::Reached { number } => {
             match json {
                 true => println!("{}", serde_json::json!({"number": number, "reached": true})),
                 false => println!("purge {number}: reached; another member of the service gave the report"),
@@ -208,8 +208,8 @@
 }
 
 fn status(service: &Service, json: bool) -> Result<(), Failure> {
-    let status = match call(service, &Call::Status)? {
-        Answer::Status(status) => status,
+    let status = match call(service, &Request::Status)? {
+        Response::Status(status) => status,
         answer => return Err(other(&answer)),
     };
     if json {
@@ -220,8 +220,8 @@
     println!("promise: {} ms, from {} measured", status.promise.within_ms, status.promise.measured);
     for member in status.members {
         let fenced = if member.fenced { ", fenced" } else { "" };
-        let by = member.by.as_ref().map(|by| format!(", by {by}")).unwrap_or_default();
-        println!("{:<24} has {}{by}{fenced}", member.name, member.has);
+        let by = member.gatherer.as_ref().map(|by| format!(", by {by}")).unwrap_or_default();
+        println!("{:<24} has {}{by}{fenced}", member.name, member.applied);
     }
     Ok(())
 }
@@ -229,8 +229,8 @@
 fn list(service: &Service, json: bool) -> Result<(), Failure> {
     let mut after = 0;
     loop {
-        let items = match call(service, &Call::List { after })? {
-            Answer::List(items) => items,
+        let items = match call(service, &Request::List { after })? {
+            Response::List(items) => items,
             answer => return Err(other(&answer)),
         };
         let Some(last) = items.last() else { return Ok(()) };
@@ -239,7 +239,7 @@
             if json {
                 println!("{}", serde_json::to_string(&item).unwrap_or_default());
             } else {
-                println!("{} at {}: {:?}", item.number, item.at_ms, item.what);
+                println!("{} at {}: {:?}", item.number, item.at_ms, item.payload);
             }
         }
     }
--- a/crates/following/src/purges.rs
+++ b/crates/following/src/purges.rs
@@ -3,8 +3,8 @@
 use crate::{Line, subscribe};
 use async_io::Timer;
 use futures_lite::future::or;
-use harestage_purge::follow::{Act, Follower};
-use harestage_purge::lines::{Past, ToMember, line};
+use harestage_purge::follower::{Action, Follower};
+use harestage_purge::messages::{Past, ToMember, to_line};
 use harestage_sockets::leader::Leader;
 use harestage_sockets::lines::{Lines, within, write_text};
 use slog::{Logger, info, warn};
@@ -22,7 +22,7 @@
 pub trait Hands {
     /// Applies all of them: when it returns, no answer goes by what was before. `has` is the number of the last of them;
     /// `ready` says that all that lives is known.
-    fn apply(&mut self, acts: Vec<Act>, has: u64, ready: bool) -> impl Future<Output = ()>;
+    fn apply(&mut self, acts: Vec<Action>, has: u64, ready: bool) -> impl Future<Output = ()>;
 }
 
 /// Follows for as long as it is polled: the service's members, or the gatherers of its site. `start` is a number that no
@@ -36,14 +36,14 @@
     mut hands: impl Hands,
     log: Logger,
 ) {
-    let mut follower = Follower::new(name, start).resumed(past);
+    let mut follower = Follower::new(name, start).with_past(past);
     let mut down = false;
     let Some(mut leader) = Leader::among(services) else { return };
     loop {
         let stayed = stay(&mut leader, &mut follower, &terms, &mut hands, &log, &mut down).await;
         let why = stayed.err().unwrap_or_default();
         if !std::mem::replace(&mut down, true) {
-            warn!(log, "purges down"; "why" => why, "has" => follower.confirm().has);
+            warn!(log, "purges down"; "why" => why, "has" => follower.ack().applied);
         }
         Timer::after(terms.pause * leader.wait()).await;
     }
@@ -60,28 +60,28 @@
     let at = leader.next();
     // Where it breaks without a word of who speaks, the next one is tried.
     leader.missed();
-    let stream = subscribe(at, &line(&follower.confirm()), terms.connect).await?;
+    let stream = subscribe(at, &to_line(&follower.ack()), terms.connect).await?;
     let mut lines = Lines::new(&stream, terms.bytes);
     let (mut up, mut slowest, mut asked) = (false, Duration::ZERO, Instant::now());
     loop {
-        let before = follower.confirm();
+        let before = follower.ack();
         let patience = (slowest * TIMES_ITS_SLOWEST).max(ANSWERS_WITHIN).min(terms.silence);
         let told = within(patience, "silent", lines.next()).await?;
         slowest = slowest.max(asked.elapsed());
         let told = read(&told)?;
-        if let ToMember::Elsewhere { serves } = &told {
+        if let ToMember::NotLeader { leader: serves } = &told {
             leader.elsewhere(serves.as_deref());
             return Err("this member does not speak".into());
         }
         if !std::mem::replace(&mut up, true) {
             leader.found(at);
             *down = false;
-            info!(log, "purges up"; "has" => follower.confirm().has);
+            info!(log, "purges up"; "has" => follower.ack().applied);
         }
         apply(told, follower, hands).await?;
         // What is new is confirmed at once: others wait for it, and a fence comes soon.
-        if follower.confirm() != before {
-            write_text(&stream, &line(&follower.confirm()), terms.silence).await?;
+        if follower.ack() != before {
+            write_text(&stream, &to_line(&follower.ack()), terms.silence).await?;
             asked = Instant::now();
             continue;
         }
@@ -93,7 +93,7 @@
         if let Some(more) = or(async { Some(lines.next().await) }, pause).await {
             apply(read(&more?)?, follower, hands).await?;
         }
-        write_text(&stream, &line(&follower.confirm()), terms.silence).await?;
+        write_text(&stream, &to_line(&follower.ack()), terms.silence).await?;
         asked = Instant::now();
     }
 }
@@ -104,11 +104,11 @@
 
 async fn apply(told: ToMember, follower: &mut Follower, hands: &mut impl Hands) -> Result<(), String> {
     let is_replaced = told == ToMember::Replaced;
-    let acts = follower.hear(told).map_err(|why| format!("{why:?}"))?;
+    let acts = follower.handle(told).map_err(|why| format!("{why:?}"))?;
     if is_replaced {
         // It has what it had; the next word says so under another number.
         return Ok(());
     }
-    hands.apply(acts, follower.confirm().has, follower.is_ready()).await;
+    hands.apply(acts, follower.ack().applied, follower.is_ready()).await;
     Ok(())
 }
--- a/crates/hub/src/desk/copies.rs
+++ b/crates/hub/src/desk/copies.rs
@@ -4,7 +4,7 @@
 use harestage::time::{Moment, Span};
 use harestage_copies::record::Marks;
 use harestage_copies::shelf::Meta;
-use harestage_purge::scope::Checked;
+use harestage_purge::scope::CompiledScope;
 use harestage_shape::knots::Key;
 use std::collections::HashMap;
 
@@ -119,7 +119,7 @@
         })
     }
 
-    pub fn purge_scope(&mut self, scope: &Checked, at: Moment, now: Moment) -> Option<Order> {
+    pub fn purge_scope(&mut self, scope: &CompiledScope, at: Moment, now: Moment) -> Option<Order> {
         self.store.purge_scope(scope, at, now);
         self.unkeep(at, |meta| store::covers(scope, meta.key, meta.group))
     }
--- a/crates/hub/src/desk/messages.rs
+++ b/crates/hub/src/desk/messages.rs
@@ -5,7 +5,7 @@
 use harestage_audit::acting::Wanted;
 use harestage_copies::record::Marks;
 use harestage_copies::shelf::Meta;
-use harestage_purge::scope::Checked;
+use harestage_purge::scope::CompiledScope;
 use harestage_restart::stage;
 use harestage_shape::form::ShapeForm;
 use harestage_shape::knots::{Key, Knot};
@@ -78,7 +78,7 @@
     },
     /// A purge of the service of purges.
     Covered {
-        scope: Box<Checked>,
+        scope: Box<CompiledScope>,
         at: Moment,
     },
     /// Nothing is to be taken from these, and from nobody else is it forbidden.
--- a/crates/hub/src/net/follow.rs
+++ b/crates/hub/src/net/follow.rs
@@ -7,7 +7,7 @@
 use harestage_following::audit::Audited;
 use harestage_following::control::{Heard, Member};
 use harestage_following::purges;
-use harestage_purge::follow::Act;
+use harestage_purge::follower::Action;
 use harestage_shape::control::Report;
 use harestage_shape::lines;
 use std::rc::Rc;
@@ -90,12 +90,12 @@
 }
 
 impl purges::Hands for Hands {
-    async fn apply(&mut self, acts: Vec<Act>, has: u64, ready: bool) {
+    async fn apply(&mut self, acts: Vec<Action>, has: u64, ready: bool) {
         let new = !acts.is_empty();
         for act in acts {
             let news = match act {
-                Act::Purge { scope, at } => News::Covered { scope: Box::new(scope), at },
-                Act::Fences(fenced) => News::Fenced(fenced),
+                Action::Purge { scope, at } => News::Covered { scope: Box::new(scope), at },
+                Action::SetFenced(fenced) => News::Fenced(fenced),
             };
             self.hand(news).await;
         }
--- a/crates/hub/src/net/mod.rs
+++ b/crates/hub/src/net/mod.rs
@@ -13,7 +13,7 @@
 use event_listener::Event;
 use futures_lite::future::or;
 use harestage_following::{self as following, control};
-use harestage_purge::lines::Past;
+use harestage_purge::messages::Past;
 use harestage_sites::ration::Tally;
 use harestage_sites::standby::Turn;
 use harestage_sockets::Spawner;
--- a/crates/hub/src/store.rs
+++ b/crates/hub/src/store.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use harestage::time::{Moment, Span};
 use harestage_purge::index::Index;
-use harestage_purge::scope::{Checked, Facts};
+use harestage_purge::scope::{CompiledScope, CopyAttributes};
 use harestage_shape::knots::Key;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::ops::RangeInclusive;
@@ -90,7 +90,7 @@
             order,
             used: 0,
             purges: Purges::default(),
-            scopes: Index::new(MOST_SCOPES, PURGE_KEPT).within(MOST_SCOPE_BYTES),
+            scopes: Index::new(MOST_SCOPES, PURGE_KEPT).with_max_bytes(MOST_SCOPE_BYTES),
         }
     }
 
@@ -100,7 +100,7 @@
 
     /// About the bytes that purges of the service take, beside the room for copies.
     pub fn scope_bytes(&self) -> usize {
-        self.scopes.bytes()
+        self.scopes.estimated_bytes()
     }
 
     pub fn copies(&self) -> usize {
@@ -193,11 +193,11 @@
     }
 
     /// The same for a purge of a wider scope, of the service of purges.
-    pub fn purge_scope(&mut self, scope: &Checked, at: Moment, now: Moment) {
-        self.scopes.enter(scope, at, now);
+    pub fn purge_scope(&mut self, scope: &CompiledScope, at: Moment, now: Moment) {
+        self.scopes.insert(scope, at, now);
         let meant = match scope {
-            Checked::Object(object) => parts(*object),
-            Checked::Part(object, part) => (*object, *part)..=(*object, *part),
+            CompiledScope::Object(object) => parts(*object),
+            CompiledScope::Part(object, part) => (*object, *part)..=(*object, *part),
             _ => ALL,
         };
         let gone: Vec<Key> = self
@@ -218,7 +218,7 @@
 
     /// No purge that is known forbids a copy of that time.
     pub fn allows(&self, key: Key, group: Option<u32>, dated: Moment) -> bool {
-        let bound = self.scopes.from_when(&facts(key, group, &name(key.0)));
+        let bound = self.scopes.newest_purge(&facts(key, group, &name(key.0)));
         bound.is_none_or(|bound| dated > bound) && self.purges.allow(key.0, group, dated)
     }
 
@@ -226,8 +226,8 @@
     pub fn purged_at(&self, object: u64) -> Moment {
         let name = name(object);
         // Without group and tags, whatever may cover the object does.
-        let facts = Facts { object, part: 0, group: None, name: Some(&name), tags: None };
-        let by_scope = self.scopes.from_when(&facts).unwrap_or_default();
+        let facts = CopyAttributes { object, part: 0, group: None, name: Some(&name), tags: None };
+        let by_scope = self.scopes.newest_purge(&facts).unwrap_or_default();
         self.purges.objects.get(&object).copied().unwrap_or_default().max(self.purges.floor).max(by_scope)
     }
 }
@@ -238,12 +238,12 @@
 }
 
 /// Tags are not told to hubs: any purge by tags may mean a copy.
-fn facts(key: Key, group: Option<u32>, name: &str) -> Facts<'_> {
-    Facts { object: key.0, part: key.1, group, name: Some(name), tags: None }
+fn facts(key: Key, group: Option<u32>, name: &str) -> CopyAttributes<'_> {
+    CopyAttributes { object: key.0, part: key.1, group, name: Some(name), tags: None }
 }
 
 /// Whether a purge covers a copy of which no more is known.
-pub fn covers(scope: &Checked, key: Key, group: Option<u32>) -> bool {
+pub fn covers(scope: &CompiledScope, key: Key, group: Option<u32>) -> bool {
     scope.covers(&facts(key, group, &name(key.0)))
 }
 
--- a/crates/hub/tests/keeping.rs
+++ b/crates/hub/tests/keeping.rs
@@ -160,7 +160,7 @@
     assert!(word(&orders) == Some(Word::Full) && !reads(&orders));
     // All that lives is told: objects 2 and 3 went while it was away, and everything of group 1.
     let covered =
-        |scope: Scope, ms: u64| News::Covered { scope: Box::new(scope.checked().unwrap()), at: at(ms) };
+        |scope: Scope, ms: u64| News::Covered { scope: Box::new(scope.compile().unwrap()), at: at(ms) };
     bed.step(vec![
         covered(Scope::Object(format!("{:016x}", 2)), 0),
         covered(Scope::Object(format!("{:016x}", 3)), 0),
@@ -199,7 +199,7 @@
     bed.ready();
     bed.run(300);
     assert!(reads(&bed.ask(5, "clip", None)));
-    bed.step(vec![News::Covered { scope: Box::new(Scope::Group(2).checked().unwrap()), at: at(400) }]);
+    bed.step(vec![News::Covered { scope: Box::new(Scope::Group(2).compile().unwrap()), at: at(400) }]);
     bed.run(3_000);
     let orders = bed.disk_gives(5);
     assert!(
--- a/crates/hub/tests/stores.rs
+++ b/crates/hub/tests/stores.rs
@@ -87,7 +87,7 @@
     store.purge(Named::Object(2), at(1_600), at(1_600));
     assert_eq!(held(&store), [true, false, false]);
     assert_eq!(store.purged_at(2), at(1_600));
-    let scope = Scope::Prefix("0000".into()).checked().unwrap();
+    let scope = Scope::Prefix("0000".into()).compile().unwrap();
     store.purge_scope(&scope, at(1_700), at(1_700));
     assert_eq!(held(&store), [false; 3]);
     assert!(
@@ -147,7 +147,7 @@
                     continue;
                 }
             };
-            let checked = scope.checked().expect("it is a scope");
+            let checked = scope.compile().expect("it is a scope");
             store.purge_scope(&checked, at(now - 5), at(now));
             plain.retain(|((own, its), dated, in_group)| {
                 let meant = match what % 7 {
--- a/crates/keeper/src/serve.rs
+++ b/crates/keeper/src/serve.rs
@@ -12,8 +12,8 @@
 use harestage_audit::straggle::Decision;
 use harestage_following::control::{Heard, Member};
 use harestage_following::{Line, control, purges, subscribe};
-use harestage_purge::follow::Act;
-use harestage_purge::lines::Past;
+use harestage_purge::follower::Action;
+use harestage_purge::messages::Past;
 use harestage_seats::host::{Host, Hosted, LOOK, Listening, STALL, say};
 use harestage_seats::{Council, CouncilStart, until};
 use harestage_shape::control::Report as ShapeReport;
@@ -370,7 +370,7 @@
 struct Purges(Rc<Service>);
 
 impl purges::Hands for Purges {
-    async fn apply(&mut self, _: Vec<Act>, has: u64, _: bool) {
+    async fn apply(&mut self, _: Vec<Action>, has: u64, _: bool) {
         if has > self.0.hosted.purges.replace(has) {
             let now = self.0.now();
             self.0.while_leading(|keep| keep.purges(has, now));
--- a/crates/measure/src/capacity/fleet.rs
+++ b/crates/measure/src/capacity/fleet.rs
@@ -9,7 +9,7 @@
 use crate::rig::{Scratch, free_address};
 use async_io::Timer;
 use harestage_fleet::mind::Minder;
-use harestage_purge::lines::{Answer, Call, line};
+use harestage_purge::messages::{Request, Response, to_line};
 use harestage_purge::scope::Scope;
 use harestage_sockets::Spawner;
 use harestage_sockets::clock::Clock;
@@ -304,7 +304,7 @@
         while Instant::now() < until {
             for (n, at) in self.serves.iter().enumerate() {
                 if self.services[n].held.is_some()
-                    && matches!(ask(*at, &Call::Status), Some(Answer::Status(_)))
+                    && matches!(ask(*at, &Request::Status), Some(Response::Status(_)))
                 {
                     return Some(n);
                 }
@@ -316,7 +316,7 @@
 
     /// Asks all processes of hollow members for what they did.
     pub fn hear(&mut self) -> Result<(), String> {
-        let tell = line(&Order::Tell);
+        let tell = to_line(&Order::Tell);
         for host in &mut self.hosts {
             host.held.say(&tell).map_err(|why| format!("a process of hollow members: {why}"))?;
         }
@@ -403,7 +403,7 @@
             let own: Vec<usize> =
                 (0..host.members.len()).filter(|n| wanted.contains(&host.members[*n])).collect();
             if !own.is_empty() {
-                host.held.say(&line(&of(own))).map_err(|why| why.to_string())?;
+                host.held.say(&to_line(&of(own))).map_err(|why| why.to_string())?;
             }
         }
         Ok(())
@@ -564,19 +564,19 @@
     let mut number = None;
     while due.elapsed() < REPORTED_WITHIN {
         let asked = match number {
-            None => Call::Submit { scope: scope.clone(), tenant: n as u32 % 50, key: key.into() },
-            Some(number) => Call::Wait { number },
+            None => Request::Submit { scope: scope.clone(), tenant: n as u32 % 50, key: key.into() },
+            Some(number) => Request::Wait { number },
         };
         let answer = call(serves[at % serves.len()], &asked).await;
         match answer {
-            Some(Answer::Accepted { number: given, .. }) => number = Some(given),
-            Some(Answer::Report(report)) => {
+            Some(Response::Accepted { number: given, .. }) => number = Some(given),
+            Some(Response::Report(report)) => {
                 let at = clock.now().micros();
                 let took_ms = due.elapsed().as_secs_f64() * 1e3;
                 let fenced = !report.fenced.is_empty();
                 return Some(Done { number: report.number, at, took_ms, fenced });
             }
-            Some(Answer::Elsewhere { serves: Some(other) }) => {
+            Some(Response::NotLeader { leader: Some(other) }) => {
                 let told = serves.iter().position(|at| at.to_string() == other);
                 at = told.unwrap_or(at + 1);
                 Timer::after(Duration::from_millis(5)).await;
@@ -590,9 +590,9 @@
     None
 }
 
-async fn call(at: SocketAddr, call: &Call) -> Option<Answer> {
+async fn call(at: SocketAddr, call: &Request) -> Option<Response> {
     let connect = Duration::from_millis(500);
-    let stream = harestage_following::subscribe(at, &line(call), connect).await.ok()?;
+    let stream = harestage_following::subscribe(at, &to_line(call), connect).await.ok()?;
     let mut lines = Lines::new(&stream, 1 << 20);
     let answer = within(REPORTED_WITHIN, "no answer", lines.next()).await.ok()?;
     serde_json::from_slice(&answer).ok()
--- a/crates/measure/src/capacity/gathered.rs
+++ b/crates/measure/src/capacity/gathered.rs
@@ -3,11 +3,11 @@
 use super::leader::Cost;
 use super::size::{PURGES_A_SECOND, Part};
 use harestage::time::{Moment, Span};
-use harestage_purge::gather::{Gatherer, PACE, SAYS_EVERY};
-use harestage_purge::lines::{Confirm, FromGatherer, Gathered, Past, ToMember, line};
-use harestage_purge::order::Limit;
+use harestage_purge::gather::{Gatherer, MIN_REPORT_INTERVAL, REPORT_INTERVAL};
+use harestage_purge::messages::{Ack, FromGatherer, GatheredReport, Past, ToMember, to_line};
 use harestage_purge::scope::Scope;
-use harestage_purge::service::{Effect, Pushed, Service};
+use harestage_purge::sequencer::RateLimit;
+use harestage_purge::service::{Effect, PushState, Service};
 use std::time::{Duration, Instant};
 
 /// Gatherers at a site.
@@ -21,7 +21,7 @@
 
 struct Site {
     gatherer: Gatherer,
-    pushed: Pushed,
+    pushed: PushState,
     below: Vec<String>,
 }
 
@@ -46,7 +46,7 @@
                     self.cost.write_bytes_a_purge +=
                         serde_json::to_vec(&entry).unwrap_or_default().len() as f64;
                 }
-                Effect::Tell(item) => self.last = item.number,
+                Effect::Broadcast(item) => self.last = item.number,
                 Effect::Report(_) => {}
             }
         }
@@ -59,7 +59,7 @@
         for text in told {
             self.cost.wire_bytes_a_purge += text.len() as f64;
             let told: ToMember = serde_json::from_slice(text).expect("the leader writes what is read");
-            self.sites[n].gatherer.hear(told, now).expect("in its order");
+            self.sites[n].gatherer.handle(told, now).expect("in its order");
         }
         self.gathering += begun.elapsed();
     }
@@ -70,12 +70,17 @@
         let site = &mut self.sites[n];
         let has = site.gatherer.last();
         for member in &site.below {
-            let said =
-                Confirm { member: member.clone(), start: 1, has, told_all: true, past: Past::default() };
-            let told = site.gatherer.confirm(&said, now);
-            std::hint::black_box(told.ok().map(|told| line(&told)));
+            let said = Ack {
+                member: member.clone(),
+                incarnation: 1,
+                applied: has,
+                bootstrapped: true,
+                past: Past::default(),
+            };
+            let told = site.gatherer.on_ack(&said, now);
+            std::hint::black_box(told.ok().map(|told| to_line(&told)));
         }
-        let up = site.gatherer.line(now + PACE).map(|up| line(&up));
+        let up = site.gatherer.next_report(now + MIN_REPORT_INTERVAL).map(|up| to_line(&up));
         self.gathering += begun.elapsed();
         let Some(up) = up else { return };
         self.cost.wire_bytes_a_purge += up.len() as f64;
@@ -87,11 +92,11 @@
         self.deliver(n, &told, now + WAY + WAY);
     }
 
-    fn hear(&mut self, n: usize, gathered: &Gathered, now: Moment) -> Vec<Vec<u8>> {
-        let (answered, effects) = self.service.gathered(gathered, now).expect("it is right");
+    fn hear(&mut self, n: usize, gathered: &GatheredReport, now: Moment) -> Vec<Vec<u8>> {
+        let (answered, effects) = self.service.on_gathered(gathered, now).expect("it is right");
         let may_tell = self.last;
-        let told = self.sites[n].pushed.answer(&self.service, gathered, answered, may_tell);
-        let told = told.iter().map(line).collect();
+        let told = self.sites[n].pushed.reply(&self.service, gathered, answered, may_tell);
+        let told = told.iter().map(to_line).collect();
         self.effects(effects);
         told
     }
@@ -100,11 +105,11 @@
 /// The leader's cost of `purges`, as [`super::leader::cost`] has it for members that call the service themselves, and the
 /// share of a core that the busiest gatherer needs.
 pub fn cost(part: Part, purges: u64) -> (Cost, f64) {
-    let limit = Limit { rate: 1e6, burst: 1e6 };
+    let limit = RateLimit { rate: 1e6, burst: 1e6 };
     let names = part.names();
     let sites = (0..part.sites * A_SITE).map(|n| Site {
         gatherer: Gatherer::new(&format!("g-{}-{}", n / A_SITE, n % A_SITE), 1),
-        pushed: Pushed::default(),
+        pushed: PushState::default(),
         below: names
             .iter()
             .filter(|(name, site)| *site == n / A_SITE && name.len() % A_SITE == n % A_SITE)
@@ -128,7 +133,7 @@
     (run.cost, run.busy, run.gathering) = (Cost::default(), Duration::ZERO, Duration::ZERO);
     let (mut rest, mut rest_gathering) = (Duration::ZERO, Duration::ZERO);
     for n in 1..=purges {
-        now = now + PURGE_EVERY + WAY + WAY + NEAR + PACE + PACE;
+        now = now + PURGE_EVERY + WAY + WAY + NEAR + MIN_REPORT_INTERVAL + MIN_REPORT_INTERVAL;
         let begun = Instant::now();
         let scope = Scope::Object(format!("{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
         let (_, _, effects) =
@@ -137,7 +142,7 @@
         let last = run.last;
         let mut told = Vec::new();
         for site in 0..run.sites.len() {
-            let news = run.sites[site].pushed.news(&run.service, last).map(|news| line(&news));
+            let news = run.sites[site].pushed.next_push(&run.service, last).map(|news| to_line(&news));
             told.push((site, news));
         }
         run.busy += begun.elapsed();
@@ -147,15 +152,15 @@
         }
         // Until the next purge each says now and then that there is nothing new, and the service beats.
         let (busy, gathering) = (run.busy, run.gathering);
-        let quiet = now + SAYS_EVERY + WAY + WAY;
+        let quiet = now + REPORT_INTERVAL + WAY + WAY;
         (0..run.sites.len()).for_each(|site| run.say(site, quiet));
-        let part = PURGE_EVERY / SAYS_EVERY;
+        let part = PURGE_EVERY / REPORT_INTERVAL;
         rest += (run.busy - busy).mul_f64(part);
         rest_gathering += (run.gathering - gathering).mul_f64(part);
         (run.busy, run.gathering) = (busy, gathering);
         let begun = Instant::now();
         for _ in 0..PURGE_EVERY.as_micros() / BEAT.as_micros() {
-            let effects = run.service.beat(quiet);
+            let effects = run.service.tick(quiet);
             run.effects(effects);
         }
         rest += begun.elapsed();
@@ -169,7 +174,7 @@
     cost.syncs_a_purge /= many;
     cost.write_bytes_a_purge /= many;
     cost.wire_bytes_a_purge /= many;
-    cost.left_open = run.service.open_purges();
+    cost.left_open = run.service.pending_purges();
     let gatherers = run.sites.len() as f64;
     let share = (run.gathering + rest_gathering).as_secs_f64() / many / gatherers * PURGES_A_SECOND as f64;
     (cost, share)
--- a/crates/measure/src/capacity/hollow.rs
+++ b/crates/measure/src/capacity/hollow.rs
@@ -6,8 +6,8 @@
 use futures_lite::future::or;
 use harestage_following::Line;
 use harestage_following::purges::{Hands, follow};
-use harestage_purge::follow::Act;
-use harestage_purge::lines::Past;
+use harestage_purge::follower::Action;
+use harestage_purge::messages::Past;
 use harestage_sockets::Spawner;
 use harestage_sockets::clock::Clock;
 use serde::{Deserialize, Serialize};
@@ -164,7 +164,7 @@
 }
 
 impl Hands for Applies {
-    async fn apply(&mut self, acts: Vec<Act>, has: u64, ready: bool) {
+    async fn apply(&mut self, acts: Vec<Action>, has: u64, ready: bool) {
         let own = &self.shared.members[self.member];
         self.shared.until(|| !own.cut.get()).await;
         if !acts.is_empty() {
@@ -175,7 +175,7 @@
             self.shared.until(|| !own.cut.get()).await;
         }
         for act in acts {
-            let Act::Fences(fenced) = act else { continue };
+            let Action::SetFenced(fenced) = act else { continue };
             let place = self.shared.lists.borrow_mut().place(fenced);
             match place {
                 Some(place) => self.shared.note(self.member, Did::Fences(place)),
--- a/crates/measure/src/capacity/leader.rs
+++ b/crates/measure/src/capacity/leader.rs
@@ -5,9 +5,9 @@
 use super::plain;
 use super::size::Part;
 use harestage::time::{Moment, Span};
-use harestage_purge::lines::{Confirm, ToMember, line};
-use harestage_purge::order::Limit;
+use harestage_purge::messages::{Ack, ToMember, to_line};
 use harestage_purge::scope::Scope;
+use harestage_purge::sequencer::RateLimit;
 use harestage_purge::service::{Effect, Service};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -96,7 +96,7 @@
     fn hear(&mut self, text: &[u8], now: Moment) -> Turned {
         let Ok(said) = serde_json::from_slice::<plain::Confirm>(text) else { return Turned::default() };
         let (answer, effects) = self.service.confirm(&said, now);
-        self.turned(line(&answer), effects)
+        self.turned(to_line(&answer), effects)
     }
 
     fn beat(&mut self, now: Moment) -> Turned {
@@ -105,7 +105,7 @@
     }
 
     fn news(&self, after: u64) -> Vec<u8> {
-        line(&self.service.after(after))
+        to_line(&self.service.after(after))
     }
 
     fn last(&self) -> u64 {
@@ -124,12 +124,12 @@
 /// The state machine in service.
 pub struct Live {
     service: Service,
-    told: Vec<harestage_purge::order::Item>,
+    told: Vec<harestage_purge::sequencer::Item>,
 }
 
 impl Default for Live {
     fn default() -> Live {
-        let limit = Limit { rate: 1e6, burst: 1e6 };
+        let limit = RateLimit { rate: 1e6, burst: 1e6 };
         Live { service: Service::open(&[], limit, BEGIN).0, told: Vec::new() }
     }
 }
@@ -143,7 +143,7 @@
                     turned.writes += 1;
                     turned.write_bytes += serde_json::to_vec(&entry).unwrap_or_default().len() as u64;
                 }
-                Effect::Tell(item) => {
+                Effect::Broadcast(item) => {
                     self.told.push(item);
                     turned.tells = true;
                 }
@@ -162,20 +162,20 @@
     }
 
     fn hear(&mut self, text: &[u8], now: Moment) -> Turned {
-        let Ok(said) = serde_json::from_slice::<Confirm>(text) else { return Turned::default() };
-        let Ok((missing, effects)) = self.service.confirm(&said, now) else { return Turned::default() };
-        let answer = line(&ToMember::of(self.service.term(), missing));
+        let Ok(said) = serde_json::from_slice::<Ack>(text) else { return Turned::default() };
+        let Ok((missing, effects)) = self.service.on_ack(&said, now) else { return Turned::default() };
+        let answer = to_line(&ToMember::from_catch_up(self.service.term(), missing));
         self.turned(answer, effects)
     }
 
     fn beat(&mut self, now: Moment) -> Turned {
-        let effects = self.service.beat(now);
+        let effects = self.service.tick(now);
         self.turned(Vec::new(), effects)
     }
 
     fn news(&self, after: u64) -> Vec<u8> {
         let from = self.told.partition_point(|item| item.number <= after);
-        line(&ToMember::Items { term: self.service.term(), items: self.told[from..].to_vec() })
+        to_line(&ToMember::Items { term: self.service.term(), items: self.told[from..].to_vec() })
     }
 
     fn last(&self) -> u64 {
@@ -183,7 +183,7 @@
     }
 
     fn open(&self) -> usize {
-        self.service.open_purges()
+        self.service.pending_purges()
     }
 
     fn fenced(&self) -> usize {
@@ -192,7 +192,7 @@
 }
 
 fn confirm(member: &str, has: u64) -> Vec<u8> {
-    line(&plain::Confirm { member: member.into(), start: 1, has, told_all: true })
+    to_line(&plain::Confirm { member: member.into(), start: 1, has, told_all: true })
 }
 
 /// What purges cost, one after another, each confirmed by all before the next is asked for.
@@ -260,11 +260,11 @@
     let (mut bytes, mut has, mut told_all) = (0, 0, false);
     loop {
         let said = plain::Confirm { member: "hub-0".into(), start: 1, has, told_all };
-        let answer = leader.hear(&line(&said), now).answer;
+        let answer = leader.hear(&to_line(&said), now).answer;
         bytes += answer.len();
         // The plain way tells all in one line; the other in pieces, each after the one before was confirmed.
         let (last, is_all) = match serde_json::from_slice::<ToMember>(&answer) {
-            Ok(ToMember::All { items, upto, .. }) => {
+            Ok(ToMember::Snapshot { items, upto, .. }) => {
                 let last = items.last().map_or(upto, |item| item.number);
                 (last, last >= upto)
             }
--- a/crates/measure/src/capacity/real.rs
+++ b/crates/measure/src/capacity/real.rs
@@ -3,7 +3,7 @@
 use super::fleet::Fleet;
 use crate::purge::ask;
 use crate::rig::{archive_form, free_address, hub_form, unix_ms};
-use harestage_purge::lines::{Answer, Call};
+use harestage_purge::messages::{Request, Response};
 use harestage_purge::scope::Scope;
 use harestage_shape::form::ShapeForm;
 use harestage_standins::{Archive, ArchiveScript, Caller, pull};
@@ -99,12 +99,12 @@
             std::thread::sleep(Duration::from_millis(2));
             let asked_ms = unix_ms();
             let scope = Scope::Object(format!("{object:016x}"));
-            let call = Call::Submit { scope, tenant: 77, key: format!("real-{n}") };
-            let Some(Answer::Accepted { number, .. }) = ask(service, &call) else { continue };
-            let Some(Answer::Report(report)) = ask(service, &Call::Wait { number }) else { continue };
+            let call = Request::Submit { scope, tenant: 77, key: format!("real-{n}") };
+            let Some(Response::Accepted { number, .. }) = ask(service, &call) else { continue };
+            let Some(Response::Report(report)) = ask(service, &Request::Wait { number }) else { continue };
             looked.reports += 1;
-            let status = match ask(service, &Call::Status) {
-                Some(Answer::Status(status)) => status.members,
+            let status = match ask(service, &Request::Status) {
+                Some(Response::Status(status)) => status.members,
                 _ => continue,
             };
             for hub in 0..self.many() {
--- a/crates/measure/src/capacity/slopes.rs
+++ b/crates/measure/src/capacity/slopes.rs
@@ -13,11 +13,11 @@
 use harestage_audit::stamp::Goes;
 use harestage_branch::board::{Board, Saying};
 use harestage_keeper::store::Store;
-use harestage_purge::follow::{Act, Follower};
+use harestage_purge::follower::{Action, Follower};
 use harestage_purge::index::Index;
-use harestage_purge::lines::{ToMember, line};
-use harestage_purge::order::{Entry, Item, Limit, What};
-use harestage_purge::scope::{Checked, Facts, Scope};
+use harestage_purge::messages::{ToMember, to_line};
+use harestage_purge::scope::{CompiledScope, CopyAttributes, Scope};
+use harestage_purge::sequencer::{Item, LogEntry, Payload, RateLimit};
 use harestage_purge::service::Service;
 use harestage_segments::{Folder, Log};
 use harestage_shape::control::{Effect, Report, Said};
@@ -171,7 +171,7 @@
     let begun = Busy::now();
     for n in 0..live {
         now = now + Span::micros(3_600_000_000 / live);
-        board.take(&[(Checked::Object(mixed(n)), now)], n + 1);
+        board.take(&[(CompiledScope::Object(mixed(n)), now)], n + 1);
     }
     let purge_us = ms(begun) * 1e3 / live as f64;
     let state = own_mb() - before;
@@ -204,7 +204,7 @@
     for n in 0..LIVE_PURGES {
         now = now + Span::micros(1_000_000 / PURGES_A_SECOND);
         let place = board.place();
-        board.take(&[(Checked::Object(mixed(n)), now)], n + 1);
+        board.take(&[(CompiledScope::Object(mixed(n)), now)], n + 1);
         let said = board.after(place).map(|said| said.cloned().collect::<Vec<_>>()).unwrap_or_default();
         folds += u64::from(said.iter().any(|said| matches!(said, Saying::Purge { group: Some(_), .. })));
         if n % PURGES_A_SECOND == 0 {
@@ -224,32 +224,33 @@
     let begun = Busy::now();
     for n in 0..live {
         now = now + Span::micros(3_600_000_000 / live);
-        index.enter(&Checked::Object(mixed(n)), now, now);
+        index.insert(&CompiledScope::Object(mixed(n)), now, now);
     }
     let enter_ns = ms(begun) * 1e6 / live as f64;
     let resident = (own_mb() - before) * 1e6;
     const LOOKS: u64 = 400_000;
     let begun = Busy::now();
     for n in 0..LOOKS {
-        let facts = Facts { object: mixed(n % (2 * live)), part: 0, group: None, name: None, tags: None };
-        black_box(index.from_when(black_box(&facts)));
+        let facts =
+            CopyAttributes { object: mixed(n % (2 * live)), part: 0, group: None, name: None, tags: None };
+        black_box(index.newest_purge(black_box(&facts)));
     }
     Found::from([
-        ("bytes".into(), index.bytes() as f64),
+        ("bytes".into(), index.estimated_bytes() as f64),
         ("resident_bytes".into(), resident),
         ("enter_ns".into(), enter_ns),
         ("look_ns".into(), ms(begun) * 1e6 / LOOKS as f64),
-        ("folded".into(), index.folded() as f64),
+        ("folded".into(), index.total_folds() as f64),
     ])
 }
 
-fn entry(n: u64) -> Entry {
-    let what = What::Purge {
+fn entry(n: u64) -> LogEntry {
+    let what = Payload::Purge {
         scope: Scope::Object(format!("{:016x}", mixed(n))),
         tenant: n as u32 % 50,
         key: format!("k{n}"),
     };
-    Entry::Item(Item { number: n, term: 1, at_ms: BEGIN.micros() / 1_000 + n * 83, what })
+    LogEntry::Item(Item { number: n, term: 1, at_ms: BEGIN.micros() / 1_000 + n * 83, payload: what })
 }
 
 /// A log of so many live purges with their reports, opened again, and the service taken up from it.
@@ -259,8 +260,8 @@
     let (mut log, _) = Log::open(Folder::open(&path).expect("a folder"), 8 << 20).expect("a log");
     let (mut bytes, mut records) = (0, 0);
     let begun = Busy::now();
-    let entries: Vec<Entry> = std::iter::once(Entry::Term { term: 1 })
-        .chain((1..=live).flat_map(|n| [entry(n), Entry::Reported { term: 1, number: n }]))
+    let entries: Vec<LogEntry> = std::iter::once(LogEntry::Term { term: 1 })
+        .chain((1..=live).flat_map(|n| [entry(n), LogEntry::Reported { term: 1, number: n }]))
         .collect();
     for entry in &entries {
         let record = serde_json::to_vec(entry).unwrap_or_default();
@@ -278,12 +279,12 @@
     let (_, found) = Log::open(Folder::open(&path).expect("a folder"), 8 << 20).expect("a log");
     let reopen_ms = ms(begun);
     let begun = Busy::now();
-    let read: Vec<Entry> =
+    let read: Vec<LogEntry> =
         found.records.iter().filter_map(|record| serde_json::from_slice(&record.bytes).ok()).collect();
-    let (service, _) = Service::open(&read, Limit { rate: 200.0, burst: 2_000.0 }, BEGIN);
+    let (service, _) = Service::open(&read, RateLimit { rate: 200.0, burst: 2_000.0 }, BEGIN);
     let take_up_ms = ms(begun);
     let begun = Busy::now();
-    let whole = service.whole().len();
+    let whole = service.snapshot().len();
     Found::from([
         ("records".into(), records as f64),
         ("bytes".into(), bytes as f64),
@@ -701,7 +702,7 @@
     let mut store = copies(many);
     let begun = Busy::now();
     for n in 0..PURGES_A_SECOND {
-        store.purge_scope(&Checked::Object(mixed(n * 7)), BEGIN, BEGIN);
+        store.purge_scope(&CompiledScope::Object(mixed(n * 7)), BEGIN, BEGIN);
     }
     Found::from([
         ("ms_a_second".into(), ms(begun)),
@@ -713,15 +714,15 @@
 /// that it has: what it still has once it was told what it missed.
 fn cut(minutes: u64) -> Found {
     const COPIES: u64 = 20_000;
-    let limit = Limit { rate: 1e6, burst: 1e6 };
+    let limit = RateLimit { rate: 1e6, burst: 1e6 };
     let (mut service, _) = Service::open(&[], limit, BEGIN);
     let (mut near, mut far) = (Follower::new("near", 1), Follower::new("far", 1));
     let mut store = copies(COPIES);
     let tell = |service: &mut Service, member: &mut Follower, now| {
-        let (missing, _) = service.confirm(&member.confirm(), now).expect("it is taken");
-        let told = ToMember::of(service.term(), missing);
-        let bytes = line(&told).len();
-        (member.hear(told).expect("it is news"), bytes)
+        let (missing, _) = service.on_ack(&member.ack(), now).expect("it is taken");
+        let told = ToMember::from_catch_up(service.term(), missing);
+        let bytes = to_line(&told).len();
+        (member.handle(told).expect("it is news"), bytes)
     };
     for member in [&mut near, &mut far] {
         (0..2).for_each(|_| drop(tell(&mut service, member, BEGIN)));
@@ -735,17 +736,17 @@
         let scope = Scope::Object(format!("{:016x}", mixed(object)));
         service.submit(scope, n as u32 % 50, &format!("k{n}"), now).expect("it is taken");
         drop(tell(&mut service, &mut near, now));
-        drop(service.beat(now));
+        drop(service.tick(now));
         if n % (10 * PURGES_A_SECOND) == 0 {
             drop(service.forget_before(now.before(harestage_purger::KEPT).micros() / 1_000, now));
         }
     }
     let (mut told, mut lines) = (0, 0);
-    while far.confirm().has < service.last() && lines < 1_000 {
+    while far.ack().applied < service.last() && lines < 1_000 {
         let (acts, bytes) = tell(&mut service, &mut far, now);
         (told, lines) = (told + bytes, lines + 1);
         for act in acts {
-            if let Act::Purge { scope, at } = act {
+            if let Action::Purge { scope, at } = act {
                 store.purge_scope(&scope, at, now);
             }
         }
@@ -755,6 +756,6 @@
         ("copies_kept_after_cut".into(), store.copies() as f64 / left),
         ("cut_purged".into(), meant as f64),
         ("cut_bytes".into(), told as f64),
-        ("cut_behind".into(), (service.last() - far.confirm().has) as f64),
+        ("cut_behind".into(), (service.last() - far.ack().applied) as f64),
     ])
 }
--- a/crates/measure/src/purge.rs
+++ b/crates/measure/src/purge.rs
@@ -3,9 +3,9 @@
 use crate::rig::*;
 use crate::{Figures, quantile};
 use harestage::time::{Moment, Span};
-use harestage_purge::index::{Index, PlainList};
-use harestage_purge::lines::{Answer, Call, line};
-use harestage_purge::scope::{Facts, Scope};
+use harestage_purge::index::{Index, LinearIndex};
+use harestage_purge::messages::{Request, Response, to_line};
+use harestage_purge::scope::{CopyAttributes, Scope};
 use harestage_purger::Purger;
 use harestage_segments::faulty::Disk;
 use harestage_segments::{Folder, Log};
@@ -49,21 +49,21 @@
     let names: Vec<String> = (0..512).map(|n| format!("case/{}/clip-{n}.mp4", n * 37)).collect();
     for (live, label) in [(100u64, "100"), (10_000, "10k"), (100_000, "100k")] {
         let now = Moment::at_micros(10_000_000_000);
-        let (mut index, mut plain) = (Index::new(1 << 20, Span::millis(1 << 40)), PlainList::default());
+        let (mut index, mut plain) = (Index::new(1 << 20, Span::millis(1 << 40)), LinearIndex::default());
         for n in 0..live {
-            let Ok(checked) = scope(n).checked() else { continue };
-            index.enter(&checked, now, now);
-            plain.enter(&checked, now);
+            let Ok(checked) = scope(n).compile() else { continue };
+            index.insert(&checked, now, now);
+            plain.insert(&checked, now);
         }
         let tags: [&str; 3] = ["tag-17", "north", "photo"];
-        let facts = |n: u64| Facts {
+        let facts = |n: u64| CopyAttributes {
             object: n * 13,
             part: 0,
             group: Some(n as u32 % 9_000),
             name: Some(&names[n as usize % names.len()]),
             tags: Some(&tags),
         };
-        let time = |many: u64, look: &dyn Fn(&Facts) -> Option<Moment>| {
+        let time = |many: u64, look: &dyn Fn(&CopyAttributes) -> Option<Moment>| {
             let begun = Instant::now();
             for n in 0..many {
                 black_box(look(&facts(n)));
@@ -71,18 +71,18 @@
             begun.elapsed().as_nanos() as f64 / many as f64
         };
         let many = if quick { 20_000 } else { 200_000 };
-        let own = time(many, &|facts| index.from_when(facts));
-        let list = time((4_000_000 / live).clamp(20, many), &|facts| plain.from_when(facts));
+        let own = time(many, &|facts| index.newest_purge(facts));
+        let list = time((4_000_000 / live).clamp(20, many), &|facts| plain.newest_purge(facts));
         figures.set(&format!("lookup_ns_{label}"), own);
         figures.set(&format!("lookup_plain_ns_{label}"), list);
         figures.set(&format!("lookup_to_plain_{label}_share"), own / list);
-        figures.set(&format!("index_bytes_{label}"), index.bytes() as f64);
+        figures.set(&format!("index_bytes_{label}"), index.estimated_bytes() as f64);
     }
     let index = Index::new(1 << 20, Span::millis(1 << 40));
-    let facts = Facts { object: 5, part: 0, group: None, name: None, tags: None };
+    let facts = CopyAttributes { object: 5, part: 0, group: None, name: None, tags: None };
     let begun = Instant::now();
     for _ in 0..1_000_000 {
-        black_box(index.from_when(black_box(&facts)));
+        black_box(index.newest_purge(black_box(&facts)));
     }
     figures.set("lookup_ns_none", begun.elapsed().as_nanos() as f64 / 1e6);
 }
@@ -207,10 +207,10 @@
 }
 
 /// A call to the service of purges, and its answer.
-pub fn ask(service: SocketAddr, call: &Call) -> Option<Answer> {
+pub fn ask(service: SocketAddr, call: &Request) -> Option<Response> {
     let stream = TcpStream::connect_timeout(&service, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(10))).ok()?;
-    (&stream).write_all(&line(call)).ok()?;
+    (&stream).write_all(&to_line(call)).ok()?;
     let mut text = String::new();
     BufReader::new(stream).read_line(&mut text).ok()?;
     serde_json::from_str(&text).ok()
@@ -243,10 +243,10 @@
         .map(|(n, (at, link))| start_hub_with_purges(&format!("h{n}"), *at, shape.clone(), link.address))
         .collect();
     let settled = || {
-        let all_free = |status: &harestage_purge::lines::Status| {
+        let all_free = |status: &harestage_purge::messages::Status| {
             status.members.len() == HUBS && status.members.iter().all(|member| !member.fenced)
         };
-        matches!(ask(service, &Call::Status), Some(Answer::Status(status)) if all_free(&status))
+        matches!(ask(service, &Request::Status), Some(Response::Status(status)) if all_free(&status))
     };
     let until = Instant::now() + Duration::from_secs(20);
     while !settled() {
@@ -278,9 +278,9 @@
             2 => Scope::Glob(format!("*{object:x}")),
             _ => Scope::Group(object as u32),
         };
-        let call = Call::Submit { scope, tenant: n as u32 % 50, key: format!("k{n}") };
-        let Some(Answer::Accepted { number, promise }) = ask(service, &call) else { continue };
-        let Some(Answer::Report(report)) = ask(service, &Call::Wait { number }) else { continue };
+        let call = Request::Submit { scope, tenant: n as u32 % 50, key: format!("k{n}") };
+        let Some(Response::Accepted { number, promise }) = ask(service, &call) else { continue };
+        let Some(Response::Report(report)) = ask(service, &Request::Wait { number }) else { continue };
         let since = Instant::now();
         reach.push(report.reached_ms as f64);
         over = over.max(report.reached_ms as f64 / promise.within_ms.max(1) as f64);
--- a/crates/measure/tests/purge.rs
+++ b/crates/measure/tests/purge.rs
@@ -1,7 +1,7 @@
 //! Purges on sockets: hubs that keep copies, the service with its log on disk, and what goes wrong between them.
 use harestage_measure::purge::{ask, start_purger};
 use harestage_measure::rig::*;
-use harestage_purge::lines::{Answer, Call, Status};
+use harestage_purge::messages::{Request, Response, Status};
 use harestage_purge::promise::Report;
 use harestage_purge::scope::Scope;
 use harestage_shape::form::ShapeForm;
@@ -13,22 +13,22 @@
 const LONG: Duration = Duration::from_secs(10);
 
 fn status(service: SocketAddr) -> Option<Status> {
-    match ask(service, &Call::Status) {
-        Some(Answer::Status(status)) => Some(status),
+    match ask(service, &Request::Status) {
+        Some(Response::Status(status)) => Some(status),
         _ => None,
     }
 }
 
 fn submit(service: SocketAddr, scope: Scope, key: &str) -> u64 {
-    match ask(service, &Call::Submit { scope, tenant: 0, key: key.into() }) {
-        Some(Answer::Accepted { number, .. }) => number,
+    match ask(service, &Request::Submit { scope, tenant: 0, key: key.into() }) {
+        Some(Response::Accepted { number, .. }) => number,
         other => panic!("{other:?}"),
     }
 }
 
 fn report(service: SocketAddr, number: u64) -> Report {
-    match ask(service, &Call::Wait { number }) {
-        Some(Answer::Report(report)) => report,
+    match ask(service, &Request::Wait { number }) {
+        Some(Response::Report(report)) => report,
         other => panic!("{other:?}"),
     }
 }
@@ -180,7 +180,7 @@
     assert_eq!(submit(site.service, Scope::Prefix("00".into()), "k"), number, "asked again, it is the same");
     assert_eq!(report(site.service, number).number, number);
     settled(site.service, 2);
-    let Some(Answer::List(items)) = ask(site.service, &Call::List { after: 0 }) else { panic!() };
+    let Some(Response::List(items)) = ask(site.service, &Request::List { after: 0 }) else { panic!() };
     assert_eq!(items.len(), 1);
     assert!(status(site.service).unwrap().term >= 2);
     // The next service has no report of what this one has reported; whoever waits hears all the same that it was reached.
@@ -191,21 +191,21 @@
         assert!(Instant::now() < until);
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(ask(site.service, &Call::Wait { number }), Some(Answer::Reached { number }));
+    assert_eq!(ask(site.service, &Request::Wait { number }), Some(Response::Reached { number }));
 }
 
 /// What can't be read is refused in one line; a thousand purges within moments all reach their end.
 #[test]
 fn a_thousand_purges_are_reached_and_bad_ones_refused() {
     let site = Site::open(2);
-    let refused = |call: &Call| match ask(site.service, call) {
-        Some(Answer::Refused(why)) => why,
+    let refused = |call: &Request| match ask(site.service, call) {
+        Some(Response::Refused(why)) => why,
         other => panic!("{other:?}"),
     };
-    let bad = |scope| Call::Submit { scope, tenant: 0, key: "k".into() };
+    let bad = |scope| Request::Submit { scope, tenant: 0, key: "k".into() };
     assert!(refused(&bad(Scope::Regex("(".into()))).starts_with("pattern \"(\""));
     assert!(refused(&bad(Scope::Glob("**".into()))).contains("covers everything"));
-    assert_eq!(refused(&Call::Wait { number: 99_999 }), "there is no purge 99999");
+    assert_eq!(refused(&Request::Wait { number: 99_999 }), "there is no purge 99999");
     let begun = Instant::now();
     let numbers: Vec<u64> = (0..1_000)
         .map(|n| submit(site.service, Scope::Object(format!("{n:016x}")), &format!("k{n}")))
--- a/crates/purge/src/ranges.rs
+++ b/crates/purge/src/anti_entropy.rs
@@ -10,13 +10,13 @@
 use twox_hash::XxHash3_64;
 
 /// Blocks that one message has at most: a day at 12 a second, 1,036,800, is searched in four of them.
-pub const MOST_BLOCKS: usize = 17;
+pub const MAX_BLOCKS: usize = 17;
 /// Numbers of a block that is searched no further: to tell as many again takes less than another message.
-pub const SHORT: u64 = 16;
+pub const LEAF_BLOCK_LENGTH: u64 = 16;
 
 /// Digests of all that is held, without gaps.
 #[derive(Clone, Debug)]
-pub struct Digests {
+pub struct RangeDigests {
     first: u64,
     /// Of all that was held up to each number, so that the digest of a range is the difference of two. One more than there
     /// are numbers: the first is of what was before.
@@ -27,7 +27,7 @@
 /// the ends of the range.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Blocks {
+pub struct BlockDigests {
     pub first: u64,
     pub last: u64,
     pub shift: u32,
@@ -36,23 +36,23 @@
 
 /// What follows from the blocks of the other side.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Comparison {
     /// Both hold the same up to that number, as far as both hold it.
     Same { upto: u64 },
     /// The first difference is in this range: its blocks are wanted.
-    Look(RangeInclusive<u64>),
+    Narrow(RangeInclusive<u64>),
     /// What is held before that number is the same; from there on it may differ.
     Differ { from: u64 },
     /// Nothing is held by both.
-    Apart,
+    Disjoint,
     /// Blocks that do not fit to their range.
-    Wrong,
+    Malformed,
 }
 
-impl Digests {
+impl RangeDigests {
     /// Holds nothing yet; `first` is the number that comes next.
-    pub fn new(first: u64) -> Digests {
-        Digests { first, sums: VecDeque::from([0]) }
+    pub fn new(first: u64) -> RangeDigests {
+        RangeDigests { first, sums: VecDeque::from([0]) }
     }
 
     /// Takes the next in; false if it is another number.
@@ -94,37 +94,41 @@
     }
 
     /// The blocks of a range, as far as it is held.
-    pub fn blocks(&self, range: &RangeInclusive<u64>) -> Option<Blocks> {
+    pub fn blocks(&self, range: &RangeInclusive<u64>) -> Option<BlockDigests> {
         let (first, last) = common(&self.held()?, range)?.into_inner();
         let mut shift = 0;
-        while (last >> shift) - (first >> shift) >= MOST_BLOCKS as u64 {
+        while (last >> shift) - (first >> shift) >= MAX_BLOCKS as u64 {
             shift += 1;
         }
         let digests = cut(first, last, shift).map(|block| self.of(&block)).collect();
-        Some(Blocks { first, last, shift, digests })
+        Some(BlockDigests { first, last, shift, digests })
     }
 
     /// What the blocks of the other side say beside what is held here.
-    pub fn compare(&self, theirs: &Blocks) -> Step {
-        let Blocks { first, last, shift, digests } = theirs;
+    pub fn compare(&self, theirs: &BlockDigests) -> Comparison {
+        let BlockDigests { first, last, shift, digests } = theirs;
         let whole = first <= last && *shift < u64::BITS && *last < u64::MAX;
         if !whole
-            || digests.len() > MOST_BLOCKS
+            || digests.len() > MAX_BLOCKS
             || (last >> shift) - (first >> shift) + 1 != digests.len() as u64
         {
-            return Step::Wrong;
+            return Comparison::Malformed;
         }
         let range = *first..=*last;
-        let Some(both) = self.held().and_then(|held| common(&held, &range)) else { return Step::Apart };
+        let Some(both) = self.held().and_then(|held| common(&held, &range)) else {
+            return Comparison::Disjoint;
+        };
         if both != range {
-            return Step::Look(both);
+            return Comparison::Narrow(both);
         }
         let differs =
             cut(*first, *last, *shift).zip(digests).find(|(block, digest)| self.of(block) != **digest);
         match differs {
-            None => Step::Same { upto: *last },
-            Some((block, _)) if block.end() - block.start() < SHORT => Step::Differ { from: *block.start() },
-            Some((block, _)) => Step::Look(block),
+            None => Comparison::Same { upto: *last },
+            Some((block, _)) if block.end() - block.start() < LEAF_BLOCK_LENGTH => {
+                Comparison::Differ { from: *block.start() }
+            }
+            Some((block, _)) => Comparison::Narrow(block),
         }
     }
 }
--- a/crates/purge/src/index.rs
+++ b/crates/purge/src/index.rs
@@ -9,7 +9,7 @@
 //! the leading digits that their ids share, prefixes and patterns to the prefix that they share, sets of tags to a tag
 //! of theirs; the older three quarters first, and most digits first. Copies may be refused that were good, none is taken that is
 //! old. Everything is taken only where nothing narrower is left, and counted apart.
-use crate::scope::{Checked, Facts, Pattern};
+use crate::scope::{CompiledScope, CopyAttributes, Pattern};
 use harestage::time::{Moment, Span};
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -85,16 +85,16 @@
 
 /// Purges that gave their places to wider ones, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Folded {
+pub struct FoldCounts {
     pub parts: u64,
     pub objects: u64,
     /// Leading digits of ids that were folded before.
-    pub leading: u64,
+    pub id_prefixes: u64,
     pub prefixes: u64,
     pub patterns: u64,
-    pub sets: u64,
+    pub tag_sets: u64,
     /// Into one of everything.
-    pub whole: u64,
+    pub everything: u64,
 }
 
 /// A part, an object, or the leading digits of some.
@@ -120,7 +120,7 @@
     objects: BTreeMap<u64, Moment>,
     parts: BTreeMap<(u64, u32), Moment>,
     /// Folded objects: the first id with these leading digits, and how many digits.
-    leading: BTreeMap<(u64, u8), Moment>,
+    id_prefixes: BTreeMap<(u64, u8), Moment>,
     /// Entries in `leading` by their number of digits.
     lengths: [usize; DIGITS as usize],
     groups: BTreeMap<u32, Moment>,
@@ -147,7 +147,7 @@
     /// Where the next round of folding begins among ids, and the next of dropping stale slots in the wheel.
     next_id: u64,
     next_second: u64,
-    folded: Folded,
+    folded: FoldCounts,
     /// How long a copy may live.
     longest: Span,
 }
@@ -160,7 +160,7 @@
         Index {
             objects: BTreeMap::new(),
             parts: BTreeMap::new(),
-            leading: BTreeMap::new(),
+            id_prefixes: BTreeMap::new(),
             lengths: [0; DIGITS as usize],
             groups: BTreeMap::new(),
             tags: BTreeMap::new(),
@@ -182,43 +182,45 @@
             most_bytes: most.saturating_mul(256).max(1 << 20),
             next_id: 0,
             next_second: 0,
-            folded: Folded::default(),
+            folded: FoldCounts::default(),
             longest,
         }
     }
 
     /// Bounded by so many bytes.
-    pub fn within(self, bytes: usize) -> Index {
+    pub fn with_max_bytes(self, bytes: usize) -> Index {
         Index { most_bytes: bytes, ..self }
     }
 
     /// Takes a purge in; copies given out up to `at` are old.
-    pub fn enter(&mut self, scope: &Checked, at: Moment, now: Moment) {
+    pub fn insert(&mut self, scope: &CompiledScope, at: Moment, now: Moment) {
         if at > Moment::default() {
             self.place(scope, at);
         }
-        self.tidy(now);
+        self.maintain(now);
     }
 
-    fn place(&mut self, scope: &Checked, at: Moment) {
+    fn place(&mut self, scope: &CompiledScope, at: Moment) {
         match scope {
-            Checked::Object(object) => self.place_object(*object, at),
-            Checked::Part(object, part) => {
+            CompiledScope::Object(object) => self.place_object(*object, at),
+            CompiledScope::Part(object, part) => {
                 if raise(&mut self.parts, (*object, *part), at) {
                     self.stand(Slot::Part(*object, *part), at);
                 }
             }
-            Checked::Group(group) => {
+            CompiledScope::Group(group) => {
                 self.any_group = self.any_group.max(at);
                 if raise(&mut self.groups, *group, at) {
                     self.stand(Slot::Group(*group), at);
                 }
             }
-            Checked::AnyTag(tags) => tags.iter().for_each(|tag| self.place_tag(tag, at)),
-            Checked::AllTags(tags) => self.place_set(tags, at),
-            Checked::Prefix(prefix) => self.place_prefix(prefix.as_bytes(), at, false),
-            Checked::Pattern(pattern) => self.place_pattern(pattern.literal.as_bytes(), pattern.clone(), at),
-            Checked::Everything => self.everything = self.everything.max(at),
+            CompiledScope::AnyTag(tags) => tags.iter().for_each(|tag| self.place_tag(tag, at)),
+            CompiledScope::AllTags(tags) => self.place_set(tags, at),
+            CompiledScope::Prefix(prefix) => self.place_prefix(prefix.as_bytes(), at, false),
+            CompiledScope::Pattern(pattern) => {
+                self.place_pattern(pattern.literal.as_bytes(), pattern.clone(), at)
+            }
+            CompiledScope::Everything => self.everything = self.everything.max(at),
         }
     }
 
@@ -229,11 +231,11 @@
     }
 
     fn place_leading(&mut self, first: u64, digits: u8, at: Moment) {
-        let known = self.leading.len();
-        if raise(&mut self.leading, (first, digits), at) {
+        let known = self.id_prefixes.len();
+        if raise(&mut self.id_prefixes, (first, digits), at) {
             self.stand(Slot::Leading(first, digits), at);
         }
-        self.lengths[usize::from(digits)] += self.leading.len() - known;
+        self.lengths[usize::from(digits)] += self.id_prefixes.len() - known;
     }
 
     fn place_tag(&mut self, tag: &str, at: Moment) {
@@ -325,7 +327,7 @@
     }
 
     /// Copies of this have to be younger; none if any will do.
-    pub fn from_when(&self, facts: &Facts) -> Option<Moment> {
+    pub fn newest_purge(&self, facts: &CopyAttributes) -> Option<Moment> {
         let mut bound = self.everything;
         if self.slots > 0 {
             bound = bound.max(self.by_id(facts)).max(self.by_tags(facts)).max(self.by_name(facts));
@@ -333,21 +335,21 @@
         (bound > Moment::default()).then_some(bound)
     }
 
-    fn by_id(&self, facts: &Facts) -> Moment {
+    fn by_id(&self, facts: &CopyAttributes) -> Moment {
         let of = |found: Option<&Moment>| found.copied().unwrap_or_default();
         let object = of(self.objects.get(&facts.object));
         let part = of(self.parts.get(&(facts.object, facts.part)));
         let group = facts.group.map_or(self.any_group, |group| of(self.groups.get(&group)));
         let mut bound = object.max(part).max(group);
-        if !self.leading.is_empty() {
+        if !self.id_prefixes.is_empty() {
             for digits in (1..DIGITS).filter(|digits| self.lengths[usize::from(*digits)] > 0) {
-                bound = bound.max(of(self.leading.get(&(first_id(facts.object, digits), digits))));
+                bound = bound.max(of(self.id_prefixes.get(&(first_id(facts.object, digits), digits))));
             }
         }
         bound
     }
 
-    fn by_tags(&self, facts: &Facts) -> Moment {
+    fn by_tags(&self, facts: &CopyAttributes) -> Moment {
         if self.any_tag == Moment::default() {
             return Moment::default();
         }
@@ -364,7 +366,7 @@
         bound
     }
 
-    fn by_name(&self, facts: &Facts) -> Moment {
+    fn by_name(&self, facts: &CopyAttributes) -> Moment {
         if self.any_name == Moment::default() {
             return Moment::default();
         }
@@ -388,7 +390,7 @@
     }
 
     /// Drops what no living copy can be older than, and folds where there is too much.
-    pub fn tidy(&mut self, now: Moment) {
+    pub fn maintain(&mut self, now: Moment) {
         let horizon = now.before(self.longest);
         while let Some(first) = self.wheel.first_entry() {
             let second = *first.key();
@@ -427,7 +429,7 @@
             Slot::Object(object) => forget(&mut self.objects, &object, second_of_slot),
             Slot::Part(object, part) => forget(&mut self.parts, &(object, part), second_of_slot),
             Slot::Leading(first, digits) => {
-                let gone = forget(&mut self.leading, &(first, digits), second_of_slot);
+                let gone = forget(&mut self.id_prefixes, &(first, digits), second_of_slot);
                 self.lengths[usize::from(digits)] -= usize::from(gone.is_some());
                 gone
             }
@@ -493,7 +495,7 @@
     // Bounds.
 
     fn is_over(&self) -> bool {
-        self.live() > self.most || self.bytes() > self.most_bytes
+        self.entry_count() > self.most || self.estimated_bytes() > self.most_bytes
     }
 
     /// Folds until the bounds hold: the older part, then all; what has no narrower scope left into everything. A round
@@ -520,7 +522,7 @@
     fn fold_whole(&mut self, at: Moment) {
         self.everything = self.everything.max(at);
         self.whole = self.whole.max(at);
-        self.folded.whole += 1;
+        self.folded.everything += 1;
     }
 
     /// The last second of the older three quarters of the time that the wheel spans. Of fewer, those that stand near each
@@ -538,10 +540,10 @@
             true => (is - (most - most / free)) as f64,
             false => 0.0,
         };
-        let crowded = over(self.live(), self.most, LEFT_FREE);
-        let heavy = over(self.bytes(), self.most_bytes, BYTES_LEFT_FREE);
+        let crowded = over(self.entry_count(), self.most, LEFT_FREE);
+        let heavy = over(self.estimated_bytes(), self.most_bytes, BYTES_LEFT_FREE);
         let narrower = (ids + names + self.set_count).max(1) as f64;
-        let bytes = (self.bytes() - self.fixed_bytes()).max(1) as f64;
+        let bytes = (self.estimated_bytes() - self.fixed_bytes()).max(1) as f64;
         let share = (crowded / narrower).max(heavy / bytes).min(1.0);
         let quota = |many: usize| (many as f64 * share).ceil() as usize;
         let (of_sets, of_names) = (quota(self.set_count), quota(names));
@@ -567,14 +569,14 @@
         let nth = |ids: &mut dyn Iterator<Item = u64>| ids.nth(AT_ONCE);
         let object = nth(&mut self.objects.range(from..).map(|(id, _)| *id));
         let part = nth(&mut self.parts.range((from, 0)..).map(|((id, _), _)| *id));
-        let leading = nth(&mut self.leading.range((from, 0)..).map(|((id, _), _)| *id));
-        let until = [object, part, leading].into_iter().flatten().min().unwrap_or(u64::MAX);
+        let id_prefixes = nth(&mut self.id_prefixes.range((from, 0)..).map(|((id, _), _)| *id));
+        let until = [object, part, id_prefixes].into_iter().flatten().min().unwrap_or(u64::MAX);
         self.next_id = if until == u64::MAX { 0 } else { until + 1 };
         self.objects.range(from..=until).for_each(|(object, at)| push(*object, DIGITS, 0, *at));
         self.parts
             .range((from, 0)..=(until, u32::MAX))
             .for_each(|((object, part), at)| push(*object, PART, *part, *at));
-        self.leading
+        self.id_prefixes
             .range((from, 0)..=(until, DIGITS))
             .for_each(|((first, digits), at)| push(*first, *digits, 0, *at));
         let quota = quota(ids.len());
@@ -622,9 +624,9 @@
                     self.folded.objects += 1;
                 }
                 digits => {
-                    self.leading.remove(&(id.first, digits));
+                    self.id_prefixes.remove(&(id.first, digits));
                     self.lengths[usize::from(digits)] -= 1;
-                    self.folded.leading += 1;
+                    self.folded.id_prefixes += 1;
                 }
             }
         }
@@ -662,7 +664,7 @@
             for (set, at) in going {
                 self.remove_set(&set);
                 self.place_tag(&tag, at);
-                self.folded.sets += 1;
+                self.folded.tag_sets += 1;
             }
         }
         gained
@@ -801,9 +803,9 @@
     /// While there are too many bytes: drops slots whose entries have gone or have later ones, where a quarter of all are,
     /// and nodes of the trie that are free, where half of all are.
     fn drop_stale(&mut self) {
-        let is_heavy = |index: &Index| index.bytes() > index.most_bytes;
+        let is_heavy = |index: &Index| index.estimated_bytes() > index.most_bytes;
         for _ in 0..=self.slots / AT_ONCE + 1 {
-            if !is_heavy(self) || self.slots <= self.live() + self.slots / 4 {
+            if !is_heavy(self) || self.slots <= self.entry_count() + self.slots / 4 {
                 break;
             }
             self.drop_next_stale();
@@ -852,7 +854,7 @@
         match slot {
             Slot::Object(object) => is(self.objects.get(object)),
             Slot::Part(object, part) => is(self.parts.get(&(*object, *part))),
-            Slot::Leading(first, digits) => is(self.leading.get(&(*first, *digits))),
+            Slot::Leading(first, digits) => is(self.id_prefixes.get(&(*first, *digits))),
             Slot::Group(group) => is(self.groups.get(group)),
             Slot::Tag(tag) => is(self.tags.get(&tag.0)),
             Slot::Set(set) => {
@@ -865,37 +867,38 @@
     }
 
     /// Scopes that are kept one by one; a purge of several tags counts for each, a scope purged again once.
-    pub fn live(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.ids() + self.groups.len() + self.tags.len() + self.set_count + self.prefixes + self.patterns
     }
 
     fn ids(&self) -> usize {
-        self.objects.len() + self.parts.len() + self.leading.len()
+        self.objects.len() + self.parts.len() + self.id_prefixes.len()
     }
 
     /// Purges that gave their places to wider ones.
-    pub fn folded(&self) -> u64 {
-        let Folded { parts, objects, leading, prefixes, patterns, sets, whole } = self.folded;
-        parts + objects + leading + prefixes + patterns + sets + whole
+    pub fn total_folds(&self) -> u64 {
+        let FoldCounts { parts, objects, id_prefixes, prefixes, patterns, tag_sets, everything } =
+            self.folded;
+        parts + objects + id_prefixes + prefixes + patterns + tag_sets + everything
     }
 
-    pub fn folded_by_kind(&self) -> Folded {
+    pub fn fold_counts(&self) -> FoldCounts {
         self.folded
     }
 
     /// Purges that were folded into one of everything, since nothing narrower was left.
-    pub fn whole_folds(&self) -> u64 {
-        self.folded.whole
+    pub fn folds_to_everything(&self) -> u64 {
+        self.folded.everything
     }
 
     /// About the share of all objects that wider scopes cover now which folding made: leading digits of ids, and prefixes
     /// of names as if these were hex digits. Tags are left out: how many objects have one is not known here.
-    pub fn covers(&self) -> f64 {
+    pub fn folded_coverage(&self) -> f64 {
         if self.whole > Moment::default() {
             return 1.0;
         }
         let (mut share, mut covered) = (0.0, None);
-        for (first, digits) in self.leading.keys() {
+        for (first, digits) in self.id_prefixes.keys() {
             if covered.is_none_or(|covered| *first > covered) {
                 share += 16f64.powi(-i32::from(*digits));
                 covered = Some(first | !first_id(u64::MAX, *digits));
@@ -913,8 +916,9 @@
     }
 
     /// About the bytes that it takes; within half of resident size, up or down.
-    pub fn bytes(&self) -> usize {
-        let ids = self.objects.len() * OBJECT_BYTES + (self.parts.len() + self.leading.len()) * PART_BYTES;
+    pub fn estimated_bytes(&self) -> usize {
+        let ids =
+            self.objects.len() * OBJECT_BYTES + (self.parts.len() + self.id_prefixes.len()) * PART_BYTES;
         let tags = self.tags.len() * TAG_BYTES + self.set_count * SET_BYTES + self.set_tags * SET_TAG_BYTES;
         let used = self.nodes.len() - self.free.len();
         let names = used * CHILDREN_BYTES + self.patterns * PATTERN_BYTES;
@@ -976,14 +980,14 @@
 
 /// The plain way: every purge, one after another.
 #[derive(Default)]
-pub struct PlainList(Vec<(Checked, Moment)>);
+pub struct LinearIndex(Vec<(CompiledScope, Moment)>);
 
-impl PlainList {
-    pub fn enter(&mut self, scope: &Checked, at: Moment) {
+impl LinearIndex {
+    pub fn insert(&mut self, scope: &CompiledScope, at: Moment) {
         self.0.push((scope.clone(), at));
     }
 
-    pub fn from_when(&self, facts: &Facts) -> Option<Moment> {
+    pub fn newest_purge(&self, facts: &CopyAttributes) -> Option<Moment> {
         self.0.iter().filter(|(scope, _)| scope.covers(facts)).map(|(_, at)| *at).max()
     }
 }
--- a/crates/purge/src/lib.rs
+++ b/crates/purge/src/lib.rs
@@ -18,16 +18,16 @@
 //! | `members` | who has what, who is fenced, and how much one that comes back is asked |
 //! | `promise` | which delay is promised, and what became of it |
 //! | `service` | what is written down, told and reported, in which order |
-pub mod follow;
+pub mod anti_entropy;
+pub mod follower;
 pub mod gather;
 pub mod index;
-pub mod kept;
-pub mod lines;
 pub mod members;
-pub mod order;
+pub mod membership;
+pub mod messages;
 pub mod pack;
 pub mod promise;
-pub mod ranges;
-pub mod roster;
+pub mod retained;
 pub mod scope;
+pub mod sequencer;
 pub mod service;
--- a/crates/purge/src/lines.rs
+++ b/crates/purge/src/messages.rs
@@ -1,10 +1,10 @@
 //! What members, gatherers, clients and the service of purges write to each other: one JSON object a line. The first line
 //! says who it is.
-use crate::order::Item;
+use crate::membership::MembershipDigest;
 use crate::promise::{Promise, Report};
-use crate::roster::Digest;
 use crate::scope::Scope;
-use crate::service::Missing;
+use crate::sequencer::Item;
+use crate::service::CatchUp;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,13 +33,16 @@
 /// The first and only kind of line of a member: which process it is, and what it has.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Confirm {
+pub struct Ack {
     pub member: String,
     /// A number that no other start of it has.
-    pub start: u64,
-    pub has: u64,
+    #[serde(rename = "start")]
+    pub incarnation: u64,
+    #[serde(rename = "has")]
+    pub applied: u64,
     /// It was told all that lives since its start.
-    pub told_all: bool,
+    #[serde(rename = "told_all")]
+    pub bootstrapped: bool,
     #[serde(default, skip_serializing_if = "Past::is_usual")]
     pub past: Past,
 }
@@ -48,31 +51,35 @@
 /// on the roster that the service has from it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Gathered {
+pub struct GatheredReport {
     /// Itself, as a member that follows.
-    pub by: Confirm,
-    pub roster: RosterWord,
+    #[serde(rename = "by")]
+    pub gatherer: Ack,
+    #[serde(rename = "roster")]
+    pub membership: MembershipUpdate,
     /// All on the roster have all up to it, but those behind.
     pub floor: u64,
     /// Those that have less, or were not told all since their start (0).
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub behind: BTreeMap<String, u64>,
+    #[serde(rename = "behind", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub lagging: BTreeMap<String, u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RosterWord {
+pub enum MembershipUpdate {
     /// As it was told before.
-    Same(Digest),
+    #[serde(rename = "same")]
+    Unchanged(MembershipDigest),
     /// Names, each with the number of its process.
-    Whole(BTreeMap<String, u64>),
+    #[serde(rename = "whole")]
+    Full(BTreeMap<String, u64>),
 }
 
 /// The first line of a gatherer, and all further ones: an object of its own, so that it can't be read as a member's.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FromGatherer {
-    Gathered(Gathered),
+    Gathered(GatheredReport),
 }
 
 /// To a member, as the answer to each of its lines and whenever there is something new.
@@ -85,7 +92,8 @@
         items: Vec<Item>,
     },
     /// The first piece of all that it needs: items after `after`. It knows all that lives once it has all up to `upto`.
-    All {
+    #[serde(rename = "all")]
+    Snapshot {
         term: u64,
         /// Nothing up to there is told.
         #[serde(default)]
@@ -100,11 +108,14 @@
     },
     /// To a gatherer, after the items up to `upto`: the roster that the service has from it now. Who is on it may be told
     /// all that lives once the gatherer has all up to there.
-    Roster {
-        taken: Digest,
+    #[serde(rename = "roster")]
+    Membership {
+        #[serde(rename = "taken")]
+        accepted: MembershipDigest,
         upto: u64,
         /// Everyone who may be used has all up to it.
-        everyone_has: u64,
+        #[serde(rename = "everyone_has")]
+        fully_applied: u64,
         /// Starts that were replaced by another one of the same name: their lines are to be ended.
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
         replaced: BTreeMap<String, u64>,
@@ -112,13 +123,17 @@
     /// Another process counts under its name. One that runs all the same goes on as a new process, under another number.
     Replaced,
     /// This member of the service does not speak for it; the one that does is there, if that is known.
-    Elsewhere { serves: Option<String> },
+    #[serde(rename = "elsewhere")]
+    NotLeader {
+        #[serde(rename = "serves")]
+        leader: Option<String>,
+    },
 }
 
 /// Many items in a line stand there as one text, a tenth as long; without keys and tenants, which concern the service alone.
 mod packed {
-    use crate::order::{Item, What};
-    use crate::pack::{PackedItem, PackedWhat, decode, encode, from_text, to_text};
+    use crate::pack::{PackedItem, PackedPayload, decode, encode, from_base64, to_base64};
+    use crate::sequencer::{Item, Payload};
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
@@ -137,17 +152,17 @@
             return items.serialize(to);
         }
         let pack = |item: &Item| {
-            let what = match &item.what {
-                What::Purge { scope, .. } => PackedWhat::Purge(scope.clone()),
-                What::Fenced { member } => PackedWhat::Fenced(vec![member.clone()]),
-                What::Freed { member } => PackedWhat::Freed(vec![member.clone()]),
-                What::FencedMany { members } => PackedWhat::Fenced(members.iter().cloned().collect()),
-                What::FreedMany { members } => PackedWhat::Freed(members.iter().cloned().collect()),
+            let payload = match &item.payload {
+                Payload::Purge { scope, .. } => PackedPayload::Purge(scope.clone()),
+                Payload::Fenced { member } => PackedPayload::Fenced(vec![member.clone()]),
+                Payload::Freed { member } => PackedPayload::Freed(vec![member.clone()]),
+                Payload::FencedMany { members } => PackedPayload::Fenced(members.iter().cloned().collect()),
+                Payload::FreedMany { members } => PackedPayload::Freed(members.iter().cloned().collect()),
             };
-            PackedItem { number: item.number, term: item.term, at_ms: item.at_ms, what }
+            PackedItem { number: item.number, term: item.term, at_ms: item.at_ms, payload }
         };
         let all: Vec<PackedItem> = items.iter().map(pack).collect();
-        to.serialize_str(&to_text(&encode(&all)))
+        to.serialize_str(&to_base64(&encode(&all)))
     }
 
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<Item>, D::Error> {
@@ -155,47 +170,47 @@
             Form::Each(items) => return Ok(items),
             Form::Packed(text) => text,
         };
-        let wrong = |why: crate::pack::BadPack| D::Error::custom(why);
-        let all = decode(&from_text(&text).map_err(wrong)?).map_err(wrong)?;
+        let wrong = |why: crate::pack::PackError| D::Error::custom(why);
+        let all = decode(&from_base64(&text).map_err(wrong)?).map_err(wrong)?;
         let unpack = |item: PackedItem| {
-            let what = match item.what {
-                PackedWhat::Purge(scope) => What::Purge { scope, tenant: 0, key: String::new() },
-                PackedWhat::Fenced(members) => What::fenced(members.into_iter().collect()),
-                PackedWhat::Freed(members) => What::freed(members.into_iter().collect()),
+            let payload = match item.payload {
+                PackedPayload::Purge(scope) => Payload::Purge { scope, tenant: 0, key: String::new() },
+                PackedPayload::Fenced(members) => Payload::fenced(members.into_iter().collect()),
+                PackedPayload::Freed(members) => Payload::freed(members.into_iter().collect()),
             };
-            Item { number: item.number, term: item.term, at_ms: item.at_ms, what }
+            Item { number: item.number, term: item.term, at_ms: item.at_ms, payload }
         };
         Ok(all.into_iter().map(unpack).collect())
     }
 }
 
 impl ToMember {
-    pub fn of(term: u64, missing: Missing) -> ToMember {
+    pub fn from_catch_up(term: u64, missing: CatchUp) -> ToMember {
         match missing {
-            Missing::Items(items) => ToMember::Items { term, items },
-            Missing::All { after, items, upto, forgotten_ms, fenced } => {
-                ToMember::All { term, after, upto, forgotten_ms, fenced, items }
+            CatchUp::Delta(items) => ToMember::Items { term, items },
+            CatchUp::Snapshot { after, items, upto, forgotten_ms, fenced } => {
+                ToMember::Snapshot { term, after, upto, forgotten_ms, fenced, items }
             }
         }
     }
 }
 
 /// A name that can stand in a log and a list: 1 to 32 letters, digits, dots and dashes.
-pub fn is_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     (1..=32).contains(&name.len()) && name.bytes().all(plain)
 }
 
-impl Confirm {
-    pub fn is_named_well(&self) -> bool {
-        is_name(&self.member)
+impl Ack {
+    pub fn has_valid_name(&self) -> bool {
+        is_valid_name(&self.member)
     }
 }
 
 /// What a client asks for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Call {
+pub enum Request {
     Submit {
         scope: Scope,
         #[serde(default)]
@@ -216,7 +231,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answer {
+pub enum Response {
     Accepted {
         number: u64,
         promise: Promise,
@@ -230,8 +245,10 @@
     List(Vec<Item>),
     Refused(String),
     /// This member of the service does not speak for it; the one that does is there, if that is known.
-    Elsewhere {
-        serves: Option<String>,
+    #[serde(rename = "elsewhere")]
+    NotLeader {
+        #[serde(rename = "serves")]
+        leader: Option<String>,
     },
 }
 
@@ -250,16 +267,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     pub name: String,
-    pub has: u64,
+    #[serde(rename = "has")]
+    pub applied: u64,
     pub fenced: bool,
     /// The gatherer that speaks for it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub by: Option<String>,
+    #[serde(rename = "by", default, skip_serializing_if = "Option::is_none")]
+    pub gatherer: Option<String>,
 }
 
 /// One line, with its end.
-pub fn line(what: &impl Serialize) -> Vec<u8> {
-    let mut text = serde_json::to_vec(what).unwrap_or_default();
+pub fn to_line(message: &impl Serialize) -> Vec<u8> {
+    let mut text = serde_json::to_vec(message).unwrap_or_default();
     text.push(b'\n');
     text
 }
--- a/crates/purge/src/promise.rs
+++ b/crates/purge/src/promise.rs
@@ -1,6 +1,6 @@
 //! Which delay is promised for a purge, and what became of the promise. It comes from what has been measured: how long
 //! members took to confirm, and how long a fence takes to hold for one that does not.
-use crate::members::FENCED_AFTER;
+use crate::members::FENCE_TIMEOUT;
 use harestage::time::{Moment, Span};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -18,15 +18,15 @@
 const LONGEST: u64 = 3_600_000;
 
 /// The measured delays of members that did confirm, and of fences.
-pub struct Measured {
+pub struct LatencyStats {
     confirms: Histogram<u64>,
     fences: Histogram<u64>,
 }
 
-impl Default for Measured {
+impl Default for LatencyStats {
     fn default() -> Self {
         let new = || Histogram::new_with_bounds(1, LONGEST, 3).expect("the bounds are apart");
-        Measured { confirms: new(), fences: new() }
+        LatencyStats { confirms: new(), fences: new() }
     }
 }
 
@@ -39,22 +39,22 @@
     pub measured: u64,
 }
 
-impl Measured {
-    pub fn confirmed(&mut self, took: Span) {
+impl LatencyStats {
+    pub fn record_ack(&mut self, took: Span) {
         self.confirms.saturating_record((took.as_micros() / 1_000).max(1));
     }
 
     /// Everyone who takes copies from a fenced member has heard of the fence.
-    pub fn fence_held(&mut self, took: Span) {
+    pub fn record_fence(&mut self, took: Span) {
         self.fences.saturating_record((took.as_micros() / 1_000).max(1));
     }
 
     pub fn promise(&self) -> Promise {
-        self.promise_with(FENCED_AFTER)
+        self.promise_with_fence_timeout(FENCE_TIMEOUT)
     }
 
     /// `fence`: how long after an item whoever lacks it is fenced at the latest.
-    pub fn promise_with(&self, fence: Span) -> Promise {
+    pub fn promise_with_fence_timeout(&self, fence: Span) -> Promise {
         let measured = self.confirms.len() + self.fences.len();
         if measured < ENOUGH {
             let within_ms = UNMEASURED.max(fence).as_micros() / 1_000;
@@ -92,22 +92,22 @@
 
 /// All purges that have not been reported yet.
 #[derive(Default)]
-pub struct Watch {
+pub struct PendingPurges {
     open: BTreeMap<u64, Open>,
 }
 
-impl Watch {
-    pub fn begin(&mut self, number: u64, promise: Promise, now: Moment) {
+impl PendingPurges {
+    pub fn insert(&mut self, number: u64, promise: Promise, now: Moment) {
         self.open.insert(number, Open { begun: now, promise, fenced: Vec::new() });
     }
 
     /// A member was fenced: for every purge that it lacks.
-    pub fn fenced(&mut self, member: &str, has: u64) {
+    pub fn on_member_fenced(&mut self, member: &str, has: u64) {
         self.open.range_mut(has + 1..).for_each(|(_, open)| open.fenced.push(member.into()));
     }
 
     /// Those up to a number that everyone has by now, or is fenced for, as `is_reached` says, which is asked in their order.
-    pub fn reached(
+    pub fn take_reached(
         &mut self,
         upto: u64,
         mut is_reached: impl FnMut(u64) -> bool,
@@ -125,7 +125,7 @@
         done.into_iter().filter_map(report).collect()
     }
 
-    pub fn is_open(&self, number: u64) -> bool {
+    pub fn contains(&self, number: u64) -> bool {
         self.open.contains_key(&number)
     }
 
@@ -138,7 +138,7 @@
         self.open.keys().copied().collect()
     }
 
-    pub fn open(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.open.len()
     }
 }
--- a/crates/purge/src/scope.rs
+++ b/crates/purge/src/scope.rs
@@ -8,10 +8,10 @@
 use std::fmt;
 
 /// Tags that one purge may name, and bytes of a tag.
-pub const MOST_TAGS: usize = 16;
-pub const LONGEST_TAG: usize = 64;
+pub const MAX_TAGS: usize = 16;
+pub const MAX_TAG_BYTES: usize = 64;
 /// Bytes of a prefix or pattern.
-pub const LONGEST_PATTERN: usize = 256;
+pub const MAX_PATTERN_BYTES: usize = 256;
 /// Bytes that a compiled pattern may take.
 const PATTERN_ROOM: usize = 64 << 10;
 /// Names that a pattern is tried on before it is taken: one that matches them all covers everything.
@@ -54,17 +54,17 @@
 
 /// Why a scope is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadScope {
-    Object(String),
-    Tags {
-        many: usize,
+pub enum ScopeError {
+    InvalidObject(String),
+    TagCount {
+        count: usize,
     },
-    Tag(String),
-    Pattern {
+    InvalidTag(String),
+    InvalidPattern {
         pattern: String,
-        why: String,
+        reason: String,
     },
-    TooLong {
+    PatternTooLong {
         pattern: String,
         bytes: usize,
     },
@@ -74,16 +74,18 @@
     },
 }
 
-impl fmt::Display for BadScope {
+impl fmt::Display for ScopeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Object(text) => write!(f, "object {text:?} is not 16 hex digits"),
-            Self::Tags { many } => write!(f, "{many} tags are not 1 to {MOST_TAGS}"),
-            Self::Tag(tag) => write!(f, "tag {tag:?} is not 1 to {LONGEST_TAG} printable characters"),
-            Self::Pattern { pattern, why } => write!(f, "pattern {pattern:?}: {why}"),
-            Self::TooLong { pattern, bytes } => {
+            Self::InvalidObject(text) => write!(f, "object {text:?} is not 16 hex digits"),
+            Self::TagCount { count } => write!(f, "{count} tags are not 1 to {MAX_TAGS}"),
+            Self::InvalidTag(tag) => {
+                write!(f, "tag {tag:?} is not 1 to {MAX_TAG_BYTES} printable characters")
+            }
+            Self::InvalidPattern { pattern, reason } => write!(f, "pattern {pattern:?}: {reason}"),
+            Self::PatternTooLong { pattern, bytes } => {
                 let start: String = pattern.chars().take(24).collect();
-                write!(f, "pattern {start:?}… has {bytes} bytes, and {LONGEST_PATTERN} at most")
+                write!(f, "pattern {start:?}… has {bytes} bytes, and {MAX_PATTERN_BYTES} at most")
             }
             Self::CoversAll { pattern } => {
                 write!(f, "pattern {pattern:?} covers everything: ask for everything if that is meant")
@@ -92,11 +94,11 @@
     }
 }
 
-impl std::error::Error for BadScope {}
+impl std::error::Error for ScopeError {}
 
 /// A scope that may be used: its patterns are compiled, once.
 #[derive(Clone, Debug)]
-pub enum Checked {
+pub enum CompiledScope {
     Object(u64),
     Part(u64, u32),
     Group(u32),
@@ -131,7 +133,7 @@
 
 impl Scope {
     /// Bytes of its texts.
-    pub fn weight(&self) -> usize {
+    pub fn text_bytes(&self) -> usize {
         match self {
             Scope::Object(text) | Scope::Prefix(text) | Scope::Glob(text) | Scope::Regex(text) => text.len(),
             Scope::Part { object, .. } => object.len(),
@@ -142,69 +144,75 @@
         }
     }
 
-    pub fn checked(&self) -> Result<Checked, BadScope> {
+    pub fn compile(&self) -> Result<CompiledScope, ScopeError> {
         Ok(match self {
-            Scope::Object(text) => Checked::Object(object(text)?),
-            Scope::Part { object: text, part } => Checked::Part(object(text)?, *part),
-            Scope::Group(group) => Checked::Group(*group),
-            Scope::AllTags(set) => Checked::AllTags(tags(set)?),
-            Scope::AnyTag(set) => Checked::AnyTag(tags(set)?),
+            Scope::Object(text) => CompiledScope::Object(object(text)?),
+            Scope::Part { object: text, part } => CompiledScope::Part(object(text)?, *part),
+            Scope::Group(group) => CompiledScope::Group(*group),
+            Scope::AllTags(set) => CompiledScope::AllTags(tags(set)?),
+            Scope::AnyTag(set) => CompiledScope::AnyTag(tags(set)?),
             Scope::Prefix(prefix) => {
                 bounded(prefix)?;
                 if prefix.is_empty() {
-                    return Err(BadScope::CoversAll { pattern: prefix.clone() });
+                    return Err(ScopeError::CoversAll { pattern: prefix.clone() });
                 }
-                Checked::Prefix(prefix.clone())
+                CompiledScope::Prefix(prefix.clone())
             }
-            Scope::Glob(text) => Checked::Pattern(glob(text)?),
-            Scope::Regex(text) => Checked::Pattern(regex(text)?),
-            Scope::Everything => Checked::Everything,
+            Scope::Glob(text) => CompiledScope::Pattern(glob(text)?),
+            Scope::Regex(text) => CompiledScope::Pattern(regex(text)?),
+            Scope::Everything => CompiledScope::Everything,
         })
     }
 }
 
-fn object(text: &str) -> Result<u64, BadScope> {
+fn object(text: &str) -> Result<u64, ScopeError> {
     let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     let number = u64::from_str_radix(text, 16).ok().filter(|_| digits);
-    number.ok_or_else(|| BadScope::Object(text.chars().take(40).collect()))
+    number.ok_or_else(|| ScopeError::InvalidObject(text.chars().take(40).collect()))
 }
 
-fn tags(set: &BTreeSet<String>) -> Result<Vec<String>, BadScope> {
-    if !(1..=MOST_TAGS).contains(&set.len()) {
-        return Err(BadScope::Tags { many: set.len() });
+fn tags(set: &BTreeSet<String>) -> Result<Vec<String>, ScopeError> {
+    if !(1..=MAX_TAGS).contains(&set.len()) {
+        return Err(ScopeError::TagCount { count: set.len() });
     }
     let printable =
-        |tag: &String| (1..=LONGEST_TAG).contains(&tag.len()) && tag.bytes().all(|b| b.is_ascii_graphic());
+        |tag: &String| (1..=MAX_TAG_BYTES).contains(&tag.len()) && tag.bytes().all(|b| b.is_ascii_graphic());
     match set.iter().find(|tag| !printable(tag)) {
-        Some(tag) => Err(BadScope::Tag(tag.chars().take(40).collect())),
+        Some(tag) => Err(ScopeError::InvalidTag(tag.chars().take(40).collect())),
         None => Ok(set.iter().cloned().collect()),
     }
 }
 
-fn bounded(pattern: &str) -> Result<(), BadScope> {
+fn bounded(pattern: &str) -> Result<(), ScopeError> {
     let bytes = pattern.len();
-    if bytes > LONGEST_PATTERN { Err(BadScope::TooLong { pattern: pattern.into(), bytes }) } else { Ok(()) }
+    if bytes > MAX_PATTERN_BYTES {
+        Err(ScopeError::PatternTooLong { pattern: pattern.into(), bytes })
+    } else {
+        Ok(())
+    }
 }
 
-fn glob(text: &str) -> Result<Pattern, BadScope> {
+fn glob(text: &str) -> Result<Pattern, ScopeError> {
     bounded(text)?;
     let built = GlobBuilder::new(text).literal_separator(true).backslash_escape(true).build();
-    let built =
-        built.map_err(|why| BadScope::Pattern { pattern: text.into(), why: why.kind().to_string() })?;
+    let built = built.map_err(|reason| ScopeError::InvalidPattern {
+        pattern: text.into(),
+        reason: reason.kind().to_string(),
+    })?;
     let literal: String = text.chars().take_while(|c| !"*?[{\\".contains(*c)).collect();
     narrow(Pattern { literal, matcher: Matcher::Glob(built.compile_matcher()) }, text)
 }
 
-fn regex(text: &str) -> Result<Pattern, BadScope> {
+fn regex(text: &str) -> Result<Pattern, ScopeError> {
     bounded(text)?;
-    let wrong = |why: String| BadScope::Pattern { pattern: text.into(), why };
+    let wrong = |reason: String| ScopeError::InvalidPattern { pattern: text.into(), reason };
     // Parsed by itself first: an unmatched bracket must not close the group that is put round it.
     RegexBuilder::new(text)
         .size_limit(PATTERN_ROOM)
         .build()
-        .map_err(|why| wrong(one_line(&why.to_string())))?;
+        .map_err(|reason| wrong(one_line(&reason.to_string())))?;
     let whole = RegexBuilder::new(&format!("^(?:{text})$")).size_limit(PATTERN_ROOM).nest_limit(24).build();
-    let whole = whole.map_err(|why| wrong(one_line(&why.to_string())))?;
+    let whole = whole.map_err(|reason| wrong(one_line(&reason.to_string())))?;
     let literal: String =
         text.chars().take_while(|c| c.is_ascii_alphanumeric() || "-_/".contains(*c)).collect();
     // What follows a letter may make it optional, or give the whole another beginning.
@@ -219,9 +227,9 @@
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-fn narrow(pattern: Pattern, text: &str) -> Result<Pattern, BadScope> {
+fn narrow(pattern: Pattern, text: &str) -> Result<Pattern, ScopeError> {
     if SAMPLES.iter().all(|name| pattern.matches(name)) {
-        return Err(BadScope::CoversAll { pattern: text.into() });
+        return Err(ScopeError::CoversAll { pattern: text.into() });
     }
     Ok(pattern)
 }
@@ -229,7 +237,7 @@
 /// What is known of an object or a copy of it. What is not known counts as covered by every purge that asks for it: a
 /// copy too many is fetched anew, and none is served that should be gone.
 #[derive(Clone, Copy, Debug)]
-pub struct Facts<'a> {
+pub struct CopyAttributes<'a> {
     pub object: u64,
     pub part: u32,
     pub group: Option<u32>,
@@ -238,19 +246,19 @@
     pub tags: Option<&'a [&'a str]>,
 }
 
-impl Checked {
+impl CompiledScope {
     /// Whether the purge covers it. The index answers the same for many purges at once; this is the plain way.
-    pub fn covers(&self, facts: &Facts) -> bool {
+    pub fn covers(&self, facts: &CopyAttributes) -> bool {
         let tag = |tag: &String| facts.tags.is_none_or(|tags| tags.contains(&tag.as_str()));
         match self {
-            Checked::Object(object) => *object == facts.object,
-            Checked::Part(object, part) => (*object, *part) == (facts.object, facts.part),
-            Checked::Group(group) => facts.group.is_none_or(|own| own == *group),
-            Checked::AllTags(tags) => tags.iter().all(tag),
-            Checked::AnyTag(tags) => tags.iter().any(tag),
-            Checked::Prefix(prefix) => facts.name.is_none_or(|name| name.starts_with(prefix.as_str())),
-            Checked::Pattern(pattern) => facts.name.is_none_or(|name| pattern.matches(name)),
-            Checked::Everything => true,
+            CompiledScope::Object(object) => *object == facts.object,
+            CompiledScope::Part(object, part) => (*object, *part) == (facts.object, facts.part),
+            CompiledScope::Group(group) => facts.group.is_none_or(|own| own == *group),
+            CompiledScope::AllTags(tags) => tags.iter().all(tag),
+            CompiledScope::AnyTag(tags) => tags.iter().any(tag),
+            CompiledScope::Prefix(prefix) => facts.name.is_none_or(|name| name.starts_with(prefix.as_str())),
+            CompiledScope::Pattern(pattern) => facts.name.is_none_or(|name| pattern.matches(name)),
+            CompiledScope::Everything => true,
         }
     }
 }
--- a/crates/purge/tests/differences.rs
+++ b/crates/purge/tests/differences.rs
@@ -1,6 +1,6 @@
 //! Two sides that each hold purges by number find from where they differ, against a plain comparison.
-use harestage_purge::pack::{PackedItem, PackedWhat};
-use harestage_purge::ranges::{Blocks, Digests, MOST_BLOCKS, SHORT, Step};
+use harestage_purge::anti_entropy::{BlockDigests, Comparison, LEAF_BLOCK_LENGTH, MAX_BLOCKS, RangeDigests};
+use harestage_purge::pack::{PackedItem, PackedPayload};
 use harestage_purge::scope::Scope;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -20,28 +20,28 @@
 }
 
 fn item(number: u64, group: u32) -> PackedItem {
-    PackedItem { number, term: 3, at_ms: number * 83, what: PackedWhat::Purge(Scope::Group(group)) }
+    PackedItem { number, term: 3, at_ms: number * 83, payload: PackedPayload::Purge(Scope::Group(group)) }
 }
 
-fn digests(items: &[PackedItem]) -> Digests {
-    let mut digests = Digests::new(items.first().map_or(1, |item| item.number));
+fn digests(items: &[PackedItem]) -> RangeDigests {
+    let mut digests = RangeDigests::new(items.first().map_or(1, |item| item.number));
     assert!(items.iter().all(|item| digests.push(item)));
     digests
 }
 
 /// Messages back and forth until it is known: what came out, how many messages, and their bytes as JSON.
-fn search(one: &Digests, other: &Digests) -> (Step, usize, usize) {
+fn search(one: &RangeDigests, other: &RangeDigests) -> (Comparison, usize, usize) {
     let (mut asked, mut messages, mut bytes) = (one.held(), 0, 0);
     loop {
         let Some(blocks) = asked.as_ref().and_then(|range| one.blocks(range)) else {
-            return (Step::Apart, messages, bytes);
+            return (Comparison::Disjoint, messages, bytes);
         };
-        assert!(blocks.digests.len() <= MOST_BLOCKS);
+        assert!(blocks.digests.len() <= MAX_BLOCKS);
         messages += 1;
         bytes += serde_json::to_vec(&blocks).unwrap().len();
         assert!(messages <= 20, "it ends");
         match other.compare(&blocks) {
-            Step::Look(range) => {
+            Comparison::Narrow(range) => {
                 bytes += format!("{range:?}").len();
                 asked = Some(range);
             }
@@ -78,13 +78,13 @@
         let first = common.iter().copied().find(|n| of(&a, *n) != of(&b, *n));
         let (step, _, _) = search(&digests(&a), &digests(&b));
         match (step, first) {
-            (Step::Apart, None) if common.is_empty() => apart += 1,
-            (Step::Same { upto }, None) => {
+            (Comparison::Disjoint, None) if common.is_empty() => apart += 1,
+            (Comparison::Same { upto }, None) => {
                 assert_eq!(Some(&upto), common.last(), "seed {seed}");
                 same += 1;
             }
-            (Step::Differ { from }, Some(first)) => {
-                assert!(from <= first && first < from + SHORT, "seed {seed}: {from} for {first}");
+            (Comparison::Differ { from }, Some(first)) => {
+                assert!(from <= first && first < from + LEAF_BLOCK_LENGTH, "seed {seed}: {from} for {first}");
                 differ += 1;
             }
             other => panic!("seed {seed}: {other:?}"),
@@ -104,16 +104,16 @@
     let part = digests(&items[150..250]);
     assert_eq!(digests_of_all.blocks(&(0..=u64::MAX)), part.blocks(&(0..=u64::MAX)));
     assert!(!digests_of_all.push(&item(351, 1)) && digests_of_all.push(&item(350, 350)));
-    assert_eq!(search(&digests_of_all, &digests(&items)).0, Step::Same { upto: 350 });
+    assert_eq!(search(&digests_of_all, &digests(&items)).0, Comparison::Same { upto: 350 });
     digests_of_all.forget_from(0);
     assert_eq!(digests_of_all.held(), None);
-    assert_eq!(search(&digests(&items), &digests_of_all).0, Step::Apart);
+    assert_eq!(search(&digests(&items), &digests_of_all).0, Comparison::Disjoint);
 }
 
 #[test]
 fn blocks_that_do_not_fit_to_their_range_are_refused() {
     let held = digests(&(1..100).map(|n| item(n, 0)).collect::<Vec<_>>());
-    let blocks = |first, last, shift, many| Blocks { first, last, shift, digests: vec![0; many] };
+    let blocks = |first, last, shift, many| BlockDigests { first, last, shift, digests: vec![0; many] };
     for wrong in [
         blocks(5, 4, 0, 1),
         blocks(1, 10, 0, 9),
@@ -122,7 +122,7 @@
         blocks(0, u64::MAX, 63, 2),
         blocks(0, u64::MAX - 1, 0, 0),
     ] {
-        assert_eq!(held.compare(&wrong), Step::Wrong, "{wrong:?}");
+        assert_eq!(held.compare(&wrong), Comparison::Malformed, "{wrong:?}");
     }
 }
 
@@ -134,13 +134,13 @@
     let service = digests(&items);
     let (step, messages, bytes) = search(&digests(&items[..items.len() - 5_000]), &service);
     println!("5,000 missing: {messages} message, {bytes} bytes");
-    assert_eq!((step, messages), (Step::Same { upto: many - 5_000 }, 1));
+    assert_eq!((step, messages), (Comparison::Same { upto: many - 5_000 }, 1));
     let mut other = items.clone();
     other.iter_mut().skip(many as usize - 777).for_each(|item| item.term = 4);
     let (step, messages, bytes) = search(&digests(&other), &service);
     println!("the last 777 of another term: {messages} messages, {bytes} bytes");
     assert!(
-        matches!(step, Step::Differ { from } if from <= many - 776 && from > many - 777 - SHORT),
+        matches!(step, Comparison::Differ { from } if from <= many - 776 && from > many - 777 - LEAF_BLOCK_LENGTH),
         "{step:?}"
     );
     assert!(messages <= 5 && bytes <= 2_000, "{messages} messages, {bytes} bytes");
--- a/crates/purge/tests/folds.rs
+++ b/crates/purge/tests/folds.rs
@@ -1,8 +1,8 @@
 //! At its bounds the index gives places to the narrowest wider scope: copies may be refused that were good, none is taken
 //! that is old, and everything is taken only where nothing narrower is left.
 use harestage::time::{Moment, Span};
-use harestage_purge::index::{Folded, Index, PlainList};
-use harestage_purge::scope::{Facts, Scope};
+use harestage_purge::index::{FoldCounts, Index, LinearIndex};
+use harestage_purge::scope::{CopyAttributes, Scope};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 const LONG: Span = Span::millis(1 << 40);
@@ -32,15 +32,15 @@
 }
 
 fn enter(index: &mut Index, scope: &Scope, ms: u64) {
-    index.enter(&scope.checked().unwrap(), at(ms), at(ms));
+    index.insert(&scope.compile().unwrap(), at(ms), at(ms));
 }
 
 fn object(id: u64) -> Scope {
     Scope::Object(format!("{id:016x}"))
 }
 
-fn bare(object: u64, name: &str) -> Facts<'_> {
-    Facts { object, part: 0, group: Some(0), name: Some(name), tags: Some(&[]) }
+fn bare(object: u64, name: &str) -> CopyAttributes<'_> {
+    CopyAttributes { object, part: 0, group: Some(0), name: Some(name), tags: Some(&[]) }
 }
 
 const TAGS: [&str; 6] = ["claim", "north", "photo", "south", "urgent", "video"];
@@ -80,34 +80,34 @@
         let mut chance = Chance(seed, 0);
         let most = *chance.one(&[20, 40, 100, 1_000, 1_000]);
         let longest = Span::millis(*chance.one(&[60_000, 1 << 40]));
-        let (mut index, mut plain) = (Index::new(most, longest), PlainList::default());
+        let (mut index, mut plain) = (Index::new(most, longest), LinearIndex::default());
         let (mut now, mut folded_before) = (1_000_000, 0);
         for _ in 0..400 {
             now += chance.below(400);
-            let checked = scope(&mut chance).checked().unwrap();
+            let checked = scope(&mut chance).compile().unwrap();
             // Some are told late.
             let purged = at(now - chance.below(3) * chance.below(4_000));
-            index.enter(&checked, purged, at(now));
-            plain.enter(&checked, purged);
-            assert!(index.live() <= most, "seed {seed}: {} live", index.live());
+            index.insert(&checked, purged, at(now));
+            plain.insert(&checked, purged);
+            assert!(index.entry_count() <= most, "seed {seed}: {} live", index.entry_count());
             let (object, part, group) = (id(&mut chance), chance.below(3) as u32, chance.below(9) as u32);
             let name = format!("{object:016x}");
             let tags: Vec<&str> = (0..chance.below(4)).map(|_| *chance.one(&TAGS)).collect();
-            let facts = Facts {
+            let facts = CopyAttributes {
                 object,
                 part,
                 group: Some(group).filter(|_| chance.below(5) > 0),
                 name: Some(name.as_str()).filter(|_| chance.below(5) > 0),
                 tags: Some(tags.as_slice()).filter(|_| chance.below(5) > 0),
             };
-            let wanted = plain.from_when(&facts).filter(|purged| at(now).since(*purged) < longest);
-            let told = index.from_when(&facts);
+            let wanted = plain.newest_purge(&facts).filter(|purged| at(now).since(*purged) < longest);
+            let told = index.newest_purge(&facts);
             assert!(told >= wanted, "seed {seed} at {now}: {told:?} for {facts:?}, {wanted:?} by the list");
-            if index.folded() == 0 && longest == LONG {
+            if index.total_folds() == 0 && longest == LONG {
                 exact += 1;
                 assert_eq!(told, wanted, "seed {seed} at {now}: exact while the bound does not bind");
             }
-            folded_before = index.folded();
+            folded_before = index.total_folds();
         }
         bound_binds += u64::from(folded_before > 0);
     }
@@ -122,24 +122,24 @@
         enter(&mut index, &object(7), ms);
         enter(&mut index, &Scope::Prefix("ab".into()), ms);
     }
-    assert_eq!(index.live(), 2);
-    index.tidy(at(1_011_500));
-    assert_eq!(index.from_when(&bare(7, "x")), Some(at(1_004_000)));
-    assert_eq!(index.from_when(&bare(1, "abc")), Some(at(1_004_000)));
-    index.tidy(at(1_015_000));
-    assert_eq!((index.live(), index.from_when(&bare(7, "abc"))), (0, None));
+    assert_eq!(index.entry_count(), 2);
+    index.maintain(at(1_011_500));
+    assert_eq!(index.newest_purge(&bare(7, "x")), Some(at(1_004_000)));
+    assert_eq!(index.newest_purge(&bare(1, "abc")), Some(at(1_004_000)));
+    index.maintain(at(1_015_000));
+    assert_eq!((index.entry_count(), index.newest_purge(&bare(7, "abc"))), (0, None));
 }
 
 /// What is not told counts as covered only while something of that kind lives.
 #[test]
 fn facts_that_are_not_told_are_covered_only_by_what_lives() {
     let mut index = Index::new(10, Span::millis(10_000));
-    let untold = Facts { object: 1, part: 0, group: None, name: None, tags: None };
+    let untold = CopyAttributes { object: 1, part: 0, group: None, name: None, tags: None };
     enter(&mut index, &Scope::Group(3), 1_000_000);
     enter(&mut index, &Scope::AnyTag(["claim".to_string()].into()), 1_001_000);
     enter(&mut index, &Scope::Prefix("ab".into()), 1_002_000);
     enter(&mut index, &object(9), 1_050_000);
-    assert_eq!((index.live(), index.from_when(&untold)), (1, None));
+    assert_eq!((index.entry_count(), index.newest_purge(&untold)), (1, None));
 }
 
 #[test]
@@ -158,27 +158,27 @@
     for n in 0..41 {
         enter(&mut index, &object(0xbeef_0000_0000_0000 + n * 16), 3_000 + n);
     }
-    assert_eq!((index.live(), index.folded()), (64, 0));
+    assert_eq!((index.entry_count(), index.total_folds()), (64, 0));
     enter(&mut index, &object(5), 4_000);
     assert_eq!(
-        index.folded_by_kind(),
-        Folded { parts: 8, ..Folded::default() },
+        index.fold_counts(),
+        FoldCounts { parts: 8, ..FoldCounts::default() },
         "the parts give all that is needed"
     );
-    assert_eq!(index.from_when(&bare(0xaa << 32, "x")), Some(at(1_007)), "a part that was not purged");
-    assert_eq!(index.from_when(&bare(0xaa << 32 | 1, "x")), None);
+    assert_eq!(index.newest_purge(&bare(0xaa << 32, "x")), Some(at(1_007)), "a part that was not purged");
+    assert_eq!(index.newest_purge(&bare(0xaa << 32 | 1, "x")), None);
     for n in 0..7 {
         enter(&mut index, &object(0xc0 << 56 | n), 5_000 + n);
     }
-    let folded = index.folded_by_kind();
-    assert!(folded.objects > 0 && folded.whole == 0, "{folded:?}");
-    let covers = index.covers();
+    let folded = index.fold_counts();
+    assert!(folded.objects > 0 && folded.everything == 0, "{folded:?}");
+    let covers = index.folded_coverage();
     assert!((1e-19..1e-12).contains(&covers), "neighbours fold, {covers} of all is covered");
     for n in 0..15 {
-        assert_eq!(index.from_when(&bare(far(n + 1), "x")), Some(at(2_000 + n)));
-        assert_eq!(index.from_when(&bare(far(n + 1) | 0x100, "x")), None, "what is alone stays as it is");
+        assert_eq!(index.newest_purge(&bare(far(n + 1), "x")), Some(at(2_000 + n)));
+        assert_eq!(index.newest_purge(&bare(far(n + 1) | 0x100, "x")), None, "what is alone stays as it is");
     }
-    assert_eq!(index.from_when(&bare(0x1234, "beef")), None);
+    assert_eq!(index.newest_purge(&bare(0x1234, "beef")), None);
 }
 
 #[test]
@@ -187,14 +187,14 @@
     (0..16).for_each(|n| enter(&mut index, &Scope::Prefix(format!("case/17/{n:02}/")), 1_000 + n));
     (0..16).for_each(|n| enter(&mut index, &Scope::Glob(format!("clip/3/*{n}")), 2_000 + n));
     enter(&mut index, &Scope::Prefix("file/9/".into()), 3_000);
-    let folded = index.folded_by_kind();
-    assert!(folded.prefixes + folded.patterns > 0 && folded.whole == 0, "{folded:?}");
-    assert_eq!(index.from_when(&bare(1, "case/18/1")), None);
-    assert_eq!(index.from_when(&bare(1, "clip/4/1")), None);
-    assert_eq!(index.from_when(&bare(1, "file/9/x")), Some(at(3_000)));
+    let folded = index.fold_counts();
+    assert!(folded.prefixes + folded.patterns > 0 && folded.everything == 0, "{folded:?}");
+    assert_eq!(index.newest_purge(&bare(1, "case/18/1")), None);
+    assert_eq!(index.newest_purge(&bare(1, "clip/4/1")), None);
+    assert_eq!(index.newest_purge(&bare(1, "file/9/x")), Some(at(3_000)));
     for n in 0..16 {
-        assert!(index.from_when(&bare(1, &format!("case/17/{n:02}/x"))) >= Some(at(1_000 + n)));
-        assert!(index.from_when(&bare(1, &format!("clip/3/x{n}"))) >= Some(at(2_000 + n)));
+        assert!(index.newest_purge(&bare(1, &format!("case/17/{n:02}/x"))) >= Some(at(1_000 + n)));
+        assert!(index.newest_purge(&bare(1, &format!("clip/3/x{n}"))) >= Some(at(2_000 + n)));
     }
 
     let mut index = Index::new(16, LONG);
@@ -202,9 +202,9 @@
         let set = [format!("case-{n}"), "photo".to_string(), format!("z-{n}")];
         enter(&mut index, &Scope::AllTags(set.into()), 1_000 + n);
     }
-    let folded = index.folded_by_kind();
-    assert!(folded.sets > 1 && folded.whole == 0, "{folded:?}");
-    let with = |tags: &[&str]| index.from_when(&Facts { tags: Some(tags), ..bare(1, "x") });
+    let folded = index.fold_counts();
+    assert!(folded.tag_sets > 1 && folded.everything == 0, "{folded:?}");
+    let with = |tags: &[&str]| index.newest_purge(&CopyAttributes { tags: Some(tags), ..bare(1, "x") });
     assert!(
         with(&["photo"]).is_some_and(|bound| bound < at(1_016)),
         "the tag that all of them have, the oldest first"
@@ -220,11 +220,15 @@
     for _ in 0..50 {
         (0..100).for_each(|n| enter(&mut index, &Scope::Group(n as u32), 2_000_000 + n * 1_000));
     }
-    assert_eq!((index.live(), index.whole_folds()), (100, 0), "groups are as many as there are");
+    assert_eq!(
+        (index.entry_count(), index.folds_to_everything()),
+        (100, 0),
+        "groups are as many as there are"
+    );
     enter(&mut index, &Scope::Group(1_000), 3_000_000);
-    assert!(index.whole_folds() > 0 && index.covers() == 1.0);
+    assert!(index.folds_to_everything() > 0 && index.folded_coverage() == 1.0);
     assert!(
-        index.from_when(&bare(1, "x")).is_some_and(|bound| bound < at(2_010_000)),
+        index.newest_purge(&bare(1, "x")).is_some_and(|bound| bound < at(2_010_000)),
         "the oldest of them only"
     );
 
@@ -233,7 +237,7 @@
     (0..80).for_each(|n| enter(&mut index, &Scope::Group(n as u32), 1_000_000 + n));
     let mut chance = Chance(1, 0);
     (0..5_000).for_each(|n| enter(&mut index, &object(chance.next()), 2_000_000 + n * 100));
-    assert_eq!(index.whole_folds(), 0);
+    assert_eq!(index.folds_to_everything(), 0);
 }
 
 /// Twice the purges that there is room for, by object, for hours: no purge of everything, and most copies stay good.
@@ -251,14 +255,14 @@
             enter(&mut index, &object(id), ms);
             latest.push((id, ms));
         }
-        assert_eq!(index.whole_folds(), 0);
-        let covers = index.covers();
+        assert_eq!(index.folds_to_everything(), 0);
+        let covers = index.folded_coverage();
         assert!(covers <= most_covered && covers > 0.0, "{covers} covered at {times} times {most}");
         let living = latest.len() - many as usize + 100;
         for (id, ms) in &latest[living..] {
-            assert!(index.from_when(&bare(*id, "x")) >= Some(at(*ms)));
+            assert!(index.newest_purge(&bare(*id, "x")) >= Some(at(*ms)));
         }
-        let others = (0..20_000).filter(|_| index.from_when(&bare(chance.next(), "x")).is_some()).count();
+        let others = (0..20_000).filter(|_| index.newest_purge(&bare(chance.next(), "x")).is_some()).count();
         let share = others as f64 / 20_000.0;
         assert!((share - covers).abs() < 0.02, "{share} of others are covered, {covers} told");
     }
@@ -268,15 +272,15 @@
 fn the_bound_in_bytes_holds_as_the_bound_in_number_does() {
     let bytes = 2 << 20;
     let mut chance = Chance(3, 0);
-    let mut index = Index::new(1_000_000, LONG).within(bytes);
+    let mut index = Index::new(1_000_000, LONG).with_max_bytes(bytes);
     for n in 0..60_000u64 {
         enter(&mut index, &scope(&mut chance), 1_000_000 + n * 20);
-        assert!(index.bytes() <= bytes, "{} bytes after {n}", index.bytes());
+        assert!(index.estimated_bytes() <= bytes, "{} bytes after {n}", index.estimated_bytes());
     }
-    assert_eq!(index.whole_folds(), 0, "{:?}", index.folded_by_kind());
+    assert_eq!(index.folds_to_everything(), 0, "{:?}", index.fold_counts());
     // The same object again and again leaves slots of its seconds behind, which cost nothing but room.
-    let mut index = Index::new(1_000_000, LONG).within(1 << 20);
+    let mut index = Index::new(1_000_000, LONG).with_max_bytes(1 << 20);
     (0..100_000).for_each(|n| enter(&mut index, &object(n % 3), 1_000_000 + n * 1_000));
-    assert_eq!((index.live(), index.folded()), (3, 0));
-    assert!(index.bytes() <= 1 << 20);
+    assert_eq!((index.entry_count(), index.total_folds()), (3, 0));
+    assert!(index.estimated_bytes() <= 1 << 20);
 }
--- a/crates/purge/tests/packs.rs
+++ b/crates/purge/tests/packs.rs
@@ -1,9 +1,10 @@
 //! Packs: what is written is read back exactly, what is wrong is refused by where and what, whatever the bytes are.
-use harestage_purge::order::{Item, What};
 use harestage_purge::pack::{
-    BadPack, LONGEST_PACK, MOST_ITEMS, PackedItem, PackedWhat, Wrong, decode, encode, from_text, to_text,
+    MAX_ITEMS, MAX_PACK_BYTES, PackError, PackErrorKind, PackedItem, PackedPayload, decode, encode,
+    from_base64, to_base64,
 };
 use harestage_purge::scope::Scope;
+use harestage_purge::sequencer::{Item, Payload};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Instant;
 
@@ -65,11 +66,11 @@
         term = if chance.below(9) == 0 { chance.number() } else { term };
         let names = |chance: &mut Chance| (0..chance.below(4)).map(|n| format!("hub-ö{n}")).collect();
         let what = match chance.below(8) {
-            0 => PackedWhat::Fenced(names(chance)),
-            1 => PackedWhat::Freed(names(chance)),
-            _ => PackedWhat::Purge(scope(chance)),
+            0 => PackedPayload::Fenced(names(chance)),
+            1 => PackedPayload::Freed(names(chance)),
+            _ => PackedPayload::Purge(scope(chance)),
         };
-        items.push(PackedItem { number, term, at_ms, what });
+        items.push(PackedItem { number, term, at_ms, payload: what });
     }
     items
 }
@@ -89,12 +90,12 @@
         let items = items(&mut chance);
         let bytes = encode(&items);
         assert_eq!(decode(&bytes), Ok(items), "seed {seed}");
-        let text = to_text(&bytes);
+        let text = to_base64(&bytes);
         assert!(
             text.bytes().all(|b| b.is_ascii_graphic() && b != b'"' && b != b'\\'),
             "it stands in a JSON line"
         );
-        assert_eq!(from_text(&text), Ok(bytes));
+        assert_eq!(from_base64(&text), Ok(bytes));
     }
 }
 
@@ -104,7 +105,7 @@
         number,
         term: 1,
         at_ms: 5,
-        what: PackedWhat::Purge(Scope::Group(group)),
+        payload: PackedPayload::Purge(Scope::Group(group)),
     };
     let packed = encode(&[item(u64::MAX, 1), item(3, 2), item(u64::MAX - 1, 3), item(3, 4)]);
     assert_eq!(decode(&packed), Ok(vec![item(3, 2), item(u64::MAX - 1, 3), item(u64::MAX, 1)]));
@@ -165,32 +166,38 @@
 fn what_is_refused_is_told_by_where_and_what() {
     let body = |bytes: &[u8]| sealed([b"hp\x01", bytes, &[0; 4]].concat());
     let told = |bytes: &[u8]| decode(&body(bytes)).unwrap_err();
-    assert_eq!(told(&[9, 0, 1, 0]), BadPack { at: 3, what: Wrong::Count });
-    assert_eq!(told(&[1, 0, 2, 0, 2, 7, 2, 7]), BadPack { at: 4, what: Wrong::Count });
-    assert_eq!(told(&[0x81, 0, 0, 1, 0, 2, 7]), BadPack { at: 3, what: Wrong::Number });
-    assert_eq!(told(&[1, 0, 1, 0, 7, 7]), BadPack { at: 7, what: Wrong::Kind(7) });
-    assert_eq!(told(&[1, 0, 1, 0, 2, 7, 0]), BadPack { at: 9, what: Wrong::Rest });
-    assert_eq!(told(&[1, 0, 1, 0, 0, 1, 2]), BadPack { at: 10, what: Wrong::Short });
-    assert_eq!(told(&[1, 0, 1, 0, 4, 1, 1, 0xff]), BadPack { at: 9, what: Wrong::Name });
-    assert!(matches!(told(&[1, 0, 1, 0, 3, 2, b'{', b'}']), BadPack { at: 8, what: Wrong::Scope(_) }));
+    assert_eq!(told(&[9, 0, 1, 0]), PackError { at: 3, kind: PackErrorKind::InvalidCount });
+    assert_eq!(told(&[1, 0, 2, 0, 2, 7, 2, 7]), PackError { at: 4, kind: PackErrorKind::InvalidCount });
+    assert_eq!(told(&[0x81, 0, 0, 1, 0, 2, 7]), PackError { at: 3, kind: PackErrorKind::InvalidNumber });
+    assert_eq!(told(&[1, 0, 1, 0, 7, 7]), PackError { at: 7, kind: PackErrorKind::UnknownKind(7) });
+    assert_eq!(told(&[1, 0, 1, 0, 2, 7, 0]), PackError { at: 9, kind: PackErrorKind::TrailingBytes });
+    assert_eq!(told(&[1, 0, 1, 0, 0, 1, 2]), PackError { at: 10, kind: PackErrorKind::Truncated });
+    assert_eq!(told(&[1, 0, 1, 0, 4, 1, 1, 0xff]), PackError { at: 9, kind: PackErrorKind::InvalidName });
+    assert!(matches!(
+        told(&[1, 0, 1, 0, 3, 2, b'{', b'}']),
+        PackError { at: 8, kind: PackErrorKind::InvalidScope(_) }
+    ));
     let mut other = encode(&[]);
     other[2] = 2;
     assert_eq!(decode(&sealed(other)).unwrap_err().to_string(), "pack, byte 2: version 2 is not known, 1 is");
-    assert_eq!(decode(b"{}").unwrap_err(), BadPack { at: 0, what: Wrong::Form });
-    assert_eq!(decode(b"hp\x01").unwrap_err(), BadPack { at: 3, what: Wrong::Short });
-    assert_eq!(decode(&vec![0; LONGEST_PACK + 1]).unwrap_err().what, Wrong::TooLong);
-    assert_eq!(from_text("aGkx*").unwrap_err(), BadPack { at: 4, what: Wrong::Text });
-    assert_eq!(from_text(&"A".repeat(LONGEST_PACK / 3 * 4 + 8)).unwrap_err().what, Wrong::TooLong);
+    assert_eq!(decode(b"{}").unwrap_err(), PackError { at: 0, kind: PackErrorKind::NotAPack });
+    assert_eq!(decode(b"hp\x01").unwrap_err(), PackError { at: 3, kind: PackErrorKind::Truncated });
+    assert_eq!(decode(&vec![0; MAX_PACK_BYTES + 1]).unwrap_err().kind, PackErrorKind::TooLong);
+    assert_eq!(from_base64("aGkx*").unwrap_err(), PackError { at: 4, kind: PackErrorKind::InvalidBase64 });
+    assert_eq!(
+        from_base64(&"A".repeat(MAX_PACK_BYTES / 3 * 4 + 8)).unwrap_err().kind,
+        PackErrorKind::TooLong
+    );
 }
 
 /// What says that it has a great many items in few bytes makes no room for them.
 #[test]
 fn a_pack_that_says_much_in_few_bytes_is_refused_at_once() {
     let mut bytes = b"hp\x01".to_vec();
-    let many = MOST_ITEMS as u64 + 1;
+    let many = MAX_ITEMS as u64 + 1;
     bytes.extend((0..3).map(|n| (many >> (7 * n)) as u8 | if n < 2 { 0x80 } else { 0 }));
-    bytes.extend(vec![0; 4 * MOST_ITEMS]);
-    assert_eq!(decode(&sealed(bytes)).unwrap_err(), BadPack { at: 3, what: Wrong::Count });
+    bytes.extend(vec![0; 4 * MAX_ITEMS]);
+    assert_eq!(decode(&sealed(bytes)).unwrap_err(), PackError { at: 3, kind: PackErrorKind::InvalidCount });
 }
 
 /// An hour at 12 a second; half of them by object, the rest by prefix, tag, group, pattern and part.
@@ -211,7 +218,12 @@
             18 => Scope::Part { object: id, part: n as u32 % 40 },
             _ => Scope::Glob(format!("{}*{}", &id[..4], &id[12..])),
         };
-        hour.push(PackedItem { number: 1_000_000 + n, term: 17, at_ms, what: PackedWhat::Purge(scope) });
+        hour.push(PackedItem {
+            number: 1_000_000 + n,
+            term: 17,
+            at_ms,
+            payload: PackedPayload::Purge(scope),
+        });
     }
     hour
 }
@@ -220,10 +232,10 @@
 fn lines(hour: &[PackedItem]) -> usize {
     let mut bytes = 0;
     for item in hour {
-        let PackedWhat::Purge(scope) = &item.what else { continue };
+        let PackedPayload::Purge(scope) = &item.payload else { continue };
         let key = format!("case-{}-corrected", item.number);
-        let what = What::Purge { scope: scope.clone(), tenant: item.number as u32 % 50, key };
-        let item = Item { number: item.number, term: item.term, at_ms: item.at_ms, what };
+        let what = Payload::Purge { scope: scope.clone(), tenant: item.number as u32 % 50, key };
+        let item = Item { number: item.number, term: item.term, at_ms: item.at_ms, payload: what };
         bytes += serde_json::to_vec(&item).unwrap().len() + 1;
     }
     bytes
@@ -240,7 +252,7 @@
         assert_eq!(decode(&bytes).as_ref(), Ok(&hour));
         let decoded = begun.elapsed();
         let each = bytes.len() as f64 / hour.len() as f64;
-        let (text, lines) = (to_text(&bytes).len(), lines(&hour));
+        let (text, lines) = (to_base64(&bytes).len(), lines(&hour));
         println!(
             "mixed {mixed}: {} bytes, {text} as text, {lines} as lines; {encoded:?} to write, {decoded:?} to read",
             bytes.len()
@@ -253,18 +265,18 @@
 /// Few items stand in a line one by one, many as one text; both read back as they were, without what concerns the service.
 #[test]
 fn a_line_of_many_items_is_one_text_and_reads_back() {
-    use harestage_purge::lines::{ToMember, line};
-    use harestage_purge::order::{Item, What};
+    use harestage_purge::messages::{ToMember, to_line};
+    use harestage_purge::sequencer::{Item, Payload};
     let what = |n: u64| match n % 7 {
-        0 => What::fenced(["a".to_string()].into()),
-        1 => What::freed(["a".to_string(), "b".to_string()].into()),
-        2 => What::Purge { scope: Scope::Glob(format!("{n:x}*")), tenant: 0, key: String::new() },
-        _ => What::Purge { scope: Scope::Object(format!("{n:016x}")), tenant: 0, key: String::new() },
+        0 => Payload::fenced(["a".to_string()].into()),
+        1 => Payload::freed(["a".to_string(), "b".to_string()].into()),
+        2 => Payload::Purge { scope: Scope::Glob(format!("{n:x}*")), tenant: 0, key: String::new() },
+        _ => Payload::Purge { scope: Scope::Object(format!("{n:016x}")), tenant: 0, key: String::new() },
     };
-    let item = |n: u64| Item { number: 5 + n, term: 3, at_ms: 1_764_000_000_000 + n * 83, what: what(n) };
+    let item = |n: u64| Item { number: 5 + n, term: 3, at_ms: 1_764_000_000_000 + n * 83, payload: what(n) };
     for many in [0, 1, 31, 32, 512] {
         let told = ToMember::Items { term: 4, items: (0..many).map(item).collect() };
-        let text = line(&told);
+        let text = to_line(&told);
         let read: ToMember = serde_json::from_slice(&text).expect("it reads back");
         assert_eq!(read, told, "{many}");
         assert!(many < 32 || text.len() < many as usize * 40, "{many}: {} bytes", text.len());
--- a/crates/purge/tests/resident.rs
+++ b/crates/purge/tests/resident.rs
@@ -2,7 +2,7 @@
 //! that it builds, so that nothing is taken from memory that was given back.
 use harestage::time::{Moment, Span};
 use harestage_purge::index::Index;
-use harestage_purge::scope::{Facts, Scope};
+use harestage_purge::scope::{CopyAttributes, Scope};
 
 /// Bytes that this process has in memory.
 fn resident() -> usize {
@@ -38,12 +38,12 @@
         let mut index = Index::new(1 << 20, Span::millis(1 << 40));
         for n in 0..many {
             let at = Moment::at_micros(1_000_000_000 + n * 1_000_000 / 12);
-            index.enter(&scope(n).checked().unwrap(), at, at);
+            index.insert(&scope(n).compile().unwrap(), at, at);
         }
         // Every pattern is tried on a name, and takes what that takes.
         for n in (0..many).take(5_000) {
             let name = format!("case/{n}/clip.mp4");
-            index.from_when(&Facts {
+            index.newest_purge(&CopyAttributes {
                 object: spread(n),
                 part: 0,
                 group: Some(1),
@@ -51,8 +51,8 @@
                 tags: Some(&[]),
             });
         }
-        assert_eq!(index.folded(), 0, "{kind}");
-        let (told, taken) = (index.bytes(), resident() - before);
+        assert_eq!(index.total_folds(), 0, "{kind}");
+        let (told, taken) = (index.estimated_bytes(), resident() - before);
         let share = told as f64 / taken as f64;
         println!("{kind}: {many} are told to take {told} bytes, and take {taken}: {share:.2}");
         assert!((1.0 / 1.5..1.5).contains(&share), "{kind}: {told} bytes told, {taken} taken");
--- a/crates/purge/tests/service.rs
+++ b/crates/purge/tests/service.rs
@@ -2,21 +2,21 @@
 //! members that fall silent, restart or come back, a service that dies between writing, answering and telling. What holds
 //! throughout: once a purge is reported, nobody who may be asked takes a copy older than it from anyone.
 use harestage::time::Moment;
-use harestage_purge::follow::{Act, Follower};
-use harestage_purge::lines::{Confirm, Past, ToMember};
-use harestage_purge::order::{Entry, Heard, Item, Limit, Place, What};
-use harestage_purge::scope::{Checked, Scope};
-use harestage_purge::service::{Effect, Missing, Service};
+use harestage_purge::follower::{Action, Follower};
+use harestage_purge::messages::{Ack, Past, ToMember};
+use harestage_purge::scope::{CompiledScope, Scope};
+use harestage_purge::sequencer::{Delivery, Item, LogEntry, LogPosition, Payload, RateLimit};
+use harestage_purge::service::{CatchUp, Effect, Service};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-const LIMIT: Limit = Limit { rate: 1e6, burst: 1e6 };
+const LIMIT: RateLimit = RateLimit { rate: 1e6, burst: 1e6 };
 
 /// A member: a cache that keeps to what it was told, and takes copies from others.
 #[derive(Clone, Default)]
 struct Member {
     start: u64,
-    place: Place,
+    place: LogPosition,
     told_all: bool,
     applied: BTreeSet<u64>,
     fenced: BTreeSet<String>,
@@ -26,29 +26,29 @@
 impl Member {
     /// `term`: of the service that tells it, which may be younger than the one that gave it its number.
     fn apply(&mut self, item: &Item, term: u64) {
-        if self.place.hear(term, item.number) == Heard::Next {
+        if self.place.advance(term, item.number) == Delivery::Next {
             self.take(item);
         }
     }
 
     fn take(&mut self, item: &Item) {
         self.applied.insert(item.number);
-        item.what.keep_up(&mut self.fenced);
+        item.payload.apply_to_fenced(&mut self.fenced);
     }
 
-    fn learn(&mut self, missing: &Missing, term: u64) {
+    fn learn(&mut self, missing: &CatchUp, term: u64) {
         match missing {
-            Missing::Items(items) => items.iter().for_each(|item| self.apply(item, term)),
-            Missing::All { after, upto, fenced, items, .. } if term >= self.place.term => {
+            CatchUp::Delta(items) => items.iter().for_each(|item| self.apply(item, term)),
+            CatchUp::Snapshot { after, upto, fenced, items, .. } if term >= self.place.term => {
                 self.fenced.clear();
-                self.place = Place { term, number: *after };
+                self.place = LogPosition { term, number: *after };
                 items.iter().for_each(|item| self.apply(item, term));
                 self.fenced.extend(fenced.iter().cloned());
                 // All at once: no list here is longer than a piece.
                 assert_eq!(self.place.number, *upto);
                 self.told_all = true;
             }
-            Missing::All { .. } => {}
+            CatchUp::Snapshot { .. } => {}
         }
     }
 }
@@ -58,7 +58,7 @@
     drawn: u64,
     now: u64,
     service: Option<Service>,
-    log: Vec<Entry>,
+    log: Vec<LogEntry>,
     members: BTreeMap<String, Member>,
     /// When each report was given.
     reported: BTreeMap<u64, u64>,
@@ -106,7 +106,7 @@
             }
             match effect {
                 Effect::Write(entry) => self.log.push(entry),
-                Effect::Tell(item) => {
+                Effect::Broadcast(item) => {
                     let names: Vec<String> = self.members.keys().cloned().collect();
                     for name in names {
                         // Lost to one in five, and to those that are silent.
@@ -134,18 +134,20 @@
     fn check(&self) {
         let Some(service) = &self.service else { return };
         for number in self.reported.keys() {
-            let usable =
-                |name: &&String| !service.members().is_fenced(name) && service.members().of(name).is_some();
+            let usable = |name: &&String| {
+                !service.members().is_fenced(name) && service.members().progress(name).is_some()
+            };
             for (name, reader) in self.members.iter().filter(|(name, _)| usable(name)) {
                 if !reader.told_all
-                    || service.members().of(name).map(|(start, _)| start) != Some(reader.start)
+                    || service.members().progress(name).map(|(start, _)| start) != Some(reader.start)
                 {
                     // A new process takes nothing from anyone before it was told all.
                     continue;
                 }
                 assert!(reader.applied.contains(number), "{}: {name} is used and lacks {number}", self.seed);
                 for (other, source) in &self.members {
-                    let lacks = !source.applied.contains(number) && service.members().of(other).is_some();
+                    let lacks =
+                        !source.applied.contains(number) && service.members().progress(other).is_some();
                     let taken = !reader.fenced.contains(other) && source.told_all;
                     assert!(
                         !(lacks && taken),
@@ -163,7 +165,7 @@
         let Some(service) = &mut self.service else { return };
         let has = member.place.number;
         let said = said(name, member.start, has, member.told_all);
-        let (missing, effects) = service.confirm(&said, now).expect("no process comes back");
+        let (missing, effects) = service.on_ack(&said, now).expect("no process comes back");
         let term = service.term();
         if self.carry_out(effects) || lost {
             return;
@@ -219,19 +221,25 @@
         }
         let now = at(self.now);
         if let Some(service) = &mut self.service {
-            let effects = service.beat(now);
+            let effects = service.tick(now);
             self.carry_out(effects);
         }
     }
 }
 
-fn said(member: &str, start: u64, has: u64, told_all: bool) -> Confirm {
-    Confirm { member: member.into(), start, has, told_all, past: Past::default() }
+fn said(member: &str, start: u64, has: u64, told_all: bool) -> Ack {
+    Ack {
+        member: member.into(),
+        incarnation: start,
+        applied: has,
+        bootstrapped: told_all,
+        past: Past::default(),
+    }
 }
 
 /// A confirmation that is taken, and its effects.
-fn confirm(service: &mut Service, member: &str, has: u64, told_all: bool, ms: u64) -> (Missing, Vec<Effect>) {
-    service.confirm(&said(member, 1, has, told_all), at(ms)).expect("it is taken")
+fn confirm(service: &mut Service, member: &str, has: u64, told_all: bool, ms: u64) -> (CatchUp, Vec<Effect>) {
+    service.on_ack(&said(member, 1, has, told_all), at(ms)).expect("it is taken")
 }
 
 fn at(ms: u64) -> Moment {
@@ -255,14 +263,14 @@
             let names: Vec<String> = world.members.keys().cloned().collect();
             names.iter().for_each(|name| world.confirm(name));
             let now = at(world.now);
-            let effects = world.service.as_mut().map(|service| service.beat(now)).unwrap_or_default();
+            let effects = world.service.as_mut().map(|service| service.tick(now)).unwrap_or_default();
             world.carry_out(effects);
         }
         let service = world.service.as_ref().unwrap();
-        assert_eq!(service.open_purges(), 0, "{seed}: all are reported in the end");
+        assert_eq!(service.pending_purges(), 0, "{seed}: all are reported in the end");
         assert_eq!(service.members().fenced().count(), 0, "{seed}: nobody is fenced for ever");
         for number in &world.acknowledged {
-            let kept = world.log.iter().any(|e| matches!(e, Entry::Item(item) if item.number == *number));
+            let kept = world.log.iter().any(|e| matches!(e, LogEntry::Item(item) if item.number == *number));
             assert!(kept, "{seed}: {number} was acknowledged and is not in the log");
         }
         (purges, reports) = (purges + world.acknowledged.len(), reports + world.reported.len());
@@ -278,12 +286,14 @@
     let last = service.last();
     ["a", "b", "c"].iter().for_each(|m| drop(confirm(&mut service, m, last, true, 10)));
     let (number, promise, effects) = service.submit(Scope::Group(1), 0, "k", at(10_000)).unwrap();
-    assert!(matches!(effects[..], [Effect::Write(_), Effect::Tell(_)]), "{effects:?}");
+    assert!(matches!(effects[..], [Effect::Write(_), Effect::Broadcast(_)]), "{effects:?}");
     assert_eq!(promise.within_ms, 1_000);
     confirm(&mut service, "a", number, true, 10_005);
     confirm(&mut service, "b", number, true, 10_006);
-    let fenced = service.beat(at(10_260));
-    let tells = fenced.iter().filter(|e| matches!(e, Effect::Tell(Item { what: What::Fenced { .. }, .. })));
+    let fenced = service.tick(at(10_260));
+    let tells = fenced
+        .iter()
+        .filter(|e| matches!(e, Effect::Broadcast(Item { payload: Payload::Fenced { .. }, .. })));
     assert_eq!(tells.count(), 1);
     let fence = service.last();
     let report = |effects: Vec<Effect>| {
@@ -303,7 +313,7 @@
 fn a_purge_asked_of_a_service_that_has_just_taken_over_waits_for_members_to_find_it() {
     for silent in [false, true] {
         let (mut service, effects) = Service::open(&[], LIMIT, at(0));
-        let mut log: Vec<Entry> = effects.into_iter().filter_map(written).collect();
+        let mut log: Vec<LogEntry> = effects.into_iter().filter_map(written).collect();
         for member in ["a", "b"] {
             let (_, effects) = confirm(&mut service, member, 0, true, 1);
             log.extend(effects.into_iter().filter_map(written));
@@ -313,12 +323,13 @@
         let (number, promise, _) = next.submit(Scope::Group(1), 0, "k", at(10_020)).unwrap();
         assert_eq!(promise.within_ms, 1_480);
         for ms in (10_040..10_700).step_by(20) {
-            assert_eq!(next.beat(at(ms)), Vec::new(), "nobody is fenced after {ms}");
+            assert_eq!(next.tick(at(ms)), Vec::new(), "nobody is fenced after {ms}");
         }
         confirm(&mut next, "a", number, true, 10_700);
         if silent {
-            let is_fence = |e: &Effect| matches!(e, Effect::Tell(Item { what: What::Fenced { .. }, .. }));
-            assert_eq!(next.beat(at(10_760)).iter().filter(|e| is_fence(e)).count(), 1);
+            let is_fence =
+                |e: &Effect| matches!(e, Effect::Broadcast(Item { payload: Payload::Fenced { .. }, .. }));
+            assert_eq!(next.tick(at(10_760)).iter().filter(|e| is_fence(e)).count(), 1);
             continue;
         }
         let (_, effects) = confirm(&mut next, "b", number, true, 10_720);
@@ -341,9 +352,9 @@
     ["a", "x"].iter().for_each(|m| drop(confirm(&mut service, m, number, true, 20)));
     let reports = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::Report(_))).count();
     // m is fenced, and a has heard of it; then x is, which had not heard of that.
-    assert_eq!(reports(&service.beat(at(270))), 0);
+    assert_eq!(reports(&service.tick(at(270))), 0);
     assert_eq!(reports(&confirm(&mut service, "a", number + 1, true, 280).1), 0);
-    assert_eq!(reports(&service.beat(at(540))), 0, "a may take from x, and x from m");
+    assert_eq!(reports(&service.tick(at(540))), 0, "a may take from x, and x from m");
     let last = service.last();
     assert_eq!(reports(&confirm(&mut service, "a", last, true, 550).1), 1);
 }
@@ -353,7 +364,7 @@
 fn a_service_killed_at_any_effect_loses_no_purge_and_doubles_none() {
     for cut in 0..3 {
         let (mut service, effects) = Service::open(&[], LIMIT, at(0));
-        let mut log: Vec<Entry> = effects.into_iter().filter_map(written).collect();
+        let mut log: Vec<LogEntry> = effects.into_iter().filter_map(written).collect();
         let (_, effects) = confirm(&mut service, "a", 0, true, 1);
         log.extend(effects.into_iter().filter_map(written));
         let (number, _, effects) = service.submit(Scope::Group(9), 4, "case-17", at(2)).unwrap();
@@ -363,8 +374,8 @@
         assert_eq!(again, number, "cut at {cut}");
         assert_eq!(effects.is_empty(), cut > 0, "cut at {cut}: asked again, it is the same purge");
         let (missing, _) = confirm(&mut next, "a", 0, true, 70);
-        let Missing::Items(items) = missing else { panic!("cut at {cut}") };
-        let purges = items.iter().filter(|item| matches!(item.what, What::Purge { .. })).count();
+        let CatchUp::Delta(items) = missing else { panic!("cut at {cut}") };
+        let purges = items.iter().filter(|item| matches!(item.payload, Payload::Purge { .. })).count();
         assert_eq!(purges, 1, "cut at {cut}");
     }
 }
@@ -374,8 +385,8 @@
 #[test]
 fn what_the_leader_writes_counts_behind_a_log_that_a_follower_wrote_whole() {
     let (mut leader, effects) = Service::open(&[], LIMIT, at(0));
-    let mut log: Vec<Entry> = effects.into_iter().filter_map(written).collect();
-    let step = |leader: &mut Service, log: &mut Vec<Entry>, n: u32| {
+    let mut log: Vec<LogEntry> = effects.into_iter().filter_map(written).collect();
+    let step = |leader: &mut Service, log: &mut Vec<LogEntry>, n: u32| {
         let ms = u64::from(n) * 100;
         let (number, _, effects) =
             leader.submit(Scope::Group(n), 0, &n.to_string(), at(ms)).expect("it is taken");
@@ -386,18 +397,19 @@
     (1..=3).for_each(|n| step(&mut leader, &mut log, n));
     // Twice in one term of the leader.
     for n in [4, 8] {
-        log = Service::shortened(&log, LIMIT, at(5_000));
+        log = Service::compacted(&log, LIMIT, at(5_000));
         (n..n + 4).for_each(|n| step(&mut leader, &mut log, n));
     }
     let (next, _) = Service::open(&log, LIMIT, at(6_000));
     assert_eq!((next.last(), leader.last()), (11, 11));
-    assert_eq!((next.open_purges(), next.term()), (0, leader.term() + 1));
-    let items =
-        |service: &Service| service.live_after(0, 100).into_iter().map(|item| item.what).collect::<Vec<_>>();
+    assert_eq!((next.pending_purges(), next.term()), (0, leader.term() + 1));
+    let items = |service: &Service| {
+        service.purges_after(0, 100).into_iter().map(|item| item.payload).collect::<Vec<_>>()
+    };
     assert_eq!(items(&next), items(&leader));
 }
 
-fn written(effect: Effect) -> Option<Entry> {
+fn written(effect: Effect) -> Option<LogEntry> {
     match effect {
         Effect::Write(entry) => Some(entry),
         _ => None,
@@ -417,38 +429,39 @@
     for n in 0..20u32 {
         service.submit(Scope::Group(n), 0, &format!("{n}"), at(1_000 + u64::from(n) * 100)).unwrap();
     }
-    service.beat(at(3_500));
+    service.tick(at(3_500));
     let last = service.last();
     assert!(service.forget_before(2_000, at(3_500)).is_empty(), "not while a purge is open");
     confirm(&mut service, "a", last, true, 3_500);
     let last = service.last();
     confirm(&mut service, "a", last, true, 3_510);
-    assert_eq!(service.open_purges(), 0);
+    assert_eq!(service.pending_purges(), 0);
     // It has caught up, and others hear of that a second after the last fence.
-    let freed = service.beat(at(4_500));
-    let of_a =
-        |e: &Effect| matches!(e, Effect::Tell(Item { what: What::Freed { member }, .. }) if member == "a");
+    let freed = service.tick(at(4_500));
+    let of_a = |e: &Effect| matches!(e, Effect::Broadcast(Item { payload: Payload::Freed { member }, .. }) if member == "a");
     assert!(freed.iter().any(of_a), "{freed:?}");
     let last = service.last();
     confirm(&mut service, "a", last, true, 4_510);
     let told = service.forget_before(3_600, at(9_000));
-    assert!(
-        told.iter()
-            .any(|e| matches!(e, Effect::Tell(Item { what: What::Fenced { member }, .. }) if member == "b"))
-    );
+    assert!(told.iter().any(
+        |e| matches!(e, Effect::Broadcast(Item { payload: Payload::Fenced { member }, .. }) if member == "b")
+    ));
     let (missing, _) = confirm(&mut service, "c", 0, false, 9_100);
-    let Missing::All { after, items, upto, forgotten_ms, fenced } = missing else { panic!("{missing:?}") };
+    let CatchUp::Snapshot { after, items, upto, forgotten_ms, fenced } = missing else {
+        panic!("{missing:?}")
+    };
     assert!(forgotten_ms >= 2_900 && upto == service.last(), "{forgotten_ms}");
-    assert!(items.iter().any(|item| matches!(&item.what, What::Fenced { member } if member == "b")));
-    let (again, _) = Service::open(&service.whole(), LIMIT, at(9_200));
+    assert!(items.iter().any(|item| matches!(&item.payload, Payload::Fenced { member } if member == "b")));
+    let (again, _) = Service::open(&service.snapshot(), LIMIT, at(9_200));
     assert_eq!((again.last(), again.term()), (service.last(), service.term() + 1));
     assert!(again.members().is_fenced("b") && !again.members().is_fenced("a"));
-    assert_eq!(again.open_purges(), 0);
+    assert_eq!(again.pending_purges(), 0);
     // A hub that had been away: everything as old as what was forgotten goes.
     let mut follower = Follower::new("d", 7);
-    let acts = follower.hear(ToMember::All { term: 1, after, upto, forgotten_ms, fenced, items }).unwrap();
-    let Act::Purge { scope: Checked::Everything, at: bound } = &acts[0] else { panic!("{acts:?}") };
+    let acts =
+        follower.handle(ToMember::Snapshot { term: 1, after, upto, forgotten_ms, fenced, items }).unwrap();
+    let Action::Purge { scope: CompiledScope::Everything, at: bound } = &acts[0] else { panic!("{acts:?}") };
     assert_eq!(bound.micros(), forgotten_ms * 1_000);
-    let Some(Act::Fences(fenced)) = acts.last() else { panic!("{acts:?}") };
+    let Some(Action::SetFenced(fenced)) = acts.last() else { panic!("{acts:?}") };
     assert!(fenced.contains("b"));
 }
--- a/crates/purge/tests/storms.rs
+++ b/crates/purge/tests/storms.rs
@@ -1,14 +1,14 @@
 //! Members whose machines are busy: what is told of fences costs each of them time, by the names that it holds, and while they
 //! take it in they fall behind with everything else. What is told about a storm must not keep the storm up.
 use harestage::time::Moment;
-use harestage_purge::lines::{Confirm, Past};
-use harestage_purge::order::{Item, Limit, What};
+use harestage_purge::messages::{Ack, Past};
 use harestage_purge::scope::Scope;
+use harestage_purge::sequencer::{Item, Payload, RateLimit};
 use harestage_purge::service::{Effect, Service};
 use std::collections::{BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-const LIMIT: Limit = Limit { rate: 1e6, burst: 1e6 };
+const LIMIT: RateLimit = RateLimit { rate: 1e6, burst: 1e6 };
 /// Machines, and members on each, which it serves one after the other.
 const MACHINES: usize = 4;
 const MEMBERS: usize = 60;
@@ -74,11 +74,11 @@
     a_name: u64,
 }
 
-fn names(what: &What) -> usize {
+fn names(what: &Payload) -> usize {
     match what {
-        What::Purge { .. } => 0,
-        What::Fenced { .. } | What::Freed { .. } => 1,
-        What::FencedMany { members } | What::FreedMany { members } => members.len(),
+        Payload::Purge { .. } => 0,
+        Payload::Fenced { .. } | Payload::Freed { .. } => 1,
+        Payload::FencedMany { members } | Payload::FreedMany { members } => members.len(),
     }
 }
 
@@ -110,9 +110,9 @@
 
     fn tell(&mut self, effects: Vec<Effect>) {
         for effect in effects {
-            let Effect::Tell(Item { number, what, .. }) = effect else { continue };
+            let Effect::Broadcast(Item { number, payload: what, .. }) = effect else { continue };
             let longest = self.list.len();
-            let changed = what.keep_up(&mut self.list);
+            let changed = what.apply_to_fenced(&mut self.list);
             let on_it = if changed { longest.max(self.list.len()) } else { 0 };
             let cost = self.an_item + self.a_name * on_it as u64;
             self.names += names(&what);
@@ -124,8 +124,8 @@
 
     fn confirm(&mut self, machine: usize, member: usize, has: u64) {
         let member = format!("member-{machine}-{member}");
-        let said = Confirm { member, start: 1, has, told_all: true, past: Past::default() };
-        let (_, effects) = self.service.confirm(&said, self.at()).expect("it is taken");
+        let said = Ack { member, incarnation: 1, applied: has, bootstrapped: true, past: Past::default() };
+        let (_, effects) = self.service.on_ack(&said, self.at()).expect("it is taken");
         self.tell(effects);
     }
 
@@ -146,7 +146,7 @@
                 self.purge();
             }
             if self.now % 20_000 < STEP_US {
-                let effects = self.service.beat(self.at());
+                let effects = self.service.tick(self.at());
                 self.tell(effects);
             }
             for machine in (0..MACHINES).filter(|machine| works(*machine)) {
--- a/crates/purger/src/below.rs
+++ b/crates/purger/src/below.rs
@@ -2,8 +2,8 @@
 //! and each gatherer serve their members by it.
 use async_io::Timer;
 use futures_lite::future::or;
-use harestage_purge::kept::PIECE;
-use harestage_purge::lines::{Confirm, ToMember};
+use harestage_purge::messages::{Ack, ToMember};
+use harestage_purge::retained::MAX_BATCH_ITEMS;
 use harestage_seats::host::{LOOK, STALL, say};
 use harestage_sockets::lines::{Lines, within};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 /// Whoever tells members: what it says, and when it may.
 pub trait Teller {
     /// What a member's word is answered with. None: another one has to be asked.
-    fn answer(&self, said: &Confirm) -> impl Future<Output = Option<ToMember>>;
+    fn answer(&self, said: &Ack) -> impl Future<Output = Option<ToMember>>;
 
     /// Where to ask else.
     fn elsewhere(&self) -> ToMember;
@@ -41,17 +41,19 @@
 /// Up to which number a member has been told, and whether the piece was full: then it has to say first that it has it.
 fn upto(told: &ToMember, had: u64) -> (u64, bool) {
     match told {
-        ToMember::Items { items, .. } => (items.last().map_or(had, |item| item.number), items.len() >= PIECE),
-        ToMember::All { after, items, .. } => {
-            (items.last().map_or(*after, |item| item.number), items.len() >= PIECE)
+        ToMember::Items { items, .. } => {
+            (items.last().map_or(had, |item| item.number), items.len() >= MAX_BATCH_ITEMS)
+        }
+        ToMember::Snapshot { after, items, .. } => {
+            (items.last().map_or(*after, |item| item.number), items.len() >= MAX_BATCH_ITEMS)
         }
         _ => (had, true),
     }
 }
 
 /// Serves a member from its first word on, to the end of its connection.
-pub async fn serve(teller: &impl Teller, lines: &mut Lines<'_>, first: Confirm) -> Result<(), String> {
-    if !first.is_named_well() {
+pub async fn serve(teller: &impl Teller, lines: &mut Lines<'_>, first: Ack) -> Result<(), String> {
+    if !first.has_valid_name() {
         return Err("a member of no usable name".into());
     }
     let (name, stream) = (first.member.clone(), lines.stream());
@@ -62,14 +64,15 @@
             return Err(format!("{name} calls itself {}", next.member));
         }
         let Some(answer) = teller.answer(&next).await else { return say(stream, &teller.elsewhere()).await };
-        if told.0 != next.start {
-            told = (next.start, 0);
+        if told.0 != next.incarnation {
+            told = (next.incarnation, 0);
         }
         let answer = untold(answer, told.1);
-        let (has, is_full) = upto(&answer, next.has.max(told.1));
+        let (has, is_full) = upto(&answer, next.applied.max(told.1));
         told.1 = has;
         // Whoever was not told all yet waits for its own turn, and is told nothing else.
-        let waits = is_full || !next.told_all && matches!(answer, ToMember::Items { .. }) && next.has == 0;
+        let waits =
+            is_full || !next.bootstrapped && matches!(answer, ToMember::Items { .. }) && next.applied == 0;
         say(stream, &answer).await?;
         // What is new is told without being asked; the next line comes in its time.
         let heard = async { Some(lines.next().await) };
--- a/crates/purger/src/gather.rs
+++ b/crates/purger/src/gather.rs
@@ -7,8 +7,8 @@
 use event_listener::Event;
 use futures_lite::future::or;
 use harestage_following::{Line, subscribe};
-use harestage_purge::gather::{Gatherer, PACE, Refused};
-use harestage_purge::lines::{Confirm, ToMember, line};
+use harestage_purge::gather::{GatherError, Gatherer, MIN_REPORT_INTERVAL};
+use harestage_purge::messages::{Ack, ToMember, to_line};
 use harestage_seats::host::{STALL, say};
 use harestage_seats::until;
 use harestage_sockets::accept::{Open, accept};
@@ -69,7 +69,7 @@
 impl SiteGatherer {
     /// Takes the address; an error is one line, and nothing listens then.
     pub fn bind(start: GatherStart) -> Result<SiteGatherer, String> {
-        if !harestage_purge::lines::is_name(&start.name) {
+        if !harestage_purge::messages::is_valid_name(&start.name) {
             return Err(format!(
                 "key name: {:?} is not a name of letters, digits, dots and dashes",
                 start.name
@@ -143,10 +143,10 @@
     let at = leader.next();
     // Where it breaks without a word of who speaks, the next one is tried.
     leader.missed();
-    site.gatherer.borrow_mut().connected();
-    let first = site.gatherer.borrow_mut().line(site.clock.now());
+    site.gatherer.borrow_mut().on_connected();
+    let first = site.gatherer.borrow_mut().next_report(site.clock.now());
     let first = first.ok_or("nothing to say at first")?;
-    let stream = subscribe(at, &line(&first), terms().connect).await?;
+    let stream = subscribe(at, &to_line(&first), terms().connect).await?;
     or(hear(site, &stream, at, leader, down), speak(site, &stream)).await
 }
 
@@ -163,12 +163,12 @@
         let told = within(terms().silence, "silent", lines.next()).await?;
         let told: ToMember =
             serde_json::from_slice(&told).map_err(|why| format!("an unreadable line: {why}"))?;
-        if let ToMember::Elsewhere { serves } = &told {
+        if let ToMember::NotLeader { leader: serves } = &told {
             leader.elsewhere(serves.as_deref());
             return Err("this member does not speak".into());
         }
         let before = site.gatherer.borrow().last();
-        let heard = site.gatherer.borrow_mut().hear(told, site.clock.now());
+        let heard = site.gatherer.borrow_mut().handle(told, site.clock.now());
         heard.map_err(|why| format!("{why:?}"))?;
         if !std::mem::replace(&mut up, true) {
             leader.found(at);
@@ -184,16 +184,16 @@
 
 async fn speak(site: &Site, stream: &Stream) -> Result<(), String> {
     loop {
-        let due = site.gatherer.borrow_mut().line(site.clock.now());
+        let due = site.gatherer.borrow_mut().next_report(site.clock.now());
         match due {
             Some(due) => {
-                write_text(stream, &line(&due), STALL).await?;
-                Timer::after(PACE.into()).await;
+                write_text(stream, &to_line(&due), STALL).await?;
+                Timer::after(MIN_REPORT_INTERVAL.into()).await;
             }
             None => {
                 until(&site.said, IDLE).await;
                 // What others say in the same moment goes up in the same line.
-                Timer::after(Duration::from(PACE) / 3).await;
+                Timer::after(Duration::from(MIN_REPORT_INTERVAL) / 3).await;
             }
         }
     }
@@ -202,13 +202,13 @@
 async fn member(site: &Site, stream: &Stream) -> Result<(), String> {
     let mut lines = Lines::new(stream, LONGEST_LINE);
     let first = within(STALL, "too slow", lines.next()).await?;
-    let Ok(first) = serde_json::from_slice::<Confirm>(&first) else {
-        return say(stream, &ToMember::Elsewhere { serves: None }).await;
+    let Ok(first) = serde_json::from_slice::<Ack>(&first) else {
+        return say(stream, &ToMember::NotLeader { leader: None }).await;
     };
-    let below = Below { site, is: RefCell::new((first.member.clone(), first.start)) };
+    let below = Below { site, is: RefCell::new((first.member.clone(), first.incarnation)) };
     let done = below::serve(&below, &mut lines, first).await;
     let (name, start) = below.is.into_inner();
-    site.gatherer.borrow_mut().end(&name, start);
+    site.gatherer.borrow_mut().on_disconnect(&name, start);
     site.said.notify(usize::MAX);
     done
 }
@@ -220,14 +220,14 @@
 }
 
 impl Teller for Below<'_> {
-    async fn answer(&self, said: &Confirm) -> Option<ToMember> {
-        self.is.replace((said.member.clone(), said.start));
-        let answer = self.site.gatherer.borrow_mut().confirm(said, self.site.clock.now());
+    async fn answer(&self, said: &Ack) -> Option<ToMember> {
+        self.is.replace((said.member.clone(), said.incarnation));
+        let answer = self.site.gatherer.borrow_mut().on_ack(said, self.site.clock.now());
         self.site.said.notify(usize::MAX);
         match answer {
             Ok(told) => Some(told),
-            Err(Refused::Elsewhere) => None,
-            Err(Refused::TooMany) => {
+            Err(GatherError::NotServing) => None,
+            Err(GatherError::TooManyMembers) => {
                 warn!(self.site.log, "too many below"; "member" => &said.member);
                 None
             }
@@ -235,17 +235,17 @@
     }
 
     fn elsewhere(&self) -> ToMember {
-        ToMember::Elsewhere { serves: None }
+        ToMember::NotLeader { leader: None }
     }
 
     fn told(&self) -> Option<u64> {
         let gatherer = self.site.gatherer.borrow();
-        gatherer.speaks(self.site.clock.now()).then(|| gatherer.last())
+        gatherer.is_serving(self.site.clock.now()).then(|| gatherer.last())
     }
 
     fn after(&self, number: u64) -> Option<ToMember> {
         let (term, missing) = self.site.gatherer.borrow().after(number)?;
-        Some(ToMember::of(term, missing))
+        Some(ToMember::from_catch_up(term, missing))
     }
 
     async fn until_news(&self, at_most: Duration) {
--- a/crates/purger/src/lib.rs
+++ b/crates/purger/src/lib.rs
@@ -11,12 +11,14 @@
 use below::Teller;
 use futures_lite::future::or;
 use harestage::time::{Moment, Span};
-use harestage_purge::kept::PIECE;
-use harestage_purge::lines::{Answer, Call, Confirm, FromGatherer, Gathered, MemberStatus, Status, ToMember};
-use harestage_purge::members::Wrong;
-use harestage_purge::order::{Entry, Item, Limit};
+use harestage_purge::members::MessageError;
+use harestage_purge::messages::{
+    Ack, FromGatherer, GatheredReport, MemberStatus, Request, Response, Status, ToMember,
+};
 use harestage_purge::promise::Report;
-use harestage_purge::service::{Effect, Pushed, Service};
+use harestage_purge::retained::MAX_BATCH_ITEMS;
+use harestage_purge::sequencer::{Item, LogEntry, RateLimit};
+use harestage_purge::service::{Effect, PushState, Service};
 use harestage_seats::host::{Host, Hosted, LOOK, Listening, STALL, say};
 use harestage_seats::{Council, CouncilStart, Recent};
 use harestage_sockets::accept::Open;
@@ -45,7 +47,7 @@
 /// What is old is looked for so often.
 const LOOK_BACK: Duration = Duration::from_secs(10);
 /// Purges a second and at once that a tenant may ask for.
-const LIMIT: Limit = Limit { rate: 200.0, burst: 2_000.0 };
+const LIMIT: RateLimit = RateLimit { rate: 200.0, burst: 2_000.0 };
 
 /// What this member may tell of what the group has agreed on.
 struct Purges {
@@ -59,14 +61,14 @@
 /// A service that listens already.
 pub struct Purger(Listening<Purges>);
 
-fn read_entries(data: &[Vec<u8>]) -> Result<Vec<Entry>, String> {
+fn read_entries(data: &[Vec<u8>]) -> Result<Vec<LogEntry>, String> {
     let read = |(n, bytes): (usize, &Vec<u8>)| {
         serde_json::from_slice(bytes).map_err(|why| format!("record {n} can't be read: {why}"))
     };
     data.iter().enumerate().map(read).collect()
 }
 
-fn bytes(entry: &Entry) -> Vec<u8> {
+fn bytes(entry: &LogEntry) -> Vec<u8> {
     serde_json::to_vec(entry).unwrap_or_default()
 }
 
@@ -74,7 +76,7 @@
 fn read_old(snapshot: Option<&[u8]>, records: &[Vec<u8>]) -> Result<Vec<Vec<u8>>, String> {
     let mut data = Vec::new();
     if let Some(snapshot) = snapshot {
-        let whole: Vec<Entry> =
+        let whole: Vec<LogEntry> =
             serde_json::from_slice(snapshot).map_err(|why| format!("the snapshot can't be read: {why}"))?;
         data.extend(whole.iter().map(bytes));
     }
@@ -129,14 +131,14 @@
     fn entry(effect: &Effect) -> Option<Vec<u8>> {
         match effect {
             Effect::Write(entry) => Some(bytes(entry)),
-            Effect::Tell(_) | Effect::Report(_) => None,
+            Effect::Broadcast(_) | Effect::Report(_) => None,
         }
     }
 
     fn tell_of(host: &Keeper, effect: Effect) {
         match effect {
             Effect::Write(_) => {}
-            Effect::Tell(item) => {
+            Effect::Broadcast(item) => {
                 info!(host.log(), "told"; "number" => item.number,
                     "item" => serde_json::to_string(&item).unwrap_or_default());
                 host.hosted.told.borrow_mut().push(item.number, item);
@@ -170,7 +172,7 @@
             }
             tidy(host);
             let now = host.now();
-            let effects = host.with(|service| service.beat(now)).unwrap_or_default();
+            let effects = host.with(|service| service.tick(now)).unwrap_or_default();
             if !effects.is_empty() {
                 host.carry_out(effects);
             }
@@ -178,15 +180,17 @@
     }
 
     async fn serve(host: &Keeper, lines: &mut Lines<'_>, first: Vec<u8>) -> Result<(), String> {
-        if let Ok(confirm) = serde_json::from_slice::<Confirm>(&first) {
+        if let Ok(confirm) = serde_json::from_slice::<Ack>(&first) {
             return below::serve(&Direct(host), lines, confirm).await;
         }
         if let Ok(FromGatherer::Gathered(line)) = serde_json::from_slice(&first) {
             return gatherer(host, lines, line).await;
         }
-        match serde_json::from_slice::<Call>(&first) {
+        match serde_json::from_slice::<Request>(&first) {
             Ok(call) => client(host, lines.stream(), call).await,
-            Err(why) => say(lines.stream(), &Answer::Refused(format!("the call can't be read: {why}"))).await,
+            Err(why) => {
+                say(lines.stream(), &Response::Refused(format!("the call can't be read: {why}"))).await
+            }
         }
     }
 }
@@ -206,11 +210,11 @@
     if !host.is_settled() {
         return;
     }
-    host.council.tidy(|data| match host.while_leading(|service| service.whole()) {
+    host.council.tidy(|data| match host.while_leading(|service| service.snapshot()) {
         Some(whole) => whole.iter().map(bytes).collect(),
         // Who does not lead goes by what was agreed on.
         None => match read_entries(&data) {
-            Ok(entries) => Service::shortened(&entries, LIMIT, host.now()).iter().map(bytes).collect(),
+            Ok(entries) => Service::compacted(&entries, LIMIT, host.now()).iter().map(bytes).collect(),
             Err(_) => data,
         },
     });
@@ -220,12 +224,12 @@
 struct Direct<'a>(&'a Keeper);
 
 impl Teller for Direct<'_> {
-    async fn answer(&self, said: &Confirm) -> Option<ToMember> {
+    async fn answer(&self, said: &Ack) -> Option<ToMember> {
         let now = self.0.now();
-        let heard = self.0.with(|service| (service.term(), service.confirm(said, now)))?;
+        let heard = self.0.with(|service| (service.term(), service.on_ack(said, now)))?;
         let (term, (missing, effects)) = match heard {
             (term, Ok(heard)) => (term, heard),
-            (_, Err(Wrong::Replaced)) => return Some(ToMember::Replaced),
+            (_, Err(MessageError::Replaced)) => return Some(ToMember::Replaced),
             (_, Err(why)) => {
                 warn!(self.0.log(), "a line refused"; "member" => &said.member, "why" => format!("{why:?}"));
                 return Some(ToMember::Items { term: 0, items: Vec::new() });
@@ -235,7 +239,7 @@
             self.0.carry_out(effects);
         }
         // What the group has not agreed on yet must not be told, though the state has it already.
-        self.0.settled().await.then(|| ToMember::of(term, missing))
+        self.0.settled().await.then(|| ToMember::from_catch_up(term, missing))
     }
 
     fn elsewhere(&self) -> ToMember {
@@ -248,7 +252,7 @@
 
     fn after(&self, number: u64) -> Option<ToMember> {
         let term = self.0.with(|service| service.term())?;
-        let items = self.0.hosted.told.borrow().after(number).take(PIECE).cloned().collect();
+        let items = self.0.hosted.told.borrow().after(number).take(MAX_BATCH_ITEMS).cloned().collect();
         Some(ToMember::Items { term, items })
     }
 
@@ -258,18 +262,18 @@
 }
 
 /// A gatherer: each of its lines is heard, and what is new goes to it as it comes.
-async fn gatherer(host: &Keeper, lines: &mut Lines<'_>, first: Gathered) -> Result<(), String> {
+async fn gatherer(host: &Keeper, lines: &mut Lines<'_>, first: GatheredReport) -> Result<(), String> {
     let stream = lines.stream();
-    let (mut pushed, mut next, mut is_first) = (Pushed::default(), first, true);
+    let (mut pushed, mut next, mut is_first) = (PushState::default(), first, true);
     loop {
         let (now, may_tell) = (host.now(), host.hosted.told.borrow().last());
         let heard = host.with(|service| {
-            let (answered, effects) = service.gathered(&next, now)?;
-            Ok::<_, Wrong>((pushed.answer(service, &next, answered, may_tell), effects))
+            let (answered, effects) = service.on_gathered(&next, now)?;
+            Ok::<_, MessageError>((pushed.reply(service, &next, answered, may_tell), effects))
         });
         let (told, effects) = match heard {
             None => return say(stream, &elsewhere(host)).await,
-            Some(Err(why)) => return Err(format!("{}: a line refused: {why:?}", next.by.member)),
+            Some(Err(why)) => return Err(format!("{}: a line refused: {why:?}", next.gatherer.member)),
             Some(Ok(heard)) => heard,
         };
         // Whom it takes in, and what comes first, may be told once the group has agreed on all of it; the rest was.
@@ -286,7 +290,7 @@
         let line = loop {
             let heard = async { Some(lines.next().await) };
             let new = async {
-                while !pushed.wants(host.hosted.told.borrow().last()) && host.speaks() {
+                while !pushed.can_push(host.hosted.told.borrow().last()) && host.speaks() {
                     host.until_news(LOOK).await;
                 }
                 None
@@ -299,7 +303,7 @@
                 break line?;
             }
             let may_tell = host.hosted.told.borrow().last();
-            match host.with(|service| pushed.news(service, may_tell)) {
+            match host.with(|service| pushed.next_push(service, may_tell)) {
                 None => return say(stream, &elsewhere(host)).await,
                 Some(Some(news)) => say(stream, &news).await?,
                 Some(None) => return Err("what it lacks is forgotten: it has to begin anew".into()),
@@ -307,55 +311,55 @@
         };
         let line = serde_json::from_slice(&line).map_err(|why| format!("an unreadable line: {why}"))?;
         let FromGatherer::Gathered(gathered) = line;
-        if gathered.by.member != next.by.member {
-            return Err(format!("{} calls itself {}", next.by.member, gathered.by.member));
+        if gathered.gatherer.member != next.gatherer.member {
+            return Err(format!("{} calls itself {}", next.gatherer.member, gathered.gatherer.member));
         }
         next = gathered;
     }
 }
 
 fn elsewhere(host: &Keeper) -> ToMember {
-    ToMember::Elsewhere { serves: host.council.elsewhere() }
+    ToMember::NotLeader { leader: host.council.elsewhere() }
 }
 
-async fn client(host: &Keeper, stream: &Stream, call: Call) -> Result<(), String> {
-    let elsewhere = |serves| Answer::Elsewhere { serves };
+async fn client(host: &Keeper, stream: &Stream, call: Request) -> Result<(), String> {
+    let elsewhere = |serves| Response::NotLeader { leader: serves };
     let answer = match call {
-        Call::Submit { scope, tenant, key } => {
+        Request::Submit { scope, tenant, key } => {
             let now = host.now();
             match host.with(|service| service.submit(scope, tenant, &key, now)) {
                 Some(Ok((number, promise, effects))) => {
                     host.carry_out(effects);
                     match host.settled().await {
-                        true => Answer::Accepted { number, promise },
+                        true => Response::Accepted { number, promise },
                         // It may still come about: under the same key it is the same purge, whoever is asked.
                         false => elsewhere(host.council.elsewhere()),
                     }
                 }
-                Some(Err(why)) => Answer::Refused(why.to_string()),
+                Some(Err(why)) => Response::Refused(why.to_string()),
                 None => elsewhere(host.council.elsewhere()),
             }
         }
-        Call::Wait { number } => loop {
+        Request::Wait { number } => loop {
             if let Some(report) = host.hosted.reports.borrow().get(&number).cloned() {
-                break Answer::Report(report);
+                break Response::Report(report);
             }
-            match host.with(|service| (service.last(), service.was_reported(number))) {
+            match host.with(|service| (service.last(), service.is_reported(number))) {
                 None => break elsewhere(host.council.elsewhere()),
                 Some((last, _)) if number == 0 || number > last => {
-                    break Answer::Refused(format!("there is no purge {number}"));
+                    break Response::Refused(format!("there is no purge {number}"));
                 }
                 // A member that led before gave the report; or this one will, once the group has agreed on it.
-                Some((_, true)) if host.is_settled() => break Answer::Reached { number },
+                Some((_, true)) if host.is_settled() => break Response::Reached { number },
                 Some(_) => host.until_news(LOOK).await,
             }
         },
-        Call::Status => {
+        Request::Status => {
             let now = host.now();
-            host.or_elsewhere(|service| Answer::Status(status(service, now)), elsewhere)
+            host.or_elsewhere(|service| Response::Status(status(service, now)), elsewhere)
         }
-        Call::List { after } => {
-            host.or_elsewhere(|service| Answer::List(service.live_after(after, PAGE)), elsewhere)
+        Request::List { after } => {
+            host.or_elsewhere(|service| Response::List(service.purges_after(after, PAGE)), elsewhere)
         }
     };
     say(stream, &answer).await
@@ -365,15 +369,15 @@
     let members = service.members();
     let each = members.names().map(|name| MemberStatus {
         name: name.into(),
-        has: members.of(name).map_or(0, |(_, has)| has),
+        applied: members.progress(name).map_or(0, |(_, has)| has),
         fenced: members.is_fenced(name),
-        by: members.speaker_of(name).map(str::to_string),
+        gatherer: members.gatherer_of(name).map(str::to_string),
     });
     let each = each.collect();
     Status {
         term: service.term(),
         last: service.last(),
-        open: service.open_purges(),
+        open: service.pending_purges(),
         promise: service.promise(now),
         members: each,
         refused_lines: members.refused_lines(),
--- a/crates/purger/tests/below.rs
+++ b/crates/purger/tests/below.rs
@@ -1,8 +1,8 @@
 //! The line of a member, against a teller by a script: what it is told, word by word.
 use async_io::Async;
-use harestage_purge::lines::{Confirm, Past, ToMember, line};
-use harestage_purge::order::{Item, What};
+use harestage_purge::messages::{Ack, Past, ToMember, to_line};
 use harestage_purge::scope::Scope;
+use harestage_purge::sequencer::{Item, Payload};
 use harestage_purger::below::{Teller, serve};
 use harestage_sockets::Spawner;
 use harestage_sockets::lines::{Lines, write_text};
@@ -16,19 +16,19 @@
 
 fn items(after: u64, upto: u64) -> ToMember {
     let item = |number: u64| {
-        let what = What::Purge { scope: Scope::Group(number as u32), tenant: 0, key: "k".into() };
-        Item { number, term: 1, at_ms: number, what }
+        let what = Payload::Purge { scope: Scope::Group(number as u32), tenant: 0, key: "k".into() };
+        Item { number, term: 1, at_ms: number, payload: what }
     };
     ToMember::Items { term: 1, items: (after + 1..=upto).map(item).collect() }
 }
 
 impl Teller for Script {
-    async fn answer(&self, said: &Confirm) -> Option<ToMember> {
-        Some(items(said.has, self.0.get()))
+    async fn answer(&self, said: &Ack) -> Option<ToMember> {
+        Some(items(said.applied, self.0.get()))
     }
 
     fn elsewhere(&self) -> ToMember {
-        ToMember::Elsewhere { serves: None }
+        ToMember::NotLeader { leader: None }
     }
 
     fn told(&self) -> Option<u64> {
@@ -60,8 +60,14 @@
     spawner.block_on(async {
         let mut lines = Lines::new(&near, 64 << 10);
         let say = async |start: u64, has: u64| {
-            let said = Confirm { member: "a".into(), start, has, told_all: true, past: Past::default() };
-            write_text(&near, &line(&said), Duration::from_secs(5)).await.unwrap();
+            let said = Ack {
+                member: "a".into(),
+                incarnation: start,
+                applied: has,
+                bootstrapped: true,
+                past: Past::default(),
+            };
+            write_text(&near, &to_line(&said), Duration::from_secs(5)).await.unwrap();
         };
         let mut told = async || {
             let text = lines.next().await.unwrap();
