--- a/crates/purge/src/lib.rs
+++ b/crates/purge/src/lib.rs
@@ -1,23 +1,23 @@
-//! Purges of a whole fleet.
+//! Fleet-wide purges.
 //!
-//! Nothing here does input or output: time is handed in, what is to be done comes back as data. docs/purge.md argues
-//! for the ways taken.
+//! The crate does no I/O: the time is passed in, and actions are returned as data. docs/purge.md explains
+//! the design.
 //!
-//! | module | decides |
+//! | module | content |
 //! | --- | --- |
-//! | `scope` | what a purge covers, and which ones are refused |
-//! | `order` | the one order of purges: numbers, terms, keys of repeats |
-//! | `follow` | what a member makes of what it is told |
-//! | `gather` | what a site's gatherer says for all below it, and whom it tells what |
-//! | `kept` | which items are kept, and what of them a member lacks |
-//! | `roster` | nothing: a roster as one number |
-//! | `index` | from when a copy of an object must be |
-//! | `lines` | nothing: what is written between service, members and clients |
-//! | `pack` | nothing: many purges in few bytes |
-//! | `ranges` | from which number on two differ who each hold purges |
-//! | `members` | who has what, who is fenced, and how much one that comes back is asked |
-//! | `promise` | which delay is promised, and what became of it |
-//! | `service` | what is written down, told and reported, in which order |
+//! | `scope` | what a purge covers, and which scopes are refused |
+//! | `sequencer` | the purge log: numbers, terms, idempotency keys |
+//! | `follower` | how a member handles messages |
+//! | `gather` | the gatherer of a site, which aggregates the acknowledgements of its members |
+//! | `retained` | which items are retained, and which of them a member lacks |
+//! | `membership` | digest of a gatherer's member list |
+//! | `index` | how old a copy of an object may be |
+//! | `messages` | messages between service, members and clients |
+//! | `pack` | compact encoding of many items |
+//! | `anti_entropy` | search for the first difference between two sides |
+//! | `members` | what each member has applied, who is fenced, and the slow start after a fence |
+//! | `promise` | the promised latency, and whether it was kept |
+//! | `service` | the state machine: what is logged, sent and reported, in which order |
 pub mod anti_entropy;
 pub mod follower;
 pub mod gather;
--- a/crates/purge/src/messages.rs
+++ b/crates/purge/src/messages.rs
@@ -1,5 +1,5 @@
-//! What members, gatherers, clients and the service of purges write to each other: one JSON object a line. The first line
-//! says who it is.
+//! Messages between members, gatherers, clients and the purge service: one JSON object per line. The first
+//! line identifies the sender.
 use crate::membership::MembershipDigest;
 use crate::promise::{Promise, Report};
 use crate::scope::Scope;
@@ -8,13 +8,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a member still has from before its start.
+/// What a member keeps from before its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Past {
-    /// Copies, to which all purges up to that number were applied; 0: none were, so that it needs all that live.
+    /// Copies to which all purges up to this number were applied. 0 means that none were, so that it needs
+    /// all live ones.
     Applied(u64),
-    /// No copy at all.
+    /// No copies.
     Cold,
 }
 
@@ -30,99 +31,107 @@
     }
 }
 
-/// The first and only kind of line of a member: which process it is, and what it has.
+/// The only message of a member: the identity of its process and what it has applied.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ack {
     pub member: String,
-    /// A number that no other start of it has.
+    /// Identifies the process: no other start of the member has the same number.
     #[serde(rename = "start")]
     pub incarnation: u64,
+    /// Everything up to this number is applied.
     #[serde(rename = "has")]
     pub applied: u64,
-    /// It was told all that lives since its start.
+    /// The member has received all live items since its start.
     #[serde(rename = "told_all")]
     pub bootstrapped: bool,
     #[serde(default, skip_serializing_if = "Past::is_usual")]
     pub past: Past,
 }
 
-/// A gatherer's line: what all below it have, as one number, and who is an exception. It says nothing of anyone who is not
-/// on the roster that the service has from it.
+/// Report of a gatherer: the number that all its members have applied, and the exceptions. It says nothing
+/// about processes that are not in the member list the service has from it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatheredReport {
-    /// Itself, as a member that follows.
+    /// The gatherer's own acknowledgement as a follower.
     #[serde(rename = "by")]
     pub gatherer: Ack,
     #[serde(rename = "roster")]
     pub membership: MembershipUpdate,
-    /// All on the roster have all up to it, but those behind.
+    /// All members have applied everything up to this number, except the lagging ones.
     pub floor: u64,
-    /// Those that have less, or were not told all since their start (0).
+    /// Members that have applied less, with what they have applied; 0 if they have not received all live
+    /// items since their start.
     #[serde(rename = "behind", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub lagging: BTreeMap<String, u64>,
 }
 
+/// Member list of a gatherer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MembershipUpdate {
-    /// As it was told before.
+    /// The list is the same as before.
     #[serde(rename = "same")]
     Unchanged(MembershipDigest),
-    /// Names, each with the number of its process.
+    /// Names and incarnations.
     #[serde(rename = "whole")]
     Full(BTreeMap<String, u64>),
 }
 
-/// The first line of a gatherer, and all further ones: an object of its own, so that it can't be read as a member's.
+/// Message of a gatherer. It is wrapped in an object of its own, so that it cannot be mistaken for that of a
+/// member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FromGatherer {
     Gathered(GatheredReport),
 }
 
-/// To a member, as the answer to each of its lines and whenever there is something new.
+/// Message to a member or gatherer, in reply to each of its messages and whenever there are new items.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ToMember {
+    /// The items after those that were acknowledged, in the given term.
     Items {
         term: u64,
         #[serde(with = "packed")]
         items: Vec<Item>,
     },
-    /// The first piece of all that it needs: items after `after`. It knows all that lives once it has all up to `upto`.
+    /// First batch of a snapshot: the live items after `after`. The member knows all live items once it has
+    /// applied everything up to `upto`.
     #[serde(rename = "all")]
     Snapshot {
         term: u64,
-        /// Nothing up to there is told.
+        /// No items up to this number are sent.
         #[serde(default)]
         after: u64,
         upto: u64,
         forgotten_ms: u64,
-        /// From whom nothing is taken, whatever the items say of it.
+        /// All fenced members, whatever the items say of them.
         #[serde(default)]
         fenced: BTreeSet<String>,
         #[serde(with = "packed")]
         items: Vec<Item>,
     },
-    /// To a gatherer, after the items up to `upto`: the roster that the service has from it now. Who is on it may be told
-    /// all that lives once the gatherer has all up to there.
+    /// To a gatherer, after the items up to `upto`: the member list that the service has from it now. These
+    /// members may receive the live items once the gatherer has everything up to `upto`.
     #[serde(rename = "roster")]
     Membership {
         #[serde(rename = "taken")]
         accepted: MembershipDigest,
         upto: u64,
-        /// Everyone who may be used has all up to it.
+        /// All usable members have applied everything up to this number.
         #[serde(rename = "everyone_has")]
         fully_applied: u64,
-        /// Starts that were replaced by another one of the same name: their lines are to be ended.
+        /// Incarnations that were replaced by another one of the same name; their connections have to be
+        /// closed.
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
         replaced: BTreeMap<String, u64>,
     },
-    /// Another process counts under its name. One that runs all the same goes on as a new process, under another number.
+    /// Another process has taken the name. A process that is still running continues under a new
+    /// incarnation.
     Replaced,
-    /// This member of the service does not speak for it; the one that does is there, if that is known.
+    /// This server is not the leader. `leader` is the address of the leader, if known.
     #[serde(rename = "elsewhere")]
     NotLeader {
         #[serde(rename = "serves")]
@@ -130,25 +139,26 @@
     },
 }
 
-/// Many items in a line stand there as one text, a tenth as long; without keys and tenants, which concern the service alone.
+/// Serializes many items as one packed text, a tenth of the size, without keys and tenants, which only the
+/// service needs.
 mod packed {
     use crate::pack::{PackedItem, PackedPayload, decode, encode, from_base64, to_base64};
     use crate::sequencer::{Item, Payload};
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-    /// A few are told as they are, so that a person can read them.
-    const FROM: usize = 32;
+    /// Fewer items than this stay readable JSON.
+    const MIN_PACKED_ITEMS: usize = 32;
 
     #[derive(Deserialize)]
     #[serde(untagged)]
-    enum Form {
+    enum Encoded {
         Each(Vec<Item>),
         Packed(String),
     }
 
     pub fn serialize<S: Serializer>(items: &[Item], to: S) -> Result<S::Ok, S::Error> {
-        if items.len() < FROM {
+        if items.len() < MIN_PACKED_ITEMS {
             return items.serialize(to);
         }
         let pack = |item: &Item| {
@@ -166,12 +176,12 @@
     }
 
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<Item>, D::Error> {
-        let text = match Form::deserialize(from)? {
-            Form::Each(items) => return Ok(items),
-            Form::Packed(text) => text,
+        let text = match Encoded::deserialize(from)? {
+            Encoded::Each(items) => return Ok(items),
+            Encoded::Packed(text) => text,
         };
-        let wrong = |why: crate::pack::PackError| D::Error::custom(why);
-        let all = decode(&from_base64(&text).map_err(wrong)?).map_err(wrong)?;
+        let invalid = |error: crate::pack::PackError| D::Error::custom(error);
+        let all = decode(&from_base64(&text).map_err(invalid)?).map_err(invalid)?;
         let unpack = |item: PackedItem| {
             let payload = match item.payload {
                 PackedPayload::Purge(scope) => Payload::Purge { scope, tenant: 0, key: String::new() },
@@ -185,6 +195,7 @@
 }
 
 impl ToMember {
+    /// The message that sends a member what it lacks.
     pub fn from_catch_up(term: u64, missing: CatchUp) -> ToMember {
         match missing {
             CatchUp::Delta(items) => ToMember::Items { term, items },
@@ -195,40 +206,43 @@
     }
 }
 
-/// A name that can stand in a log and a list: 1 to 32 letters, digits, dots and dashes.
+/// Returns whether a name can be used in logs and lists: 1 to 32 letters, digits, dots, dashes and
+/// underscores.
 pub fn is_valid_name(name: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     (1..=32).contains(&name.len()) && name.bytes().all(plain)
 }
 
 impl Ack {
+    /// Returns whether the member's name is valid.
     pub fn has_valid_name(&self) -> bool {
         is_valid_name(&self.member)
     }
 }
 
-/// What a client asks for.
+/// Request of a client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Request {
+    /// Submit a purge. `key` makes retries idempotent.
     Submit {
         scope: Scope,
         #[serde(default)]
         tenant: u32,
         key: String,
     },
-    /// The report of a purge, once it has ended.
-    Wait {
-        number: u64,
-    },
+    /// Wait until a purge has ended and return the report.
+    Wait { number: u64 },
+    /// Return the status of the service.
     Status,
-    /// Purges that live, after a number: a page of them, in their order.
+    /// List one page of the live purges after a number, in order.
     List {
         #[serde(default)]
         after: u64,
     },
 }
 
+/// Response to a client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Response {
@@ -237,14 +251,15 @@
         promise: Promise,
     },
     Report(Report),
-    /// It was reached, and another member of the service gave the report.
+    /// The purge was reached, but another leader reported it.
     Reached {
         number: u64,
     },
     Status(Status),
     List(Vec<Item>),
+    /// The request was refused, for the given reason.
     Refused(String),
-    /// This member of the service does not speak for it; the one that does is there, if that is known.
+    /// This server is not the leader. `leader` is the address of the leader, if known.
     #[serde(rename = "elsewhere")]
     NotLeader {
         #[serde(rename = "serves")]
@@ -252,6 +267,7 @@
     },
 }
 
+/// Status of the service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     pub term: u64,
@@ -259,23 +275,24 @@
     pub open: usize,
     pub promise: Promise,
     pub members: Vec<MemberStatus>,
-    /// Lines that were refused: they decided nothing.
+    /// Number of messages that were refused without any effect.
     #[serde(default)]
     pub refused_lines: u64,
 }
 
+/// Status of a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     pub name: String,
     #[serde(rename = "has")]
     pub applied: u64,
     pub fenced: bool,
-    /// The gatherer that speaks for it.
+    /// Gatherer that reports for the member.
     #[serde(rename = "by", default, skip_serializing_if = "Option::is_none")]
     pub gatherer: Option<String>,
 }
 
-/// One line, with its end.
+/// Serializes a message as one line.
 pub fn to_line(message: &impl Serialize) -> Vec<u8> {
     let mut text = serde_json::to_vec(message).unwrap_or_default();
     text.push(b'\n');
--- a/crates/purge/src/scope.rs
+++ b/crates/purge/src/scope.rs
@@ -1,5 +1,5 @@
-//! What a purge covers. A scope is checked once, when it is asked for: what can't be read, costs too much, or would
-//! cover everything without saying so is refused in one line.
+//! Scope of a purge. A scope is validated and compiled once, when a purge is submitted. One that is
+//! malformed, too expensive, or would cover everything without saying so is refused with a one-line error.
 use globset::{GlobBuilder, GlobMatcher};
 use regex::{Regex, RegexBuilder};
 use schemars::JsonSchema;
@@ -7,14 +7,15 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Tags that one purge may name, and bytes of a tag.
+/// Maximum number of tags in a purge, and of bytes in a tag.
 pub const MAX_TAGS: usize = 16;
 pub const MAX_TAG_BYTES: usize = 64;
-/// Bytes of a prefix or pattern.
+/// Maximum length of a prefix or pattern in bytes.
 pub const MAX_PATTERN_BYTES: usize = 256;
-/// Bytes that a compiled pattern may take.
-const PATTERN_ROOM: usize = 64 << 10;
-/// Names that a pattern is tried on before it is taken: one that matches them all covers everything.
+/// Maximum size of a compiled pattern in bytes.
+const MAX_COMPILED_PATTERN_BYTES: usize = 64 << 10;
+/// Names on which a pattern is tried first. A pattern that matches all of them counts as covering
+/// everything.
 const SAMPLES: [&str; 12] = [
     "0",
     "f",
@@ -52,43 +53,41 @@
     Everything,
 }
 
-/// Why a scope is refused.
+/// Reason why a scope is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScopeError {
+    /// The id of the object is not 16 hex digits.
     InvalidObject(String),
-    TagCount {
-        count: usize,
-    },
+    /// There are no tags or too many.
+    TagCount { count: usize },
+    /// A tag is empty, too long or not printable.
     InvalidTag(String),
-    InvalidPattern {
-        pattern: String,
-        reason: String,
-    },
-    PatternTooLong {
-        pattern: String,
-        bytes: usize,
-    },
-    /// It would cover everything, and does not say so.
-    CoversAll {
-        pattern: String,
-    },
+    /// The pattern cannot be compiled.
+    InvalidPattern { pattern: String, reason: String },
+    /// The prefix or pattern is too long.
+    PatternTooLong { pattern: String, bytes: usize },
+    /// The pattern covers everything without saying so.
+    CoversAll { pattern: String },
 }
 
 impl fmt::Display for ScopeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::InvalidObject(text) => write!(f, "object {text:?} is not 16 hex digits"),
-            Self::TagCount { count } => write!(f, "{count} tags are not 1 to {MAX_TAGS}"),
+            Self::TagCount { count } => write!(f, "{count} tags given, 1 to {MAX_TAGS} are allowed"),
             Self::InvalidTag(tag) => {
                 write!(f, "tag {tag:?} is not 1 to {MAX_TAG_BYTES} printable characters")
             }
             Self::InvalidPattern { pattern, reason } => write!(f, "pattern {pattern:?}: {reason}"),
             Self::PatternTooLong { pattern, bytes } => {
                 let start: String = pattern.chars().take(24).collect();
-                write!(f, "pattern {start:?}… has {bytes} bytes, and {MAX_PATTERN_BYTES} at most")
+                write!(f, "pattern {start:?}… has {bytes} bytes, at most {MAX_PATTERN_BYTES} are allowed")
             }
             Self::CoversAll { pattern } => {
-                write!(f, "pattern {pattern:?} covers everything: ask for everything if that is meant")
+                write!(
+                    f,
+                    "pattern {pattern:?} covers everything: use the scope of everything if that is intended"
+                )
             }
         }
     }
@@ -96,7 +95,7 @@
 
 impl std::error::Error for ScopeError {}
 
-/// A scope that may be used: its patterns are compiled, once.
+/// Validated scope with its patterns compiled.
 #[derive(Clone, Debug)]
 pub enum CompiledScope {
     Object(u64),
@@ -109,13 +108,14 @@
     Everything,
 }
 
-/// A compiled pattern, and the letters that every name it matches begins with.
+/// Compiled pattern with the literal prefix of all names it can match.
 #[derive(Clone, Debug)]
 pub struct Pattern {
     pub literal: String,
     matcher: Matcher,
 }
 
+/// Compiled form of a pattern.
 #[derive(Clone, Debug)]
 enum Matcher {
     Glob(GlobMatcher),
@@ -123,6 +123,7 @@
 }
 
 impl Pattern {
+    /// Returns whether a name matches the pattern.
     pub fn matches(&self, name: &str) -> bool {
         match &self.matcher {
             Matcher::Glob(glob) => glob.is_match(name),
@@ -132,7 +133,7 @@
 }
 
 impl Scope {
-    /// Bytes of its texts.
+    /// Total size of its strings in bytes.
     pub fn text_bytes(&self) -> usize {
         match self {
             Scope::Object(text) | Scope::Prefix(text) | Scope::Glob(text) | Scope::Regex(text) => text.len(),
@@ -144,15 +145,16 @@
         }
     }
 
+    /// Validates and compiles the scope.
     pub fn compile(&self) -> Result<CompiledScope, ScopeError> {
         Ok(match self {
             Scope::Object(text) => CompiledScope::Object(object(text)?),
             Scope::Part { object: text, part } => CompiledScope::Part(object(text)?, *part),
             Scope::Group(group) => CompiledScope::Group(*group),
-            Scope::AllTags(set) => CompiledScope::AllTags(tags(set)?),
-            Scope::AnyTag(set) => CompiledScope::AnyTag(tags(set)?),
+            Scope::AllTags(tag_set) => CompiledScope::AllTags(tags(tag_set)?),
+            Scope::AnyTag(tag_set) => CompiledScope::AnyTag(tags(tag_set)?),
             Scope::Prefix(prefix) => {
-                bounded(prefix)?;
+                check_length(prefix)?;
                 if prefix.is_empty() {
                     return Err(ScopeError::CoversAll { pattern: prefix.clone() });
                 }
@@ -171,19 +173,20 @@
     number.ok_or_else(|| ScopeError::InvalidObject(text.chars().take(40).collect()))
 }
 
-fn tags(set: &BTreeSet<String>) -> Result<Vec<String>, ScopeError> {
-    if !(1..=MAX_TAGS).contains(&set.len()) {
-        return Err(ScopeError::TagCount { count: set.len() });
+fn tags(tag_set: &BTreeSet<String>) -> Result<Vec<String>, ScopeError> {
+    if !(1..=MAX_TAGS).contains(&tag_set.len()) {
+        return Err(ScopeError::TagCount { count: tag_set.len() });
     }
-    let printable =
+    let is_printable =
         |tag: &String| (1..=MAX_TAG_BYTES).contains(&tag.len()) && tag.bytes().all(|b| b.is_ascii_graphic());
-    match set.iter().find(|tag| !printable(tag)) {
+    match tag_set.iter().find(|tag| !is_printable(tag)) {
         Some(tag) => Err(ScopeError::InvalidTag(tag.chars().take(40).collect())),
-        None => Ok(set.iter().cloned().collect()),
+        None => Ok(tag_set.iter().cloned().collect()),
     }
 }
 
-fn bounded(pattern: &str) -> Result<(), ScopeError> {
+/// Refuses texts that are too long.
+fn check_length(pattern: &str) -> Result<(), ScopeError> {
     let bytes = pattern.len();
     if bytes > MAX_PATTERN_BYTES {
         Err(ScopeError::PatternTooLong { pattern: pattern.into(), bytes })
@@ -193,71 +196,77 @@
 }
 
 fn glob(text: &str) -> Result<Pattern, ScopeError> {
-    bounded(text)?;
+    check_length(text)?;
     let built = GlobBuilder::new(text).literal_separator(true).backslash_escape(true).build();
     let built = built.map_err(|reason| ScopeError::InvalidPattern {
         pattern: text.into(),
         reason: reason.kind().to_string(),
     })?;
     let literal: String = text.chars().take_while(|c| !"*?[{\\".contains(*c)).collect();
-    narrow(Pattern { literal, matcher: Matcher::Glob(built.compile_matcher()) }, text)
+    reject_match_all(Pattern { literal, matcher: Matcher::Glob(built.compile_matcher()) }, text)
 }
 
 fn regex(text: &str) -> Result<Pattern, ScopeError> {
-    bounded(text)?;
-    let wrong = |reason: String| ScopeError::InvalidPattern { pattern: text.into(), reason };
-    // Parsed by itself first: an unmatched bracket must not close the group that is put round it.
+    check_length(text)?;
+    let invalid = |reason: String| ScopeError::InvalidPattern { pattern: text.into(), reason };
+    // Compiled on its own first: otherwise an unmatched parenthesis could close the group that is put around
+    // the text.
     RegexBuilder::new(text)
-        .size_limit(PATTERN_ROOM)
+        .size_limit(MAX_COMPILED_PATTERN_BYTES)
         .build()
-        .map_err(|reason| wrong(one_line(&reason.to_string())))?;
-    let whole = RegexBuilder::new(&format!("^(?:{text})$")).size_limit(PATTERN_ROOM).nest_limit(24).build();
-    let whole = whole.map_err(|reason| wrong(one_line(&reason.to_string())))?;
+        .map_err(|reason| invalid(single_line(&reason.to_string())))?;
+    let anchored = RegexBuilder::new(&format!("^(?:{text})$"))
+        .size_limit(MAX_COMPILED_PATTERN_BYTES)
+        .nest_limit(24)
+        .build();
+    let anchored = anchored.map_err(|reason| invalid(single_line(&reason.to_string())))?;
     let literal: String =
         text.chars().take_while(|c| c.is_ascii_alphanumeric() || "-_/".contains(*c)).collect();
-    // What follows a letter may make it optional, or give the whole another beginning.
+    // The next character may make the last literal one optional, or start an alternative without the prefix.
     let after = text[literal.len()..].chars().next();
-    let loose = matches!(after, Some('*' | '?' | '{')) || text.contains('|');
-    let kept = if loose { literal.len().saturating_sub(1) } else { literal.len() };
-    let literal = if text.contains('|') { String::new() } else { literal[..kept].to_string() };
-    narrow(Pattern { literal, matcher: Matcher::Regex(whole) }, text)
+    let last_is_optional = matches!(after, Some('*' | '?' | '{')) || text.contains('|');
+    let literal_length = if last_is_optional { literal.len().saturating_sub(1) } else { literal.len() };
+    let literal = if text.contains('|') { String::new() } else { literal[..literal_length].to_string() };
+    reject_match_all(Pattern { literal, matcher: Matcher::Regex(anchored) }, text)
 }
 
-fn one_line(text: &str) -> String {
+fn single_line(text: &str) -> String {
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-fn narrow(pattern: Pattern, text: &str) -> Result<Pattern, ScopeError> {
+/// Refuses a pattern that matches all sample names.
+fn reject_match_all(pattern: Pattern, text: &str) -> Result<Pattern, ScopeError> {
     if SAMPLES.iter().all(|name| pattern.matches(name)) {
         return Err(ScopeError::CoversAll { pattern: text.into() });
     }
     Ok(pattern)
 }
 
-/// What is known of an object or a copy of it. What is not known counts as covered by every purge that asks for it: a
-/// copy too many is fetched anew, and none is served that should be gone.
+/// Attributes of an object or a copy, as far as they are known. A purge that depends on an unknown attribute
+/// covers the copy: fetching a copy once too often is better than serving one that should be gone.
 #[derive(Clone, Copy, Debug)]
 pub struct CopyAttributes<'a> {
     pub object: u64,
     pub part: u32,
     pub group: Option<u32>,
     pub name: Option<&'a str>,
-    /// None: not told. A slice: all of them, in order.
+    /// All tags in sorted order, or `None` if they are unknown.
     pub tags: Option<&'a [&'a str]>,
 }
 
 impl CompiledScope {
-    /// Whether the purge covers it. The index answers the same for many purges at once; this is the plain way.
-    pub fn covers(&self, facts: &CopyAttributes) -> bool {
-        let tag = |tag: &String| facts.tags.is_none_or(|tags| tags.contains(&tag.as_str()));
+    /// Returns whether the purge covers a copy. The index answers the same for many purges at once; this is
+    /// the reference implementation.
+    pub fn covers(&self, copy: &CopyAttributes) -> bool {
+        let tag = |tag: &String| copy.tags.is_none_or(|tags| tags.contains(&tag.as_str()));
         match self {
-            CompiledScope::Object(object) => *object == facts.object,
-            CompiledScope::Part(object, part) => (*object, *part) == (facts.object, facts.part),
-            CompiledScope::Group(group) => facts.group.is_none_or(|own| own == *group),
+            CompiledScope::Object(object) => *object == copy.object,
+            CompiledScope::Part(object, part) => (*object, *part) == (copy.object, copy.part),
+            CompiledScope::Group(group) => copy.group.is_none_or(|known| known == *group),
             CompiledScope::AllTags(tags) => tags.iter().all(tag),
             CompiledScope::AnyTag(tags) => tags.iter().any(tag),
-            CompiledScope::Prefix(prefix) => facts.name.is_none_or(|name| name.starts_with(prefix.as_str())),
-            CompiledScope::Pattern(pattern) => facts.name.is_none_or(|name| pattern.matches(name)),
+            CompiledScope::Prefix(prefix) => copy.name.is_none_or(|name| name.starts_with(prefix.as_str())),
+            CompiledScope::Pattern(pattern) => copy.name.is_none_or(|name| pattern.matches(name)),
             CompiledScope::Everything => true,
         }
     }
--- a/crates/purge/tests/packs.rs
+++ b/crates/purge/tests/packs.rs
@@ -179,7 +179,10 @@
     ));
     let mut other = encode(&[]);
     other[2] = 2;
-    assert_eq!(decode(&sealed(other)).unwrap_err().to_string(), "pack, byte 2: version 2 is not known, 1 is");
+    assert_eq!(
+        decode(&sealed(other)).unwrap_err().to_string(),
+        "invalid pack at byte 2: version 2 is not supported, only 1"
+    );
     assert_eq!(decode(b"{}").unwrap_err(), PackError { at: 0, kind: PackErrorKind::NotAPack });
     assert_eq!(decode(b"hp\x01").unwrap_err(), PackError { at: 3, kind: PackErrorKind::Truncated });
     assert_eq!(decode(&vec![0; MAX_PACK_BYTES + 1]).unwrap_err().kind, PackErrorKind::TooLong);
--- a/crates/purge/tests/scopes.rs
+++ b/crates/purge/tests/scopes.rs
@@ -21,7 +21,7 @@
 fn scopes_that_can_not_be_used_are_refused_by_what_is_wrong() {
     let told = |scope: Scope| scope.compile().unwrap_err().to_string();
     assert_eq!(told(Scope::Object("12".into())), "object \"12\" is not 16 hex digits");
-    assert_eq!(told(Scope::AnyTag(set(&[]))), "0 tags are not 1 to 16");
+    assert_eq!(told(Scope::AnyTag(set(&[]))), "0 tags given, 1 to 16 are allowed");
     assert!(told(Scope::AllTags(set(&["a b"]))).contains("\"a b\""));
     assert!(told(Scope::Glob("case/[a".into())).starts_with("pattern \"case/[a\": "));
     assert!(told(Scope::Regex("case(".into())).starts_with("pattern \"case(\": "));
