--- a/crates/purge/tests/orders.rs
+++ b/crates/purge/tests/orders.rs
@@ -1,4 +1,4 @@
-//! One order, whoever gives it; who has what; and what is promised.
+//! The sequence of purges across leaders, the state of members, and promises.
 use harestage::time::{Moment, Span};
 use harestage_purge::members::{Admission, FENCE_TIMEOUT, MemberChange, Members, SLOW_START};
 use harestage_purge::promise::{LatencyStats, PendingPurges};
@@ -17,83 +17,86 @@
     Scope::Group(group)
 }
 
-fn new(taken: Result<Submission, SubmitError>) -> Item {
-    match taken {
+fn new(submission: Result<Submission, SubmitError>) -> Item {
+    match submission {
         Ok(Submission::New(item)) => item,
         other => panic!("{other:?}"),
     }
 }
 
-/// The order of a service that takes over, and the entry that says so.
-fn take_up(entries: impl IntoIterator<Item = LogEntry>, limit: RateLimit) -> (Sequencer, LogEntry) {
-    let mut order = Sequencer::replay(entries, limit);
-    let term = order.begin_term();
-    (order, term)
+/// The sequencer of a new leader, and the entry that starts its term.
+fn new_leader(entries: impl IntoIterator<Item = LogEntry>, limit: RateLimit) -> (Sequencer, LogEntry) {
+    let mut sequencer = Sequencer::replay(entries, limit);
+    let term = sequencer.begin_term();
+    (sequencer, term)
 }
 
 #[test]
-fn the_same_purge_asked_for_twice_is_one_also_by_another_service() {
-    let (mut order, term) = take_up([], LIMIT);
-    let one = new(order.submit(group(1), 7, "k1", 10));
-    assert_eq!(order.submit(group(1), 7, "k1", 20), Ok(Submission::Duplicate(1)));
-    assert_eq!(new(order.submit(group(1), 8, "k1", 20)).number, 2, "another tenant's key is another");
-    assert!(matches!(order.submit(group(2), 7, "k1", 20), Err(SubmitError::KeyConflict { number: 1, .. })));
-    let (mut next, later) = take_up([term, LogEntry::Item(one)], LIMIT);
-    assert_eq!((later, next.last()), (LogEntry::Term { term: 2 }, 1), "2 was never written down");
+fn a_repeated_submission_is_the_same_purge_also_for_a_new_leader() {
+    let (mut sequencer, term) = new_leader([], LIMIT);
+    let one = new(sequencer.submit(group(1), 7, "k1", 10));
+    assert_eq!(sequencer.submit(group(1), 7, "k1", 20), Ok(Submission::Duplicate(1)));
+    assert_eq!(new(sequencer.submit(group(1), 8, "k1", 20)).number, 2, "keys are separate for each tenant");
+    assert!(matches!(
+        sequencer.submit(group(2), 7, "k1", 20),
+        Err(SubmitError::KeyConflict { number: 1, .. })
+    ));
+    let (mut next, later) = new_leader([term, LogEntry::Item(one)], LIMIT);
+    assert_eq!((later, next.last()), (LogEntry::Term { term: 2 }, 1), "2 was never logged");
     assert_eq!(next.submit(group(1), 7, "k1", 30), Ok(Submission::Duplicate(1)));
     assert_eq!(new(next.submit(group(3), 7, "k3", 30)).number, 2);
 }
 
-/// A service that was replaced writes on: what it wrote behind the new term does not count.
+/// A replaced leader may go on writing, but its entries after the new term do not count.
 #[test]
-fn an_older_terms_entries_behind_a_newer_term_do_not_count() {
-    let (mut old, first) = take_up([], LIMIT);
+fn entries_of_an_older_term_after_a_newer_one_do_not_count() {
+    let (mut old, first) = new_leader([], LIMIT);
     let one = new(old.submit(group(1), 0, "a", 1));
-    let (mut new_order, second) = take_up([first.clone(), LogEntry::Item(one.clone())], LIMIT);
+    let (mut new_sequencer, second) = new_leader([first.clone(), LogEntry::Item(one.clone())], LIMIT);
     let late = new(old.submit(group(2), 0, "b", 2));
-    let two = new(new_order.submit(group(3), 0, "c", 3));
+    let two = new(new_sequencer.submit(group(3), 0, "c", 3));
     assert_eq!((late.number, two.number), (2, 2));
     let log = [first, LogEntry::Item(one), second, LogEntry::Item(late), LogEntry::Item(two.clone())];
-    let (recalled, _) = take_up(log, LIMIT);
-    assert_eq!(recalled.items().last(), Some(&two));
-    let mut place = LogPosition::default();
-    assert_eq!(place.advance(2, 1), Delivery::Next);
-    assert_eq!((place.advance(1, 2), place.advance(2, 3)), (Delivery::StaleTerm, Delivery::Gap));
-    assert_eq!((place.advance(2, 2), place.advance(2, 2)), (Delivery::Next, Delivery::Duplicate));
+    let (replayed, _) = new_leader(log, LIMIT);
+    assert_eq!(replayed.items().last(), Some(&two));
+    let mut position = LogPosition::default();
+    assert_eq!(position.advance(2, 1), Delivery::Next);
+    assert_eq!((position.advance(1, 2), position.advance(2, 3)), (Delivery::StaleTerm, Delivery::Gap));
+    assert_eq!((position.advance(2, 2), position.advance(2, 2)), (Delivery::Next, Delivery::Duplicate));
 }
 
 #[test]
-fn a_tenant_is_limited_and_told_when_to_come_again() {
-    let (mut order, _) = take_up([], RateLimit { rate: 2.0, burst: 3.0 });
-    (0..3).for_each(|n| drop(new(order.submit(group(n), 1, &format!("k{n}"), 1_000))));
-    let refused = order.submit(group(9), 1, "k9", 1_000).unwrap_err();
+fn a_tenant_is_rate_limited_and_told_when_to_retry() {
+    let (mut sequencer, _) = new_leader([], RateLimit { rate: 2.0, burst: 3.0 });
+    (0..3).for_each(|n| drop(new(sequencer.submit(group(n), 1, &format!("k{n}"), 1_000))));
+    let refused = sequencer.submit(group(9), 1, "k9", 1_000).unwrap_err();
     assert_eq!(refused, SubmitError::RateLimited { tenant: 1, wait_ms: 500 });
     assert_eq!(
-        order.submit(group(0), 1, "k0", 1_000),
+        sequencer.submit(group(0), 1, "k0", 1_000),
         Ok(Submission::Duplicate(1)),
         "a repeat costs nothing"
     );
-    assert_eq!(new(order.submit(group(9), 2, "k9", 1_000)).number, 4, "others are not touched");
-    assert_eq!(new(order.submit(group(9), 1, "k9", 1_500)).number, 5);
-    assert!(order.submit(group(9), 1, &"k".repeat(65), 9_000).is_err());
+    assert_eq!(new(sequencer.submit(group(9), 2, "k9", 1_000)).number, 4, "other tenants are not affected");
+    assert_eq!(new(sequencer.submit(group(9), 1, "k9", 1_500)).number, 5);
+    assert!(sequencer.submit(group(9), 1, &"k".repeat(65), 9_000).is_err());
 }
 
 #[test]
-fn what_a_member_missed_is_told_in_order_or_all_that_lives_is() {
-    let (mut order, _) = take_up([], LIMIT);
-    (1..=10).for_each(|n| drop(new(order.submit(group(n), 0, &format!("{n}"), u64::from(n) * 100))));
-    let numbers = |order: &Sequencer, after| {
-        order.after(after).map(|list| list.map(|item| item.number).collect::<Vec<_>>())
+fn missed_items_are_returned_in_order_unless_evicted() {
+    let (mut sequencer, _) = new_leader([], LIMIT);
+    (1..=10).for_each(|n| drop(new(sequencer.submit(group(n), 0, &format!("{n}"), u64::from(n) * 100))));
+    let numbers = |sequencer: &Sequencer, after| {
+        sequencer.after(after).map(|list| list.map(|item| item.number).collect::<Vec<_>>())
     };
-    assert_eq!(numbers(&order, 7), Some(vec![8, 9, 10]));
-    order.evict(500, usize::MAX);
-    assert_eq!(numbers(&order, 4), Some(vec![5, 6, 7, 8, 9, 10]));
-    assert_eq!(numbers(&order, 3), None, "4 is forgotten: all that lives has to be told");
-    assert_eq!(numbers(&order, 10), Some(vec![]));
+    assert_eq!(numbers(&sequencer, 7), Some(vec![8, 9, 10]));
+    sequencer.evict(500, usize::MAX);
+    assert_eq!(numbers(&sequencer, 4), Some(vec![5, 6, 7, 8, 9, 10]));
+    assert_eq!(numbers(&sequencer, 3), None, "4 is evicted, so a snapshot is needed");
+    assert_eq!(numbers(&sequencer, 10), Some(vec![]));
 }
 
 #[test]
-fn a_silent_member_is_fenced_and_comes_back_as_a_cold_one() {
+fn a_silent_member_is_fenced_and_returns_with_a_slow_start() {
     let mut members = Members::default();
     let freed = |member: &str| Some(MemberChange::Freed { member: member.into() });
     assert_eq!(members.on_ack("a", 1, 0, true, at(0)), freed("a"));
@@ -105,7 +108,7 @@
     assert!(members.tick(early).is_empty());
     let fenced = members.tick(at(20_000) + FENCE_TIMEOUT);
     assert_eq!(fenced, [MemberChange::Fenced { member: "b".into(), applied: 0 }]);
-    assert!(members.is_reached(1), "nothing older is answered any more");
+    assert!(members.is_reached(1), "no older copy is served any more");
     assert_eq!(members.admission("b", 0.2, at(21_000)), Admission::Denied);
     assert_eq!(members.admission("a", 0.2, at(21_000)), Admission::Full);
     assert_eq!(members.on_ack("b", 1, 1, true, at(30_000)), freed("b"));
@@ -115,56 +118,56 @@
 }
 
 #[test]
-fn a_process_of_unknown_past_has_nothing_until_it_was_told_all() {
+fn a_new_process_counts_as_empty_until_it_has_all_live_items() {
     let mut members = Members::default();
     members.on_new_item(5, at(0));
-    assert_eq!(members.on_ack("a", 1, 5, false, at(1)), None, "it claims what it was not told");
+    assert_eq!(members.on_ack("a", 1, 5, false, at(1)), None, "it acknowledges what it has not received");
     assert_eq!(members.admission("a", 0.2, at(2)), Admission::Denied);
     assert!(members.on_ack("a", 1, 5, true, at(3)).is_some());
-    assert_eq!(members.on_ack("a", 2, 5, false, at(4)), None, "a new process under the name");
+    assert_eq!(members.on_ack("a", 2, 5, false, at(4)), None, "a new process of the same name");
     assert_eq!(members.admission("a", 0.2, at(5)), Admission::Denied);
-    assert_eq!(members.on_ack("a", 2, 9, true, at(6)), None, "a number from the future proves nothing");
+    assert_eq!(members.on_ack("a", 2, 9, true, at(6)), None, "a number beyond the last item proves nothing");
     assert_eq!(members.admission("a", 0.2, at(7)), Admission::Denied);
     assert!(members.on_ack("a", 2, 5, true, at(8)).is_some());
 }
 
-/// Whatever comes in whatever order, nobody that lacks a purge is used once its time is over, and nobody who has it all
-/// stays fenced.
+/// Whatever happens in whatever order, no member that lacks a purge is used after its timeout, and none that
+/// has applied everything stays fenced.
 #[test]
-fn no_member_is_used_that_lacks_a_purge_and_none_is_fenced_for_ever() {
+fn no_lagging_member_is_used_and_none_stays_fenced() {
     for seed in 0..300u64 {
         let mut members = Members::default();
         let (mut now, mut last) = (at(0), 0u64);
-        // The plain model: what each has said, and when each purge was told.
-        let mut has = [None::<u64>; 4];
-        let mut told = Vec::<Moment>::new();
+        // The reference model: what each member has acknowledged, and when each purge was sent.
+        let mut applied = [None::<u64>; 4];
+        let mut sent_at = Vec::<Moment>::new();
         let mut drawn = seed;
-        let mut chance = |below: u64| {
+        let mut random = |below: u64| {
             drawn = drawn.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             (drawn >> 33) % below
         };
         for _ in 0..200 {
-            now = now + Span::millis(chance(120));
-            if chance(3) == 0 {
+            now = now + Span::millis(random(120));
+            if random(3) == 0 {
                 last += 1;
                 members.on_new_item(last, now);
-                told.push(now);
+                sent_at.push(now);
             } else {
-                let one = chance(4) as usize;
-                let before = has[one].unwrap_or(0);
-                let upto = before + chance(last - before + 1);
-                has[one] = Some(upto);
-                members.on_ack(&format!("m{one}"), 1, upto, true, now);
+                let ix = random(4) as usize;
+                let before = applied[ix].unwrap_or(0);
+                let upto = before + random(last - before + 1);
+                applied[ix] = Some(upto);
+                members.on_ack(&format!("m{ix}"), 1, upto, true, now);
             }
             members.tick(now);
-            for (n, has) in has.iter().enumerate() {
+            for (n, applied) in applied.iter().enumerate() {
                 let used = members.admission(&format!("m{n}"), 0.2, now) != Admission::Denied;
-                // The first that it lacks is at the place of the number that it has.
-                let lacks = told.get(has.unwrap_or(0) as usize);
-                let late = lacks.is_some_and(|since| now.since(*since) >= FENCE_TIMEOUT);
-                assert!(!(late && used), "{seed}: m{n} lacks a purge and is used");
-                let complete = *has == Some(last);
-                assert!(used || !complete, "{seed}: m{n} has all and is not used");
+                // The first purge that it lacks has the index of the number it has applied.
+                let lacks = sent_at.get(applied.unwrap_or(0) as usize);
+                let is_overdue = lacks.is_some_and(|since| now.since(*since) >= FENCE_TIMEOUT);
+                assert!(!(is_overdue && used), "{seed}: m{n} lacks a purge and is used");
+                let complete = *applied == Some(last);
+                assert!(used || !complete, "{seed}: m{n} has applied everything and is not used");
             }
         }
         (0..4).for_each(|n| drop(members.on_ack(&format!("m{n}"), 1, last, true, now)));
@@ -172,45 +175,47 @@
     }
 }
 
-/// Ten times the usual rate: everyone always lacks the last few. Who keeps up all the same is not fenced, and who was
-/// fenced comes back while it goes on.
+/// At ten times the usual rate every member always lacks the last few purges. A member that keeps up is not
+/// fenced, and one that was fenced returns while the storm lasts.
 #[test]
-fn whoever_keeps_up_with_a_storm_is_used_throughout() {
+fn a_member_that_keeps_up_with_a_storm_is_used_throughout() {
     let mut members = Members::default();
     ["a", "b"].iter().for_each(|m| drop(members.on_ack(m, 1, 0, true, at(0))));
-    let (mut back, mut freed) = (0, None);
+    let (mut times_freed, mut freed) = (0, None);
     for n in 1..=1_200u64 {
         let now = at(10_000 + n * 8);
         members.on_new_item(n, now);
-        // The way is 100 ms long: each confirms what was told then. One is silent for the first 400 ms.
-        let has = n.saturating_sub(12);
-        assert_eq!(members.on_ack("a", 1, has, true, now), None);
-        if n > 50 && members.on_ack("b", 1, has, true, now).is_some() {
-            (back, freed) = (back + 1, Some(n));
+        // The round trip takes 100 ms, after which each member acknowledges what was sent then. One is
+        // silent for the first 400 ms.
+        let applied = n.saturating_sub(12);
+        assert_eq!(members.on_ack("a", 1, applied, true, now), None);
+        if n > 50 && members.on_ack("b", 1, applied, true, now).is_some() {
+            (times_freed, freed) = (times_freed + 1, Some(n));
         }
         members.tick(now);
         assert_eq!(members.admission("a", 0.2, now), Admission::Full, "{n}");
     }
-    assert_eq!((back, freed), (1, Some(51)), "it had missed a part, and came back at once");
+    assert_eq!((times_freed, freed), (1, Some(51)), "it had missed some items, and returned at once");
 }
 
-/// A process that says hello and dies is no reason to wait for ever: it is fenced like any other that lacks something.
+/// A process that connects once and dies must not block reports for ever: it is fenced like any other that
+/// lacks a purge.
 #[test]
-fn a_newcomer_that_never_confirms_is_fenced_and_holds_nothing_up() {
+fn a_new_process_that_never_acknowledges_is_fenced() {
     let mut members = Members::default();
     members.on_ack("a", 1, 0, true, at(0));
     members.on_ack("new", 1, 0, false, at(10_000));
     members.on_new_item(1, at(10_000));
     members.on_ack("a", 1, 1, true, at(10_010));
-    assert!(!members.is_reached(1), "it may be about to be told all, and lacks it until then");
+    assert!(!members.is_reached(1), "it may be receiving the live items, and lacks it until then");
     let fenced = members.tick(at(10_000) + FENCE_TIMEOUT);
     assert_eq!(fenced, [MemberChange::Fenced { member: "new".into(), applied: 0 }]);
     assert!(members.is_reached(1));
 }
 
-/// A line of a process whose name has another one by now decides nothing.
+/// A message of a process that was replaced by another one of the same name has no effect.
 #[test]
-fn a_late_line_of_a_replaced_process_is_refused_and_counted() {
+fn a_late_message_of_a_replaced_process_is_refused_and_counted() {
     let mut members = Members::default();
     members.on_ack("a", 1, 0, true, at(0));
     members.on_new_item(1, at(10));
@@ -221,29 +226,29 @@
 }
 
 #[test]
-fn a_promise_comes_from_what_was_measured_and_is_reported_on() {
-    let mut measured = LatencyStats::default();
-    assert_eq!((measured.promise().within_ms, measured.promise().odds), (1_000, 0.0));
-    (0..1_000u64).for_each(|n| measured.record_ack(Span::millis(5 + n % 40)));
-    let promise = measured.promise();
+fn promises_follow_measured_latencies_and_are_reported_on() {
+    let mut latency = LatencyStats::default();
+    assert_eq!((latency.promise().within_ms, latency.promise().odds), (1_000, 0.0));
+    (0..1_000u64).for_each(|n| latency.record_ack(Span::millis(5 + n % 40)));
+    let promise = latency.promise();
     assert!((300..=400).contains(&promise.within_ms) && promise.odds == 1.0, "{promise:?}");
-    (0..1_000).for_each(|_| measured.record_ack(Span::millis(900)));
-    assert!(measured.promise().within_ms >= 1_800, "slow members are owed a longer promise");
-    let (mut members, mut watch) = (Members::default(), PendingPurges::default());
+    (0..1_000).for_each(|_| latency.record_ack(Span::millis(900)));
+    assert!(latency.promise().within_ms >= 1_800, "slow members lead to a longer promise");
+    let (mut members, mut pending) = (Members::default(), PendingPurges::default());
     ["a", "b"].iter().for_each(|m| drop(members.on_ack(m, 1, 0, true, at(0))));
     members.on_new_item(1, at(1_000));
-    watch.insert(1, promise, at(1_000));
+    pending.insert(1, promise, at(1_000));
     members.on_ack("a", 1, 1, true, at(1_020));
-    assert!(watch.take_reached(1, |number| members.is_reached(number), at(1_020)).is_empty());
+    assert!(pending.take_reached(1, |number| members.is_reached(number), at(1_020)).is_empty());
     for change in members.tick(at(1_260)) {
-        if let MemberChange::Fenced { member, applied: has } = change {
-            watch.on_member_fenced(&member, has);
+        if let MemberChange::Fenced { member, applied } = change {
+            pending.on_member_fenced(&member, applied);
         }
     }
-    let reports = watch.take_reached(1, |number| members.is_reached(number), at(1_260));
+    let reports = pending.take_reached(1, |number| members.is_reached(number), at(1_260));
     assert_eq!(
         (reports[0].reached_ms, reports[0].kept, reports[0].fenced.clone()),
         (260, true, vec!["b".to_string()])
     );
-    assert_eq!(watch.count(), 0);
+    assert_eq!(pending.count(), 0);
 }
--- a/crates/purge/tests/resident.rs
+++ b/crates/purge/tests/resident.rs
@@ -1,10 +1,10 @@
-//! What the index says that it takes, against what the process takes. One test in a process of its own, which keeps all
-//! that it builds, so that nothing is taken from memory that was given back.
+//! Compares the estimated size of the index with the resident set size. The only test in its process; it
+//! keeps all that it builds, so that memory freed earlier is not reused.
 use harestage::time::{Moment, Span};
 use harestage_purge::index::Index;
 use harestage_purge::scope::{CopyAttributes, Scope};
 
-/// Bytes that this process has in memory.
+/// Resident set size of this process in bytes.
 fn resident() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_bytes_that_are_told_are_those_that_are_taken() {
+fn estimated_bytes_match_the_resident_set_size() {
     let tags = |n: u64| [format!("case-{}", n / 3), format!("photo-{n}")];
     let hex = |n: u64| format!("{:016x}", spread(n));
     type Kind<'a> = (&'a str, u64, &'a dyn Fn(u64) -> Scope);
@@ -32,16 +32,16 @@
         ("regexes", 2_000, &|n| Scope::Regex(format!("case/{n}/[a-z]+-[0-9]*\\.mp4"))),
         ("patterns", 3_000, &|n| Scope::Glob(format!("case/{n}/*.mp4"))),
     ];
-    let mut kept = Vec::new();
-    for (kind, many, scope) in kinds {
+    let mut indexes = Vec::new();
+    for (kind, count, scope) in kinds {
         let before = resident();
         let mut index = Index::new(1 << 20, Span::millis(1 << 40));
-        for n in 0..many {
+        for n in 0..count {
             let at = Moment::at_micros(1_000_000_000 + n * 1_000_000 / 12);
             index.insert(&scope(n).compile().unwrap(), at, at);
         }
-        // Every pattern is tried on a name, and takes what that takes.
-        for n in (0..many).take(5_000) {
+        // Patterns take more memory once they were matched against a name.
+        for n in (0..count).take(5_000) {
             let name = format!("case/{n}/clip.mp4");
             index.newest_purge(&CopyAttributes {
                 object: spread(n),
@@ -52,10 +52,10 @@
             });
         }
         assert_eq!(index.total_folds(), 0, "{kind}");
-        let (told, taken) = (index.estimated_bytes(), resident() - before);
-        let share = told as f64 / taken as f64;
-        println!("{kind}: {many} are told to take {told} bytes, and take {taken}: {share:.2}");
-        assert!((1.0 / 1.5..1.5).contains(&share), "{kind}: {told} bytes told, {taken} taken");
-        kept.push(index);
+        let (estimated, measured) = (index.estimated_bytes(), resident() - before);
+        let ratio = estimated as f64 / measured as f64;
+        println!("{kind}: {count} are estimated at {estimated} bytes and take {measured}: {ratio:.2}");
+        assert!((1.0 / 1.5..1.5).contains(&ratio), "{kind}: {estimated} bytes estimated, {measured} taken");
+        indexes.push(index);
     }
 }
--- a/crates/purge/tests/scopes.rs
+++ b/crates/purge/tests/scopes.rs
@@ -1,11 +1,11 @@
-//! What a purge covers: refused scopes by what is wrong with them, and the index against a plain list.
+//! Scopes: invalid ones are refused with a reason, and the index is checked against a linear scan.
 use harestage::time::{Moment, Span};
 use harestage_purge::index::{Index, LinearIndex};
 use harestage_purge::scope::{CopyAttributes, Scope, ScopeError};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeSet;
 
-fn set(tags: &[&str]) -> BTreeSet<String> {
+fn tag_set(tags: &[&str]) -> BTreeSet<String> {
     tags.iter().map(|tag| tag.to_string()).collect()
 }
 
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn scopes_that_can_not_be_used_are_refused_by_what_is_wrong() {
-    let told = |scope: Scope| scope.compile().unwrap_err().to_string();
-    assert_eq!(told(Scope::Object("12".into())), "object \"12\" is not 16 hex digits");
-    assert_eq!(told(Scope::AnyTag(set(&[]))), "0 tags given, 1 to 16 are allowed");
-    assert!(told(Scope::AllTags(set(&["a b"]))).contains("\"a b\""));
-    assert!(told(Scope::Glob("case/[a".into())).starts_with("pattern \"case/[a\": "));
-    assert!(told(Scope::Regex("case(".into())).starts_with("pattern \"case(\": "));
-    assert!(told(Scope::Prefix("x".repeat(300))).contains("has 300 bytes"));
+fn invalid_scopes_are_refused_with_a_reason() {
+    let error = |scope: Scope| scope.compile().unwrap_err().to_string();
+    assert_eq!(error(Scope::Object("12".into())), "object \"12\" is not 16 hex digits");
+    assert_eq!(error(Scope::AnyTag(tag_set(&[]))), "0 tags given, 1 to 16 are allowed");
+    assert!(error(Scope::AllTags(tag_set(&["a b"]))).contains("\"a b\""));
+    assert!(error(Scope::Glob("case/[a".into())).starts_with("pattern \"case/[a\": "));
+    assert!(error(Scope::Regex("case(".into())).starts_with("pattern \"case(\": "));
+    assert!(error(Scope::Prefix("x".repeat(300))).contains("has 300 bytes"));
     for regex in [
         "a)|(b",
         "(?:x{1000}){1000}",
@@ -39,12 +39,12 @@
     for scope in all {
         assert!(matches!(scope.compile(), Err(ScopeError::CoversAll { .. })), "{scope:?}");
     }
-    assert!(Scope::Everything.compile().is_ok(), "it says so");
+    assert!(Scope::Everything.compile().is_ok(), "it is explicit");
     assert!(serde_json::from_str::<Scope>("{\"prefixes\":\"x\"}").is_err());
 }
 
 #[test]
-fn patterns_cover_what_they_say() {
+fn patterns_match_as_documented() {
     let covers = |scope: Scope, name: &str| scope.compile().unwrap().covers(&named(name));
     assert!(covers(Scope::Glob("case/17/*.mp4".into()), "case/17/a.mp4"));
     assert!(!covers(Scope::Glob("case/17/*.mp4".into()), "case/17/b/a.mp4"));
@@ -59,23 +59,23 @@
 const TAGS: [&str; 4] = ["claim", "north", "photo", "urgent"];
 
 #[derive(Clone, Debug)]
-struct Any(Scope);
+struct AnyScope(Scope);
 
-impl Arbitrary for Any {
-    fn arbitrary(g: &mut Gen) -> Any {
-        let few = |g: &mut Gen| {
-            let many = usize::arbitrary(g) % 3 + 1;
-            (0..many).map(|_| TAGS[usize::arbitrary(g) % 4].to_string()).collect::<BTreeSet<String>>()
+impl Arbitrary for AnyScope {
+    fn arbitrary(g: &mut Gen) -> AnyScope {
+        let random_tags = |g: &mut Gen| {
+            let count = usize::arbitrary(g) % 3 + 1;
+            (0..count).map(|_| TAGS[usize::arbitrary(g) % 4].to_string()).collect::<BTreeSet<String>>()
         };
         let object = |g: &mut Gen| format!("{:016x}", u64::arbitrary(g) % 6);
         let patterns = ["case/*", "a*", "c?se/1", "{a,x}*", "case/**", "[a-c]", "x"];
         let regexes = ["case/[0-9]+", "ab?c?", "a|x.*", "c.*/x", "(case|b)/?.*", "abc*"];
-        Any(match u8::arbitrary(g) % 9 {
+        AnyScope(match u8::arbitrary(g) % 9 {
             0 => Scope::Object(object(g)),
             1 => Scope::Part { object: object(g), part: u32::arbitrary(g) % 3 },
             2 => Scope::Group(u32::arbitrary(g) % 4),
-            3 => Scope::AllTags(few(g)),
-            4 => Scope::AnyTag(few(g)),
+            3 => Scope::AllTags(random_tags(g)),
+            4 => Scope::AnyTag(random_tags(g)),
             5 => Scope::Prefix(NAMES[usize::arbitrary(g) % 12].into()),
             6 => Scope::Glob(patterns[usize::arbitrary(g) % patterns.len()].into()),
             7 => Scope::Regex(regexes[usize::arbitrary(g) % regexes.len()].into()),
@@ -84,8 +84,8 @@
     }
 }
 
-/// Every combination of facts that a copy may have, those that are not told among them.
-fn all_facts(check: &mut dyn FnMut(&CopyAttributes)) {
+/// Checks all combinations of attributes, including unknown ones.
+fn for_all_attributes(check: &mut dyn FnMut(&CopyAttributes)) {
     let tag_sets: [Option<&[&str]>; 5] =
         [None, Some(&[]), Some(&["claim"]), Some(&["claim", "photo"]), Some(&["north", "photo", "urgent"])];
     for object in 0..6 {
@@ -98,53 +98,58 @@
 }
 
 #[test]
-fn the_index_says_what_a_plain_list_says() {
-    fn same(scopes: Vec<(Any, u16)>) -> bool {
-        let (mut index, mut plain) = (Index::new(100_000, Span::millis(1 << 40)), LinearIndex::default());
-        for (Any(scope), ms) in &scopes {
-            let (checked, at) = (scope.compile().unwrap(), at(1 + u64::from(*ms)));
-            index.insert(&checked, at, at);
-            plain.insert(&checked, at);
+fn the_index_agrees_with_a_linear_scan() {
+    fn agrees(scopes: Vec<(AnyScope, u16)>) -> bool {
+        let (mut index, mut linear) = (Index::new(100_000, Span::millis(1 << 40)), LinearIndex::default());
+        for (AnyScope(scope), ms) in &scopes {
+            let (compiled, at) = (scope.compile().unwrap(), at(1 + u64::from(*ms)));
+            index.insert(&compiled, at, at);
+            linear.insert(&compiled, at);
         }
-        let mut same = true;
-        all_facts(&mut |facts| same &= index.newest_purge(facts) == plain.newest_purge(facts));
-        same
+        let mut agrees = true;
+        for_all_attributes(&mut |attributes| {
+            agrees &= index.newest_purge(attributes) == linear.newest_purge(attributes)
+        });
+        agrees
     }
     for seed in 1..=4 {
         let rng = Gen::from_size_and_seed(60, seed);
-        QuickCheck::new().rng(rng).tests(120).quickcheck(same as fn(Vec<(Any, u16)>) -> bool);
+        QuickCheck::new().rng(rng).tests(120).quickcheck(agrees as fn(Vec<(AnyScope, u16)>) -> bool);
     }
 }
 
-/// At its bound, and as purges grow old, it may ask for a younger copy than the list does, never for an older one; and
-/// what is dropped is older than any copy can be.
+/// At its limit, and as purges expire, the index may require younger copies than a linear scan, but never
+/// admits older ones. Expired purges are older than any copy can be.
 #[test]
-fn a_bounded_index_errs_towards_younger_copies_only() {
-    fn holds(scopes: Vec<(Any, u8)>) -> bool {
-        let longest = Span::millis(20_000);
-        let (mut index, mut plain) = (Index::new(24, longest), LinearIndex::default());
+fn a_full_index_errs_towards_younger_copies_only() {
+    fn never_admits_older(scopes: Vec<(AnyScope, u8)>) -> bool {
+        let max_copy_age = Span::millis(20_000);
+        let (mut index, mut linear) = (Index::new(24, max_copy_age), LinearIndex::default());
         let mut now = at(1_000_000);
-        for (Any(scope), ms) in &scopes {
+        for (AnyScope(scope), ms) in &scopes {
             now = now + Span::millis(u64::from(*ms) * 8);
-            let checked = scope.compile().unwrap();
-            index.insert(&checked, now, now);
-            plain.insert(&checked, now);
+            let compiled = scope.compile().unwrap();
+            index.insert(&compiled, now, now);
+            linear.insert(&compiled, now);
         }
-        let mut good = index.entry_count() <= 24 + 4;
-        all_facts(&mut |facts| {
-            let wanted = plain.newest_purge(facts).filter(|at| now.since(*at) < longest);
-            good &= index.newest_purge(facts).unwrap_or_default() >= wanted.unwrap_or_default();
+        let mut is_valid = index.entry_count() <= 24 + 4;
+        for_all_attributes(&mut |attributes| {
+            let expected = linear.newest_purge(attributes).filter(|at| now.since(*at) < max_copy_age);
+            is_valid &= index.newest_purge(attributes).unwrap_or_default() >= expected.unwrap_or_default();
         });
-        good
+        is_valid
     }
     for seed in 1..=4 {
         let rng = Gen::from_size_and_seed(120, seed);
-        QuickCheck::new().rng(rng).tests(120).quickcheck(holds as fn(Vec<(Any, u8)>) -> bool);
+        QuickCheck::new()
+            .rng(rng)
+            .tests(120)
+            .quickcheck(never_admits_older as fn(Vec<(AnyScope, u8)>) -> bool);
     }
 }
 
 #[test]
-fn what_is_over_gives_its_room_back() {
+fn expired_entries_free_their_memory() {
     let mut index = Index::new(1_000_000, Span::millis(10_000));
     for n in 0..20_000u64 {
         let scope = Scope::Prefix(format!("case/{n}/"));
@@ -160,14 +165,14 @@
     }
     assert!(
         index.estimated_bytes() < full * 11 / 10,
-        "nodes are used again: {} after {full}",
+        "nodes are reused: {} after {full}",
         index.estimated_bytes()
     );
 }
 
-/// Many patterns at one node: the oldest count for all that begins so.
+/// With many patterns at one node, the oldest are folded into a purge of the node's prefix.
 #[test]
-fn patterns_at_one_node_are_bounded() {
+fn patterns_per_node_are_limited() {
     let mut index = Index::new(1_000_000, Span::millis(1 << 40));
     for n in 0..200u64 {
         let scope = Scope::Glob(format!("case/*{n}"));
@@ -176,7 +181,7 @@
     assert_eq!(index.newest_purge(&named("case/x199")), Some(at(1_199)));
     assert!(
         index.newest_purge(&named("case/x")).is_some_and(|bound| bound >= at(1_100)),
-        "younger than it had to be"
+        "younger than necessary"
     );
     assert_eq!(index.newest_purge(&named("file/x1")), None);
 }
