--- a/crates/purge/src/index.rs
+++ b/crates/purge/src/index.rs
@@ -83,7 +83,7 @@
     slot_count: u32,
     /// Newest purge of all names with this prefix.
     at: Moment,
-    /// Set if `at` comes from folding.
+    /// Folding has contributed to `at`.
     folded: bool,
     patterns: Vec<(Moment, Pattern)>,
 }
--- a/crates/purge/src/members.rs
+++ b/crates/purge/src/members.rs
@@ -33,8 +33,9 @@
 const EXPIRY_CHECK_INTERVAL: Span = Span::millis(1_000);
 /// Maximum number of members.
 pub const MAX_MEMBERS: usize = 16_384;
-/// Maximum number of gatherers, and of members of one gatherer.
+/// Maximum number of gatherers.
 pub const MAX_GATHERERS: usize = 1_024;
+/// Maximum number of members of one gatherer.
 pub const MAX_MEMBERS_PER_GATHERER: usize = 2_048;
 /// A gatherer without members that is silent for this long may be replaced by another one.
 const IDLE_GATHERER_EXPIRY: Span = Span::millis(60_000);
--- a/crates/purge/src/scope.rs
+++ b/crates/purge/src/scope.rs
@@ -7,8 +7,9 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Maximum number of tags in a purge, and of bytes in a tag.
+/// Maximum number of tags in a purge.
 pub const MAX_TAGS: usize = 16;
+/// Maximum length of a tag in bytes.
 pub const MAX_TAG_BYTES: usize = 64;
 /// Maximum length of a prefix or pattern in bytes.
 pub const MAX_PATTERN_BYTES: usize = 256;
