--- a/crates/benchlink/src/frame.rs
+++ b/crates/benchlink/src/frame.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Debug, PartialEq, Clone)]
-pub struct Entry {
+pub struct MemberEntry {
     pub hall: u16,
     pub cache: u32,
     pub online_since: u64,
@@ -35,14 +35,14 @@
 }
 
 #[derive(Debug, PartialEq, Clone)]
-pub enum Record {
+pub enum EventRecord {
     Spawn {
         seed: u64,
         info: Vec<u8>,
     },
     Targets {
         how: u8,
-        entries: Vec<Entry>,
+        entries: Vec<MemberEntry>,
     },
     Request {
         ticket: u64,
@@ -94,7 +94,7 @@
 pub struct Batch {
     pub clock: u64,
     /// Each with the byte of the frame at which it starts.
-    pub records: Vec<(usize, Record)>,
+    pub records: Vec<(usize, EventRecord)>,
 }
 
 /// Big-endian fields of a slice that is known to be long enough.
@@ -154,18 +154,18 @@
     }
 }
 
-fn read_record(raw: &[u8], at: usize, tail: &[u8]) -> Result<Record, Malformed> {
+fn read_record(raw: &[u8], at: usize, tail: &[u8]) -> Result<EventRecord, Malformed> {
     let f = Fields(raw);
     Ok(match f.u8(0) {
         0 => {
             let info = tail_part(&f, ("SPAWN Info", 9), 1, at, tail)?;
-            Record::Spawn { seed: f.u64(1), info: info.to_vec() }
+            EventRecord::Spawn { seed: f.u64(1), info: info.to_vec() }
         }
         1 => {
             let part = tail_part(&f, ("TARGETS MembersList", 10), ENTRY, at, tail)?;
-            Record::Targets { how: f.u8(1), entries: part.chunks_exact(ENTRY).map(read_entry).collect() }
+            EventRecord::Targets { how: f.u8(1), entries: part.chunks_exact(ENTRY).map(read_entry).collect() }
         }
-        2 => Record::Request {
+        2 => EventRecord::Request {
             ticket: f.u64(1),
             class: f.u16(9),
             item: f.u64(15),
@@ -175,8 +175,8 @@
             part: f.f32(39),
             options: f.u16(43),
         },
-        3 => Record::Established { ticket: f.u64(1), hop: f.u8(9) },
-        4 => Record::Response {
+        3 => EventRecord::Established { ticket: f.u64(1), hop: f.u8(9) },
+        4 => EventRecord::Response {
             ticket: f.u64(1),
             rc: f.u16(9),
             note: f.u32(11),
@@ -186,23 +186,23 @@
             complete: f.u8(24) != 0,
             took: f.u32(25),
         },
-        5 => Record::Aborted { ticket: f.u64(1) },
-        6 => Record::Elapsed { handle: f.u32(1) },
-        7 => Record::Sampled { cache: f.u32(1), rc: f.u16(5) },
+        5 => EventRecord::Aborted { ticket: f.u64(1) },
+        6 => EventRecord::Elapsed { handle: f.u32(1) },
+        7 => EventRecord::Sampled { cache: f.u32(1), rc: f.u16(5) },
         8 => {
             tail_part(&f, ("INBOX Blob", 3), 1, at, tail)?;
-            Record::Inbox
+            EventRecord::Inbox
         }
-        9 => Record::Teardown,
-        10 => Record::Replaced { item: f.u64(1), tag: f.u16(9), age: f.u32(11) },
-        11 => Record::For { instance: f.u16(1) },
+        9 => EventRecord::Teardown,
+        10 => EventRecord::Replaced { item: f.u64(1), tag: f.u16(9), age: f.u32(11) },
+        11 => EventRecord::For { instance: f.u16(1) },
         code => return malformed(format!("unknown event code {code}"), at),
     })
 }
 
-fn read_entry(raw: &[u8]) -> Entry {
+fn read_entry(raw: &[u8]) -> MemberEntry {
     let f = Fields(raw);
-    Entry {
+    MemberEntry {
         hall: f.u16(0),
         cache: f.u32(2),
         online_since: f.u64(6),
@@ -214,7 +214,7 @@
 }
 
 #[derive(Debug, PartialEq, Clone)]
-pub enum Action {
+pub enum ActionRecord {
     Instance { instance: u16 },
     ServeVia { ticket: u64, age: u32, rank: u8, within: u32, cache: u32, switches: u8, feeder: u32 },
     Abandon { ticket: u64, hop: u8 },
@@ -235,11 +235,11 @@
 }
 
 impl Reply {
-    pub fn push(&mut self, action: &Action) {
+    pub fn push(&mut self, action: &ActionRecord) {
         let start = self.records.len();
         match action {
-            Action::Instance { instance } => self.code(5).extend(instance.to_be_bytes()),
-            Action::ServeVia { ticket, age, rank, within, cache, switches, feeder } => {
+            ActionRecord::Instance { instance } => self.code(5).extend(instance.to_be_bytes()),
+            ActionRecord::ServeVia { ticket, age, rank, within, cache, switches, feeder } => {
                 let r = self.code(3);
                 r.extend(ticket.to_be_bytes());
                 r.extend(age.to_be_bytes());
@@ -249,25 +249,25 @@
                 r.push(*switches);
                 r.extend(feeder.to_be_bytes());
             }
-            Action::Abandon { ticket, hop } => {
+            ActionRecord::Abandon { ticket, hop } => {
                 let r = self.code(7);
                 r.extend(ticket.to_be_bytes());
                 r.push(*hop);
             }
-            Action::PushBack { ticket, not_before } => {
+            ActionRecord::PushBack { ticket, not_before } => {
                 let r = self.code(12);
                 r.extend(ticket.to_be_bytes());
                 r.extend(not_before.to_be_bytes());
             }
-            Action::RespondError { ticket } => self.code(9).extend(ticket.to_be_bytes()),
-            Action::Sleep { from_now, handle } => {
+            ActionRecord::RespondError { ticket } => self.code(9).extend(ticket.to_be_bytes()),
+            ActionRecord::Sleep { from_now, handle } => {
                 let r = self.code(4);
                 r.extend(from_now.to_be_bytes());
                 r.extend(handle.to_be_bytes());
             }
-            Action::Track { enable } => self.code(11).push(u8::from(*enable)),
-            Action::Print { text } => self.text(10, text),
-            Action::Fault { text } => self.text(13, text),
+            ActionRecord::Track { enable } => self.code(11).push(u8::from(*enable)),
+            ActionRecord::Print { text } => self.text(10, text),
+            ActionRecord::Fault { text } => self.text(13, text),
         }
         self.records.resize(start + ACTION, 0);
     }
--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -1,17 +1,17 @@
 //! Hosts the instances: each gets its own events and nothing of any other.
-use crate::frame::{Action, Batch, Entry, Malformed, Record, Reply, malformed};
-use harestage::brain::Brain;
-use harestage::door::{Event, Order, Pull, Register};
+use crate::frame::{ActionRecord, Batch, EventRecord, Malformed, MemberEntry, Reply, malformed};
+use harestage::interface::{Action, Event, IdRegistry, Pull};
+use harestage::policy::Policy;
 use harestage::state::*;
 use harestage::time::{Moment, Span};
-use harestage_profile::{Kinds, read_settings};
+use harestage_profile::{NodeKinds, read_settings};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 struct Instance {
-    brain: Brain,
-    register: Register,
-    kinds: Kinds,
+    policy: Policy,
+    register: IdRegistry,
+    kinds: NodeKinds,
     contents: u16,
 }
 
@@ -35,7 +35,7 @@
         let mut selected = None;
         let mut events = Vec::new();
         for (at, record) in &batch.records {
-            if let Record::For { instance } = record {
+            if let EventRecord::For { instance } = record {
                 self.turn(selected, now, &mut events, &mut reply);
                 selected = Some(*instance);
                 continue;
@@ -66,16 +66,16 @@
         }
         let mut orders = Vec::new();
         let events = std::mem::take(events);
-        let brain = &mut instance.brain;
-        let ran = catch_unwind(AssertUnwindSafe(|| brain.turn(now, events, &mut orders)));
+        let policy = &mut instance.policy;
+        let ran = catch_unwind(AssertUnwindSafe(|| policy.step(now, events, &mut orders)));
         if ran.is_ok() && orders.is_empty() {
             return;
         }
-        reply.push(&Action::Instance { instance: number });
+        reply.push(&ActionRecord::Instance { instance: number });
         if let Err(panic) = ran {
             let text = panic.downcast_ref::<String>().cloned();
             let text = text.or_else(|| panic.downcast_ref::<&str>().map(|s| s.to_string()));
-            reply.push(&Action::Fault { text: text.unwrap_or_else(|| "panic without a text".into()) });
+            reply.push(&ActionRecord::Fault { text: text.unwrap_or_else(|| "panic without a text".into()) });
             self.instances.remove(&number);
             return;
         }
@@ -89,116 +89,116 @@
     fn step(
         &mut self,
         number: u16,
-        record: &Record,
+        record: &EventRecord,
         at: usize,
         now: Moment,
     ) -> Result<Option<Step>, Malformed> {
-        if let Record::Spawn { seed, info } = record {
+        if let EventRecord::Spawn { seed, info } = record {
             let (profile, kinds) = match read_settings(info) {
                 Ok(read) => read,
                 Err(what) => return malformed(format!("SPAWN Info: {what}"), at + 9),
             };
-            let contents = profile.contents.len() as u16;
-            let brain = Brain::open(profile, *seed, now);
-            let instance = Instance { brain, register: Register::default(), kinds, contents };
+            let contents = profile.content_types.len() as u16;
+            let policy = Policy::new(profile, *seed, now);
+            let instance = Instance { policy, register: IdRegistry::default(), kinds, contents };
             return Ok(Some(Step::Open(Box::new(instance))));
         }
         let Some(instance) = self.instances.get_mut(&number) else {
-            if matches!(record, Record::Teardown) {
+            if matches!(record, EventRecord::Teardown) {
                 return Ok(None);
             }
             return malformed(format!("record for instance {number}, which has not started"), at);
         };
-        if matches!(record, Record::Teardown) {
+        if matches!(record, EventRecord::Teardown) {
             return Ok(Some(Step::Close));
         }
         Ok(read_event(instance, record, at)?.map(Step::Event))
     }
 }
 
-fn read_event(instance: &mut Instance, record: &Record, at: usize) -> Result<Option<Event>, Malformed> {
+fn read_event(instance: &mut Instance, record: &EventRecord, at: usize) -> Result<Option<Event>, Malformed> {
     let Instance { register, kinds, contents, .. } = instance;
     Ok(match record {
-        Record::Targets { how, entries } => {
+        EventRecord::Targets { how, entries } => {
             let news = match how {
-                1 => RosterNews::Changes,
-                0 | 3 => RosterNews::Whole,
-                4 => RosterNews::Failed,
+                1 => MembershipUpdate::Delta,
+                0 | 3 => MembershipUpdate::Snapshot,
+                4 => MembershipUpdate::Failed,
                 _ => return malformed(format!("TARGETS How {how} is unknown"), at + 1),
             };
             let listings =
                 entries.iter().map(|e| read_listing(register, *kinds, e, at)).collect::<Result<_, _>>()?;
-            Some(Event::Roster { news, listings })
+            Some(Event::Membership { update: news, records: listings })
         }
-        Record::Request { class, .. } if class >= contents => {
+        EventRecord::Request { class, .. } if class >= contents => {
             return malformed(format!("REQUEST TierClass {class} is not among the Classes"), at + 9);
         }
-        Record::Request { ticket, class, item, valid_until, size_kb, tag, part, options } => {
+        EventRecord::Request { ticket, class, item, valid_until, size_kb, tag, part, options } => {
             let download = Download {
-                content: ContentIx(*class),
+                content: ContentIndex(*class),
                 object: ObjectKey(*item),
                 part: *part as u32,
                 group: *tag as u32,
                 kilobytes: *size_kb,
-                leaves_at: Moment::at_micros(*valid_until),
-                repeat: options & 2 != 0,
+                deadline: Moment::at_micros(*valid_until),
+                is_retry: options & 2 != 0,
             };
-            Some(Event::Arrived { dl: register.enter_dl(*ticket), download })
+            Some(Event::Arrived { dl: register.register_download(*ticket), download })
         }
-        Record::Response { ticket, rc, note, first_byte, cache, hop, complete, took } => {
+        EventRecord::Response { ticket, rc, note, first_byte, cache, hop, complete, took } => {
             let ending = match rc {
-                200 => Ending::Fulfilled,
-                502 => Ending::Error,
-                429 => Ending::Full,
-                408 => Ending::TimedOut,
-                521 => Ending::NoConnection,
-                520 => Ending::Broken,
-                444 => Ending::Cancelled,
-                409 => Ending::NotSent,
-                204 => Ending::Missed,
+                200 => PullOutcome::Fulfilled,
+                502 => PullOutcome::Error,
+                429 => PullOutcome::Full,
+                408 => PullOutcome::TimedOut,
+                521 => PullOutcome::NoConnection,
+                520 => PullOutcome::Broken,
+                444 => PullOutcome::Cancelled,
+                409 => PullOutcome::NotSent,
+                204 => PullOutcome::Missed,
                 _ => return malformed(format!("RESPONSE Rc {rc} is unknown"), at + 9),
             };
             register.dl(*ticket).zip(register.node(*cache)).map(|(dl, node)| {
-                Event::Ended(PullEnd {
+                Event::PullEnded(PullResult {
                     dl,
-                    pull: *hop,
+                    attempt: *hop,
                     node,
-                    ending,
-                    remark: read_note(*note),
-                    closed: *complete,
-                    took: Span::micros(u64::from(*took)),
+                    outcome: ending,
+                    cache_status: read_note(*note),
+                    answered: *complete,
+                    duration: Span::micros(u64::from(*took)),
                     first_byte: Span::micros(u64::from(*first_byte)),
                 })
             })
         }
-        Record::Aborted { ticket } => register.dl(*ticket).map(|dl| Event::Left { dl }),
-        Record::Elapsed { handle } => Some(Event::TimerFired { timer: *handle }),
-        Record::Replaced { item, tag, age } => Some(Event::Purged {
+        EventRecord::Aborted { ticket } => register.dl(*ticket).map(|dl| Event::ClientLeft { dl }),
+        EventRecord::Elapsed { handle } => Some(Event::TimerFired { timer: *handle }),
+        EventRecord::Replaced { item, tag, age } => Some(Event::Purged {
             object: (*item != 0).then_some(ObjectKey(*item)),
             group: u32::from(*tag),
             ago: Span::micros(u64::from(*age)),
         }),
         // Nothing is decided by the start of a stream, nor by probes, which are never sent, nor by peers.
-        Record::Established { .. } | Record::Sampled { .. } | Record::Inbox => None,
-        Record::Spawn { .. } | Record::Teardown | Record::For { .. } => None,
+        EventRecord::Established { .. } | EventRecord::Sampled { .. } | EventRecord::Inbox => None,
+        EventRecord::Spawn { .. } | EventRecord::Teardown | EventRecord::For { .. } => None,
     })
 }
 
 fn read_listing(
-    register: &mut Register,
-    kinds: Kinds,
-    entry: &Entry,
+    register: &mut IdRegistry,
+    kinds: NodeKinds,
+    entry: &MemberEntry,
     at: usize,
-) -> Result<Listing, Malformed> {
+) -> Result<NodeRecord, Malformed> {
     let phase = match entry.phase {
         1 => Phase::Ready,
         2 => Phase::Draining,
-        0 => Phase::Gone,
+        0 => Phase::Removed,
         other => return malformed(format!("TARGETS MembersList Phase {other} is unknown"), at + 10),
     };
-    Ok(Listing {
-        node: register.enter_node(entry.cache),
-        stamp: u64::from(entry.cache),
+    Ok(NodeRecord {
+        node: register.register_node(entry.cache),
+        hash_key: u64::from(entry.cache),
         zone: entry.hall,
         cell: entry.bay,
         kind: entry.kind,
@@ -213,19 +213,19 @@
     })
 }
 
-fn read_note(note: u32) -> Remark {
+fn read_note(note: u32) -> CacheStatus {
     match note {
-        1 => Remark::Hit,
-        2 => Remark::Filled,
-        3 => Remark::FromOrigin,
-        4 => Remark::Joined,
-        5 => Remark::Aged,
-        6 => Remark::SourceRefused,
-        7 => Remark::SourceLost,
-        8 => Remark::SourceLacks,
-        9 => Remark::NoPlace,
-        10 => Remark::OriginFailed,
-        _ => Remark::Nothing,
+        1 => CacheStatus::Hit,
+        2 => CacheStatus::Filled,
+        3 => CacheStatus::FromOrigin,
+        4 => CacheStatus::Joined,
+        5 => CacheStatus::Stale,
+        6 => CacheStatus::SourceRefused,
+        7 => CacheStatus::SourceLost,
+        8 => CacheStatus::SourceLacks,
+        9 => CacheStatus::NoFillSlot,
+        10 => CacheStatus::OriginFailed,
+        _ => CacheStatus::Unknown,
     }
 }
 
@@ -234,30 +234,34 @@
     u32::try_from(span.as_micros()).unwrap_or(u32::MAX)
 }
 
-fn write_order(register: &mut Register, order: Order) -> Option<Action> {
+fn write_order(register: &mut IdRegistry, order: Action) -> Option<ActionRecord> {
     Some(match order {
-        Order::Pull(pull) => write_pull(register, pull),
-        Order::Cancel { dl, pull } => Action::Abandon { ticket: register.dl_id(dl), hop: pull },
-        Order::Throttle { dl, retry_after } => {
-            Action::PushBack { ticket: register.dl_id(dl), not_before: wire_span(retry_after) }
+        Action::Pull(pull) => write_pull(register, pull),
+        Action::Cancel { dl, attempt: pull } => {
+            ActionRecord::Abandon { ticket: register.download_id(dl), hop: pull }
         }
-        Order::Abandon { dl } => Action::RespondError { ticket: register.dl_id(dl) },
-        Order::SetTimer { after, timer } => Action::Sleep { from_now: wire_span(after), handle: timer },
-        Order::WatchRoster => Action::Track { enable: true },
-        Order::Forget { dl } => {
-            register.forget_dl(dl);
+        Action::Throttle { dl, retry_after } => {
+            ActionRecord::PushBack { ticket: register.download_id(dl), not_before: wire_span(retry_after) }
+        }
+        Action::Abandon { dl } => ActionRecord::RespondError { ticket: register.download_id(dl) },
+        Action::SetTimer { after, timer } => {
+            ActionRecord::Sleep { from_now: wire_span(after), handle: timer }
+        }
+        Action::WatchMembership => ActionRecord::Track { enable: true },
+        Action::Release { dl } => {
+            register.release_download(dl);
             return None;
         }
     })
 }
 
-fn write_pull(register: &Register, pull: Pull) -> Action {
+fn write_pull(register: &IdRegistry, pull: Pull) -> ActionRecord {
     let switches = [(pull.join, 1), (pull.only_held, 2), (pull.no_copy, 4), (pull.renew, 8)];
     // The wire caps a time-out at the client's leave; spans past the i32 range would read as negative there.
-    let within = wire_span(pull.time_out).min(i32::MAX as u32);
-    Action::ServeVia {
-        ticket: register.dl_id(pull.dl),
-        age: wire_span(pull.oldest),
+    let within = wire_span(pull.timeout).min(i32::MAX as u32);
+    ActionRecord::ServeVia {
+        ticket: register.download_id(pull.dl),
+        age: wire_span(pull.max_age),
         rank: pull.rank,
         within,
         cache: register.node_id(pull.node),
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The codec against the wire page's own frames, and what bad input gets.
-use harestage_benchlink::frame::{Action, HEADER, Record, Reply, body_len, read_batch};
+use harestage_benchlink::frame::{ActionRecord, EventRecord, HEADER, Reply, body_len, read_batch};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -25,7 +25,7 @@
     frame
 }
 
-fn read(frame: &[u8]) -> Vec<Record> {
+fn read(frame: &[u8]) -> Vec<EventRecord> {
     let header = frame[..HEADER].try_into().unwrap();
     assert_eq!(body_len(&header), frame.len() - HEADER);
     read_batch(&header, &frame[HEADER..]).unwrap().records.into_iter().map(|r| r.1).collect()
@@ -63,10 +63,10 @@
     let records = read(&frame(&all.map(|(hex, zeros)| record(hex, zeros)).collect::<Vec<_>>(), &[]));
     let (ticket, class, item, valid_until) = (0x26305d3a91c4, 0, 0x91f03b7c55d20a64, 0x8405da);
     let (size_kb, tag, part, options) = (640.0, 11.0, 3.0, 1);
-    let request = Record::Request { ticket, class, item, valid_until, size_kb, tag, part, options };
-    let (first, second) = (Record::For { instance: 3 }, Record::For { instance: 5 });
-    let last = Record::Aborted { ticket: 0xc75520e6f2b19 };
-    assert_eq!(records, [first, request, Record::Elapsed { handle: 77 }, second, last]);
+    let request = EventRecord::Request { ticket, class, item, valid_until, size_kb, tag, part, options };
+    let (first, second) = (EventRecord::For { instance: 3 }, EventRecord::For { instance: 5 });
+    let last = EventRecord::Aborted { ticket: 0xc75520e6f2b19 };
+    assert_eq!(records, [first, request, EventRecord::Elapsed { handle: 77 }, second, last]);
 }
 
 #[test]
@@ -77,23 +77,23 @@
     let response = record("04 000026305d3a91c4 00c8 00000002 000024b8 03124a07 00 01 00004844 00", 18);
     let purge = record("0a 0000007c55d20a01 000b 00014c08", 33);
     let records = read(&frame(&[list, response, purge], &entries));
-    let Record::Targets { how: 3, entries } = &records[0] else { panic!("{records:?}") };
+    let EventRecord::Targets { how: 3, entries } = &records[0] else { panic!("{records:?}") };
     assert_eq!((entries[1].cache, entries[1].online_since, entries[1].scale), (0x2c9011f2, 0x5d1420, 1.5));
     let (ticket, cache) = (0x26305d3a91c4, 0x03124a07);
     let (rc, note, first_byte, hop, complete, took) = (200, 2, 9400, 0, true, 18500);
-    let outcome = Record::Response { ticket, rc, note, first_byte, cache, hop, complete, took };
-    assert_eq!(records[1..], [outcome, Record::Replaced { item: 0x7c55d20a01, tag: 11, age: 85000 }]);
+    let outcome = EventRecord::Response { ticket, rc, note, first_byte, cache, hop, complete, took };
+    assert_eq!(records[1..], [outcome, EventRecord::Replaced { item: 0x7c55d20a01, tag: 11, age: 85000 }]);
 }
 
 #[test]
 fn the_page_replies_are_written() {
     let mut reply = Reply::default();
     let (ticket, cache, feeder) = (0x26305d3a91c4, 0x03124a07, 0x2c9011f2);
-    reply.push(&Action::Instance { instance: 3 });
+    reply.push(&ActionRecord::Instance { instance: 3 });
     let (age, within) = (1_500_000, 0xdbba0);
-    reply.push(&Action::ServeVia { ticket, age, rank: 2, within, cache, switches: 9, feeder });
-    reply.push(&Action::PushBack { ticket: 0xc75520e6f2b19, not_before: 250_000 });
-    reply.push(&Action::Print { text: "two servers known".into() });
+    reply.push(&ActionRecord::ServeVia { ticket, age, rank: 2, within, cache, switches: 9, feeder });
+    reply.push(&ActionRecord::PushBack { ticket: 0xc75520e6f2b19, not_before: 250_000 });
+    reply.push(&ActionRecord::Print { text: "two servers known".into() });
     let mut wanted = bytes("00000004 00000091");
     wanted.extend(record("05 0003", 29));
     wanted.extend(record("03 000026305d3a91c4 0016e360 02 000dbba0 03124a07 09 2c9011f2", 5));
--- a/crates/cli/src/witness.rs
+++ b/crates/cli/src/witness.rs
@@ -2,7 +2,7 @@
 use async_channel::Sender;
 use async_io::Timer;
 use futures_lite::future::or;
-use harestage::state::ContentIx;
+use harestage::state::ContentIndex;
 use harestage::time::Moment;
 use harestage_audit::acting::{Acting, Wanted, Who};
 use harestage_audit::chain::Outcome;
@@ -144,7 +144,7 @@
         self.acting.borrow_mut().recorder().stamp_no()
     }
 
-    fn ended(&self, content: ContentIx, became: Became, id: u64, acted: Option<u64>, now: Moment) {
+    fn ended(&self, content: ContentIndex, became: Became, id: u64, acted: Option<u64>, now: Moment) {
         let outcome = match became {
             Became::Fulfilled => Outcome::Fulfilled,
             Became::Throttled => Outcome::Throttled,
--- a/crates/hub/src/desk/above.rs
+++ b/crates/hub/src/desk/above.rs
@@ -4,7 +4,7 @@
 use super::ways::STALLED;
 use super::{Desk, Order, PullNo};
 use crate::store::Copy;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_restart::stage::Stage as StartStage;
 use harestage_shape::knots::Key;
@@ -30,24 +30,24 @@
             (Word::Good, Some(tag)) => return self.filled(key, answer, tag, fetching, now),
             // Bytes that say nothing of their age can't be kept or given on.
             (Word::Good | Word::StillGood, _) | (Word::Failed | Word::TooLate, _) if fetching => {
-                return self.fail(key, Remark::OriginFailed);
+                return self.fail(key, CacheStatus::OriginFailed);
             }
-            (Word::Lacks, _) if fetching => return self.fail(key, Remark::SourceLacks),
+            (Word::Lacks, _) if fetching => return self.fail(key, CacheStatus::SourceLacks),
             (Word::Full, _) if fetching => {
                 self.start.fetch_failed(now);
                 fill.again += 1;
                 if fill.again > MOST_AGAIN {
-                    return self.fail(key, Remark::OriginFailed);
+                    return self.fail(key, CacheStatus::OriginFailed);
                 }
                 return self.stage(key, Stage::Resting, Some(now + AGAIN), now);
             }
             // The former home is fetching it: to join that is to fetch it once.
-            (Word::Lacks, _) if asking && answer.remark == Remark::Joined => {
+            (Word::Lacks, _) if asking && answer.remark == CacheStatus::Joined => {
                 fill.asked.push(on);
                 let shape = self.versions.get(fill.version).cloned();
                 return match shape {
                     Some(shape) => self.wait_on(key, on, &[], &shape, now),
-                    None => self.fail(key, Remark::SourceLost),
+                    None => self.fail(key, CacheStatus::SourceLost),
                 };
             }
             // The right went to another: that one's term has to end first.
@@ -82,7 +82,7 @@
                 self.start.fetch_failed(now);
                 fill.again += 1;
                 if fill.again > MOST_AGAIN {
-                    return self.fail(key, Remark::OriginFailed);
+                    return self.fail(key, CacheStatus::OriginFailed);
                 }
                 return self.stage(key, Stage::Resting, Some(now + AGAIN), now);
             }
@@ -99,7 +99,7 @@
             let Some(fill) = self.fills.get_mut(key) else { return };
             fill.again += 1;
             if fill.again > MOST_AGAIN {
-                return self.fail(key, Remark::OriginFailed);
+                return self.fail(key, CacheStatus::OriginFailed);
             }
             return self.advance(key, now);
         }
@@ -122,12 +122,12 @@
         let (too_old, served): (Vec<_>, Vec<_>) = std::mem::take(&mut fill.waiters)
             .into_iter()
             .partition(|waiter| waiter.oldest.is_some_and(|oldest| now.since(dated) > oldest));
-        let origin = fetched || answer.remark == Remark::FromOrigin;
+        let origin = fetched || answer.remark == CacheStatus::FromOrigin;
         for waiter in served {
             let remark = match (waiter.joined, origin) {
-                (true, _) => Remark::Joined,
-                (false, true) => Remark::FromOrigin,
-                (false, false) => Remark::Filled,
+                (true, _) => CacheStatus::Joined,
+                (false, true) => CacheStatus::FromOrigin,
+                (false, false) => CacheStatus::Filled,
             };
             let first_ms = (lasted * 1e5).round() / 1e2;
             let given = give(waiter.id, &copy, waiter.held.as_ref(), waiter.ours, remark, first_ms);
@@ -140,17 +140,17 @@
             self.fills.enter(key, again);
             self.advance(key, now);
         } else {
-            too_old
-                .iter()
-                .for_each(|waiter| self.refuse(waiter.conn, waiter.id, Word::Lacks, Remark::SourceLacks));
+            too_old.iter().for_each(|waiter| {
+                self.refuse(waiter.conn, waiter.id, Word::Lacks, CacheStatus::SourceLacks)
+            });
         }
     }
 
     /// Ends a fill that no way is left for. Each of those who wait hears it at once.
-    pub(super) fn fail(&mut self, key: Key, remark: Remark) {
+    pub(super) fn fail(&mut self, key: Key, remark: CacheStatus) {
         let Some(fill) = self.end(key) else { return };
         // It was refused above for want of room, and never ran: so it is refused here, until that time.
-        if let Some(come) = fill.come.filter(|_| remark == Remark::SourceLost) {
+        if let Some(come) = fill.come.filter(|_| remark == CacheStatus::SourceLost) {
             // From when its last pull went out: a little later than it was told, and never earlier.
             let after = come.since(fill.sent);
             for waiter in &fill.waiters {
@@ -159,9 +159,9 @@
             return;
         }
         let word = match remark {
-            Remark::SourceLacks => Word::Lacks,
+            CacheStatus::SourceLacks => Word::Lacks,
             // Nothing was sent anywhere: a hub that knows no shape yet.
-            Remark::NoPlace => Word::Full,
+            CacheStatus::NoFillSlot => Word::Full,
             _ => Word::Failed,
         };
         fill.waiters.iter().for_each(|waiter| self.refuse(waiter.conn, waiter.id, word, remark));
@@ -187,7 +187,7 @@
             Some(copy) => {
                 let tag =
                     CopyTag { digest: copy.digest, dated_ms: copy.dated.micros() / 1_000, group: copy.group };
-                let (id, word, remark) = (Hex::of(0), Word::Good, Remark::Hit);
+                let (id, word, remark) = (Hex::of(0), Word::Good, CacheStatus::Hit);
                 let answer = Answer { id, word, remark, first_ms: 0.0, body: copy.body };
                 self.filled(key, answer, tag, false, now);
             }
@@ -203,6 +203,6 @@
         if let Some(fill) = self.fills.get_mut(key) {
             (fill.come, fill.sent) = (Some(now + after), now);
         }
-        self.fail(key, Remark::SourceLost);
+        self.fail(key, CacheStatus::SourceLost);
     }
 }
--- a/crates/hub/src/desk/audited.rs
+++ b/crates/hub/src/desk/audited.rs
@@ -1,7 +1,7 @@
 //! What a hub acts on, recorded where there is a keeper of the audit.
 use super::{ConnNo, Desk, Order};
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::Moment;
 use harestage_audit::acting::{Acting, OLD, Who};
 use harestage_audit::chain::Outcome;
@@ -99,7 +99,7 @@
     pub(super) fn takes_mark(&mut self, conn: ConnNo, asked: &Asked, now: Moment) -> bool {
         let takes = self.audit.as_mut().is_none_or(|audit| audit.takes(conn, asked, now));
         if !takes {
-            let (word, remark, first_ms) = (Word::Full, Remark::SourceRefused, 0.0);
+            let (word, remark, first_ms) = (Word::Full, CacheStatus::SourceRefused, 0.0);
             let (copy, body, come_ms, why) = (None, Bytes::new(), None, Some(OLD));
             let given = Given { id: asked.id, word, remark, first_ms, copy, body, come_ms, why };
             self.orders.push(Order::Answer { conn, given });
--- a/crates/hub/src/desk/below.rs
+++ b/crates/hub/src/desk/below.rs
@@ -2,7 +2,7 @@
 use super::{ConnNo, Desk, Order};
 use crate::store::Copy;
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_restart::stage::Stage as StartStage;
 use harestage_shape::knots::Key;
@@ -18,7 +18,7 @@
         }
         // Writes run at the archive and nowhere else: two of them must never pass for one fill.
         if !asked.body.is_empty() {
-            return self.refuse(conn, asked.id, Word::Full, Remark::SourceRefused);
+            return self.refuse(conn, asked.id, Word::Full, CacheStatus::SourceRefused);
         }
         let key = (asked.object.number(), asked.part);
         if let Some(after) = self.turned_away(conn, &asked, now) {
@@ -36,7 +36,7 @@
         }
         if let Some(copy) = good {
             let aged = fresh.is_some_and(|fresh| now.since(copy.dated) > fresh);
-            let remark = if aged { Remark::Aged } else { Remark::Hit };
+            let remark = if aged { CacheStatus::Stale } else { CacheStatus::Hit };
             let given = give(asked.id, &copy, asked.held.as_ref(), asked.way.is_some(), remark, 0.0);
             self.orders.push(Order::Answer { conn, given });
             if aged && asked.renew && !self.fills.has(key) && !self.fills.are_full() {
@@ -50,7 +50,7 @@
             return self.fill_from_disk(conn, key, asked, oldest, now);
         }
         if asked.only_held || asked.source.is_none() {
-            let remark = if self.fills.has(key) { Remark::Joined } else { Remark::Nothing };
+            let remark = if self.fills.has(key) { CacheStatus::Joined } else { CacheStatus::Unknown };
             return self.refuse(conn, asked.id, Word::Lacks, remark);
         }
         self.fill_for(conn, key, asked, oldest, now);
@@ -76,7 +76,7 @@
         self.start.may_begin(worth, best)
     }
 
-    pub(super) fn refuse(&mut self, conn: ConnNo, id: Hex, word: Word, remark: Remark) {
+    pub(super) fn refuse(&mut self, conn: ConnNo, id: Hex, word: Word, remark: CacheStatus) {
         let (first_ms, copy, body, come_ms, why) = (0.0, None, Bytes::new(), None, None);
         let given = Given { id, word, remark, first_ms, copy, body, come_ms, why };
         self.orders.push(Order::Answer { conn, given });
@@ -86,7 +86,7 @@
     pub(super) fn refuse_until(&mut self, conn: ConnNo, id: Hex, after: Option<Span>) {
         let (first_ms, copy, body, why) = (0.0, None, Bytes::new(), None);
         let come_ms = after.map(|after| (after.as_micros() / 1_000).max(1));
-        let (word, remark) = (Word::Full, Remark::NoPlace);
+        let (word, remark) = (Word::Full, CacheStatus::NoFillSlot);
         let given = Given { id, word, remark, first_ms, copy, body, come_ms, why };
         self.orders.push(Order::Answer { conn, given });
     }
@@ -94,19 +94,21 @@
     fn hand_over(&mut self, conn: ConnNo, id: Hex, reply: Reply, good: Option<Copy>) {
         match (reply, good) {
             (Reply::Held, Some(copy)) => {
-                let given = give(id, &copy, None, true, Remark::Hit, 0.0);
+                let given = give(id, &copy, None, true, CacheStatus::Hit, 0.0);
                 self.orders.push(Order::Answer { conn, given });
             }
-            (Reply::UnderWay, _) => self.refuse(conn, id, Word::Lacks, Remark::Joined),
-            (Reply::Elsewhere { .. }, _) => self.refuse(conn, id, Word::Full, Remark::SourceRefused),
-            (Reply::Ceded { .. } | Reply::Held, _) => self.refuse(conn, id, Word::Lacks, Remark::Nothing),
+            (Reply::UnderWay, _) => self.refuse(conn, id, Word::Lacks, CacheStatus::Joined),
+            (Reply::Elsewhere { .. }, _) => self.refuse(conn, id, Word::Full, CacheStatus::SourceRefused),
+            (Reply::Ceded { .. } | Reply::Held, _) => {
+                self.refuse(conn, id, Word::Lacks, CacheStatus::Unknown)
+            }
         }
     }
 
     /// Its own disk has it: a fill that goes nowhere else, and that others may join.
     fn fill_from_disk(&mut self, conn: ConnNo, key: Key, asked: Asked, oldest: Option<Span>, now: Moment) {
         if self.fills.are_full() || !self.fills.may_wait(conn, asked.id) {
-            return self.refuse(conn, asked.id, Word::Full, Remark::NoPlace);
+            return self.refuse(conn, asked.id, Word::Full, CacheStatus::NoFillSlot);
         }
         self.begin(key, &asked, now);
         self.wait(conn, key, &asked, oldest, false, now);
@@ -123,17 +125,17 @@
         if self.sources.unknowing && self.start.stage() != StartStage::Alone
             || !self.fills.may_wait(conn, asked.id)
         {
-            return self.refuse(conn, asked.id, Word::Full, Remark::NoPlace);
+            return self.refuse(conn, asked.id, Word::Full, CacheStatus::NoFillSlot);
         }
         let path = asked.way.as_ref().map(|way| way.path.clone()).unwrap_or_default();
         let new = !self.fills.has(key);
         if new {
             // It came round to a hub whose own fill is over meanwhile: a new one would go round again.
             if path.contains(&self.name) {
-                return self.refuse(conn, asked.id, Word::Full, Remark::SourceRefused);
+                return self.refuse(conn, asked.id, Word::Full, CacheStatus::SourceRefused);
             }
             if self.fills.are_full() {
-                return self.refuse(conn, asked.id, Word::Full, Remark::NoPlace);
+                return self.refuse(conn, asked.id, Word::Full, CacheStatus::NoFillSlot);
             }
             self.begin(key, &asked, now);
         }
@@ -153,7 +155,7 @@
     copy: &Copy,
     held: Option<&Bytes>,
     ours: bool,
-    remark: Remark,
+    remark: CacheStatus,
     first_ms: f64,
 ) -> Given {
     let still_good = held == Some(&copy.digest);
--- a/crates/hub/src/desk/gauges.rs
+++ b/crates/hub/src/desk/gauges.rs
@@ -1,12 +1,12 @@
 //! What is told of this hub.
 use super::Desk;
-use harestage::ring::Ring;
 use harestage::time::{Moment, Span};
+use harestage::window::SlidingWindow;
 use harestage_shape::control::Report;
 
 /// How long something takes now, against what it usually takes.
 pub(super) struct Pace {
-    recent: Ring,
+    recent: SlidingWindow,
     usual: Option<f64>,
 }
 
@@ -17,7 +17,7 @@
 
 impl Default for Pace {
     fn default() -> Pace {
-        Pace { recent: Ring::new(Span::millis(250), 4), usual: None }
+        Pace { recent: SlidingWindow::new(Span::millis(250), 4), usual: None }
     }
 }
 
@@ -36,9 +36,9 @@
 }
 
 pub(super) struct Gauges {
-    pub fetches: Ring,
-    pub asked: Ring,
-    pub hits: Ring,
+    pub fetches: SlidingWindow,
+    pub asked: SlidingWindow,
+    pub hits: SlidingWindow,
     /// How long fills took, and fetches at the archive among them.
     pub lasted: Pace,
     pub fetched: Pace,
@@ -47,9 +47,9 @@
 impl Gauges {
     pub fn new() -> Gauges {
         Gauges {
-            fetches: Ring::new(Span::millis(250), 4),
-            asked: Ring::new(Span::millis(250), 4),
-            hits: Ring::new(Span::millis(1_000), 4),
+            fetches: SlidingWindow::new(Span::millis(250), 4),
+            asked: SlidingWindow::new(Span::millis(250), 4),
+            hits: SlidingWindow::new(Span::millis(1_000), 4),
             lasted: Pace::default(),
             fetched: Pace::default(),
         }
--- a/crates/hub/src/desk/ways.rs
+++ b/crates/hub/src/desk/ways.rs
@@ -1,7 +1,7 @@
 //! Where a fill goes: by the shape, past those from whom nothing is to be taken now, to the archive last.
 use super::fills::{Fill, Stage};
 use super::{Ask, Desk, Order, Peer, PullNo};
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_shape::knots::{Act, Key};
 use harestage_shape::route::{self, Next};
@@ -76,7 +76,7 @@
         if self.sites.is_nowhere() || self.rationing.lets_repeat(now) {
             self.advance(key, now);
         } else {
-            self.fail(key, Remark::SourceLost);
+            self.fail(key, CacheStatus::SourceLost);
         }
     }
 
@@ -95,7 +95,7 @@
         let Some(fill) = self.fills.get(key) else { return };
         let shape = self.sites.planned(fill.version).or_else(|| self.versions.get(fill.version));
         let Some(shape) = shape.cloned() else {
-            return self.fail(key, Remark::SourceLost);
+            return self.fail(key, CacheStatus::SourceLost);
         };
         let me = self.me(&shape);
         let mut avoid = fill.avoid.clone();
@@ -106,10 +106,10 @@
         // The home has refused it for want of room: past it, the archive would be asked for what is worth least.
         let refused = self.fills.get(key).and_then(|fill| fill.come).is_some_and(|come| come > now);
         match next {
-            Some(Next::Archive) if refused => self.fail(key, Remark::SourceLost),
+            Some(Next::Archive) if refused => self.fail(key, CacheStatus::SourceLost),
             Some(Next::Hub(hub)) => self.wait_on(key, hub, path, &shape, now),
             Some(Next::Archive) => self.reach_archive(key, me, &shape, now),
-            None => self.fail(key, Remark::SourceLost),
+            None => self.fail(key, CacheStatus::SourceLost),
         }
     }
 
--- a/crates/hub/tests/audited.rs
+++ b/crates/hub/tests/audited.rs
@@ -1,7 +1,7 @@
 //! A hub that is audited: what it refuses for its stamp, at once and never run, what it records, and how it takes what the
 //! keeper brings.
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_audit::acting::Wanted;
 use harestage_audit::chain::{Body, Link};
@@ -136,7 +136,7 @@
     let answer = Answer {
         id: Hex::of(pull),
         word: Word::Good,
-        remark: Remark::Nothing,
+        remark: CacheStatus::Unknown,
         first_ms: 1.0,
         body: Bytes::from_static(b"body"),
     };
--- a/crates/hub/tests/desks.rs
+++ b/crates/hub/tests/desks.rs
@@ -1,7 +1,7 @@
 //! Hubs without sockets: many desks and an archive in virtual time, on versions that differ, with messages that take
 //! their time and hubs that die. The same seed plays the same way.
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_hub::desk::{Ask, Bounds, Desk, Keeping, News, Order};
 use harestage_hub::store::Named;
@@ -237,7 +237,7 @@
                 let answer = Answer {
                     id: Hex::of(pull),
                     word: Word::Good,
-                    remark: Remark::Nothing,
+                    remark: CacheStatus::Unknown,
                     first_ms: 0.0,
                     body: Bytes::from_static(b"bytes"),
                 };
@@ -485,25 +485,29 @@
     };
     assert_eq!(
         ask(&mut net, 1, 1, &|a| a.source = None),
-        (Word::Lacks, Remark::Nothing),
+        (Word::Lacks, CacheStatus::Unknown),
         "no source: no fill"
     );
-    assert_eq!(ask(&mut net, 2, 1, &|a| a.only_held = true), (Word::Lacks, Remark::Nothing));
-    assert_eq!(ask(&mut net, 3, 1, &|a| a.no_copy = true), (Word::Good, Remark::FromOrigin));
+    assert_eq!(ask(&mut net, 2, 1, &|a| a.only_held = true), (Word::Lacks, CacheStatus::Unknown));
+    assert_eq!(ask(&mut net, 3, 1, &|a| a.no_copy = true), (Word::Good, CacheStatus::FromOrigin));
     assert_eq!(
         ask(&mut net, 4, 1, &|a| a.only_held = true),
-        (Word::Lacks, Remark::Nothing),
+        (Word::Lacks, CacheStatus::Unknown),
         "it was not kept"
     );
-    assert_eq!(ask(&mut net, 5, 1, &|_| {}), (Word::Good, Remark::FromOrigin));
-    assert_eq!(ask(&mut net, 6, 1, &|a| a.only_held = true), (Word::Good, Remark::Hit));
+    assert_eq!(ask(&mut net, 5, 1, &|_| {}), (Word::Good, CacheStatus::FromOrigin));
+    assert_eq!(ask(&mut net, 6, 1, &|a| a.only_held = true), (Word::Good, CacheStatus::Hit));
     let copy = net.answers.last().unwrap().1.copy.clone().unwrap();
     assert_eq!(copy.group, None, "a cache of the platform knows no such field");
     let digest = copy.digest;
-    assert_eq!(ask(&mut net, 7, 1, &|a| a.held = Some(digest.clone())), (Word::StillGood, Remark::Hit));
-    assert_eq!(ask(&mut net, 8, 1, &|a| a.oldest_ms = Some(20)), (Word::Good, Remark::FromOrigin), "too old");
+    assert_eq!(ask(&mut net, 7, 1, &|a| a.held = Some(digest.clone())), (Word::StillGood, CacheStatus::Hit));
+    assert_eq!(
+        ask(&mut net, 8, 1, &|a| a.oldest_ms = Some(20)),
+        (Word::Good, CacheStatus::FromOrigin),
+        "too old"
+    );
     let body = |a: &mut Asked| a.body = Bytes::from_static(b"filing");
-    assert_eq!(ask(&mut net, 9, 1, &body), (Word::Full, Remark::SourceRefused), "no hub runs a write");
+    assert_eq!(ask(&mut net, 9, 1, &body), (Word::Full, CacheStatus::SourceRefused), "no hub runs a write");
 }
 
 /// An ageing copy is given at once where the pull allows its age, and renewed behind where it asks for that.
@@ -524,11 +528,11 @@
         net.run(200);
         net.answers.iter().find(|(conn, _)| *conn == no).map(|(_, given)| given.remark)
     };
-    assert_eq!(aged(&mut net, 2, false), Some(Remark::Aged));
+    assert_eq!(aged(&mut net, 2, false), Some(CacheStatus::Stale));
     assert_eq!(net.fetches.len(), 1, "nobody asked for a renewal");
-    assert_eq!(aged(&mut net, 3, true), Some(Remark::Aged), "the answer does not wait for it");
+    assert_eq!(aged(&mut net, 3, true), Some(CacheStatus::Stale), "the answer does not wait for it");
     assert_eq!(net.fetches.len(), 2);
-    assert_eq!(aged(&mut net, 4, true), Some(Remark::Hit));
+    assert_eq!(aged(&mut net, 4, true), Some(CacheStatus::Hit));
     assert_eq!((net.fetches.len(), net.desks["a"].fills()), (2, 0));
 }
 
--- a/crates/hub/tests/keeping.rs
+++ b/crates/hub/tests/keeping.rs
@@ -1,6 +1,6 @@
 //! A hub that kept its copies through a loss of power: what goes out and when, by the desk alone.
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_copies::record::Marks;
 use harestage_copies::shelf::Meta;
@@ -133,7 +133,7 @@
         });
         let pull = pull.expect("it is fetched");
         let copy = Some(CopyTag { digest: Bytes::from_static(b"new"), dated_ms: archive_ms, group: Some(1) });
-        let (id, word, remark) = (Hex::of(pull), Word::Good, Remark::Nothing);
+        let (id, word, remark) = (Hex::of(pull), Word::Good, CacheStatus::Unknown);
         let answer = Answer { id, word, remark, first_ms: 1.0, body: Bytes::from_static(b"newer") };
         self.step(vec![News::Answered { pull, answer, copy }])
     }
--- a/crates/hub/tests/rationing.rs
+++ b/crates/hub/tests/rationing.rs
@@ -1,6 +1,6 @@
 //! A hub that is asked for more than it can do, and one whose sources fail: what it refuses first, and how much it repeats.
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_hub::desk::{Bounds, Desk, Keeping, News, Order};
 use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
@@ -115,7 +115,7 @@
 
     fn good(&self, pull: u64) -> News {
         let copy = CopyTag { digest: Bytes::from_static(b"d"), dated_ms: self.ms, group: None };
-        let (id, word, remark) = (Hex::of(pull), Word::Good, Remark::FromOrigin);
+        let (id, word, remark) = (Hex::of(pull), Word::Good, CacheStatus::FromOrigin);
         let answer = Answer { id, word, remark, first_ms: 1.0, body: Bytes::from_static(b"body") };
         News::Answered { pull, answer, copy: Some(copy) }
     }
@@ -209,7 +209,7 @@
     let answer = Answer {
         id: Hex::of(pull),
         word: Word::Full,
-        remark: Remark::NoPlace,
+        remark: CacheStatus::NoFillSlot,
         first_ms: 0.0,
         body: Bytes::new(),
     };
--- a/crates/measure/src/capacity/slopes.rs
+++ b/crates/measure/src/capacity/slopes.rs
@@ -2,8 +2,8 @@
 //! own, and says its figures as one JSON object; virtual time throughout, no sockets.
 use super::machine::{self, Busy};
 use super::size::*;
-use harestage::brain::Brain;
-use harestage::door::{Content, Event, Order, ServiceProfile};
+use harestage::interface::{Action, ContentType, Event, ServiceProfile};
+use harestage::policy::Policy;
 use harestage::state::*;
 use harestage::time::{Moment, Span};
 use harestage_audit::acting::{Acting, Who};
@@ -523,14 +523,14 @@
 }
 
 fn profile() -> ServiceProfile {
-    let content = Content {
-        repeat: Repeat::Retriable,
-        target: Span::millis(250),
+    let content = ContentType {
+        idempotency: Idempotency::Retriable,
+        target_time: Span::millis(250),
         target_stretch: 1.0,
         benefit: 1.0,
         write: false,
         in_parts: false,
-        fresh: None,
+        fresh_for: None,
         grace: Span::ZERO,
     };
     let zone_routers: Vec<u16> = (0..ZONES).map(|_| (ROUTERS / ZONES) as u16).collect();
@@ -538,24 +538,24 @@
         zone: 2,
         zone_routers,
         routers: ROUTERS as u16,
-        contents: vec![content],
-        scales_compare: false,
-        roster_on_call: false,
+        content_types: vec![content],
+        scales_comparable: false,
+        membership_on_request: false,
         may_cancel: true,
         may_bypass: false,
         may_join: true,
-        most_pulls: 6,
-        longest_retry_after: Span::millis(1_000),
-        flow_kb_per_s: 1e6,
+        max_pulls: 6,
+        max_retry_after: Span::millis(1_000),
+        client_kb_per_s: 1e6,
         zone_link_kb_per_s: vec![1e9; ZONES],
-        cold_from: 0.2,
-        cold: Span::millis(10_000),
-        fall_multiple: 2.0,
-        fall: Span::millis(1_000),
-        parent_cold_from: 0.1,
-        parent_cold: Span::millis(20_000),
-        parent_fall_multiple: 2.0,
-        purge_settles: Span::millis(6_000),
+        cold_share: 0.2,
+        warm_up_time: Span::millis(10_000),
+        overload_factor: 2.0,
+        overload_window: Span::millis(1_000),
+        parent_cold_share: 0.1,
+        parent_warm_up_time: Span::millis(20_000),
+        parent_overload_factor: 2.0,
+        purge_settle_time: Span::millis(6_000),
     }
 }
 
@@ -565,10 +565,10 @@
     const LASTS: Span = Span::millis(600_000);
     const TAKES: Span = Span::millis(4);
     let mut now = BEGIN;
-    let mut brain = Brain::open(profile(), 11, now);
-    let listing = |node: u32, role: Role| Listing {
-        node: NodeIx(node),
-        stamp: mixed(u64::from(node)),
+    let mut policy = Policy::new(profile(), 11, now);
+    let listing = |node: u32, role: Role| NodeRecord {
+        node: NodeIndex(node),
+        hash_key: mixed(u64::from(node)),
         zone: if role == Role::Cache { 2 } else { 0 },
         cell: (node / 4) as u16,
         kind: role as u8,
@@ -578,13 +578,17 @@
         started: None,
     };
     let caches = (CACHES / ZONES) as u32;
-    let listings: Vec<Listing> = (0..caches)
+    let listings: Vec<NodeRecord> = (0..caches)
         .map(|n| listing(n, Role::Cache))
         .chain((caches..caches + 4).map(|n| listing(n, Role::Parent)))
         .chain([listing(caches + 4, Role::Origin)])
         .collect();
     let mut orders = Vec::new();
-    brain.turn(now, vec![Event::Roster { news: RosterNews::Whole, listings }], &mut orders);
+    policy.step(
+        now,
+        vec![Event::Membership { update: MembershipUpdate::Snapshot, records: listings }],
+        &mut orders,
+    );
     orders.clear();
     let before = own_mb();
     let cpu = Busy::now();
@@ -600,19 +604,19 @@
         if ends.peek().is_some_and(|at| at.0.0 <= due) {
             let Some(std::cmp::Reverse((at, dl, node, sent))) = ends.pop() else { continue };
             now = at;
-            let (ending, remark) = (Ending::Fulfilled, Remark::FromOrigin);
+            let (ending, remark) = (PullOutcome::Fulfilled, CacheStatus::FromOrigin);
             let (took, first_byte) = (at.since(sent), Span::millis(2));
-            let end = PullEnd {
-                dl: DlIx(dl),
-                pull: 0,
-                node: NodeIx(node),
-                ending,
-                remark,
-                closed: true,
-                took,
+            let end = PullResult {
+                dl: DownloadIndex(dl),
+                attempt: 0,
+                node: NodeIndex(node),
+                outcome: ending,
+                cache_status: remark,
+                answered: true,
+                duration: took,
                 first_byte,
             };
-            events.push(Event::Ended(end));
+            events.push(Event::PullEnded(end));
         } else {
             now = due;
             n += 1;
@@ -621,15 +625,15 @@
                 next_dl - 1
             });
             let what = Download {
-                content: ContentIx(0),
+                content: ContentIndex(0),
                 object: ObjectKey(mixed(n)),
                 part: 0,
                 group: (n % 256) as u32,
                 kilobytes: 100.0,
-                leaves_at: now + Span::millis(3_000),
-                repeat: false,
+                deadline: now + Span::millis(3_000),
+                is_retry: false,
             };
-            events.push(Event::Arrived { dl: DlIx(dl), download: what });
+            events.push(Event::Arrived { dl: DownloadIndex(dl), download: what });
         }
         if now >= beat_at {
             beat_at = now + Span::millis(50);
@@ -643,15 +647,15 @@
                 ago: Span::ZERO,
             });
         }
-        brain.turn(now, events, &mut orders);
+        policy.step(now, events, &mut orders);
         for order in orders.drain(..) {
             match order {
-                Order::Pull(pull) => {
+                Action::Pull(pull) => {
                     pulled += 1;
                     ends.push(std::cmp::Reverse((now + TAKES, pull.dl.0, pull.node.0, now)));
                 }
-                Order::Throttle { .. } => throttled += 1,
-                Order::Forget { dl } => free.push(dl.0),
+                Action::Throttle { .. } => throttled += 1,
+                Action::Release { dl } => free.push(dl.0),
                 _ => {}
             }
         }
--- a/crates/profile/src/lib.rs
+++ b/crates/profile/src/lib.rs
@@ -1,7 +1,7 @@
 //! The settings object of a router, read into the core's `ServiceProfile`. Bench and router share this reader, so
 //! that both give the core the same profile.
-use harestage::door::{Content, ServiceProfile};
-use harestage::state::{Circle, Repeat};
+use harestage::interface::{ContentType, ServiceProfile};
+use harestage::state::{DedupeScope, Idempotency};
 use harestage::time::Span;
 use serde_json::Value;
 
@@ -71,36 +71,36 @@
 
 /// The machine kinds that are no caches, by their places.
 #[derive(Clone, Copy, Debug)]
-pub struct Kinds {
+pub struct NodeKinds {
     pub parent: Option<u8>,
     pub origin: Option<u8>,
 }
 
 /// What the settings say of the network and of names, which the core never sees.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outside {
+pub struct RouterSettings {
     /// The names of content types, zones and machine kinds, by the index that the core knows them by.
     pub contents: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
-    pub connect_within: Span,
-    pub idle_closes_after: Span,
+    pub connect_timeout: Span,
+    pub idle_timeout: Span,
     /// Pulls that one connection carries at once.
     pub pulls_per_connection: usize,
     /// Downloads that a router may hold.
-    pub most_held: usize,
+    pub max_held_downloads: usize,
     /// Longest time that a throttled client may be told to stay away; zero: clients are told nothing.
-    pub longest_retry_after: Span,
+    pub max_retry_after: Span,
     /// The longest deadline of a content type.
-    pub longest_wait: Span,
+    pub max_wait: Span,
 }
 
-pub fn read_settings(text: &[u8]) -> Read<(ServiceProfile, Kinds)> {
+pub fn read_settings(text: &[u8]) -> Read<(ServiceProfile, NodeKinds)> {
     let json: Value = serde_json::from_slice(text).map_err(|e| format!("settings are not JSON: {e}"))?;
     read_profile(&json)
 }
 
-pub fn read_outside(json: &Value) -> Read<Outside> {
+pub fn read_router_settings(json: &Value) -> Read<RouterSettings> {
     let top = At { value: json, path: String::new() };
     let allowed = top.need("Allowed")?;
     let names = |key: &str| -> Read<Vec<String>> {
@@ -111,20 +111,20 @@
     // A content type that does not tell its deadline may have any.
     let waits = classes.iter().map(|c| c.opt("HardLimit").map_or(Ok(Span::MAX), |at| at.span()));
     let waits: Vec<Span> = waits.collect::<Read<_>>()?;
-    Ok(Outside {
-        longest_wait: waits.into_iter().max().unwrap_or(Span::MAX),
-        longest_retry_after: longest_retry_after(&allowed)?,
+    Ok(RouterSettings {
+        max_wait: waits.into_iter().max().unwrap_or(Span::MAX),
+        max_retry_after: max_retry_after(&allowed)?,
         contents: contents.collect::<Read<_>>()?,
         zones: names("Localities")?,
         kinds: names("Shapes")?,
-        connect_within: allowed.need("ConnectTimeout")?.span()?,
-        idle_closes_after: allowed.need("IdleClose")?.span()?,
+        connect_timeout: allowed.need("ConnectTimeout")?.span()?,
+        idle_timeout: allowed.need("IdleClose")?.span()?,
         pulls_per_connection: allowed.need("StreamsPerConn")?.at_least_one()? as usize,
-        most_held: allowed.need("MostHeld")?.at_least_one()? as usize,
+        max_held_downloads: allowed.need("MostHeld")?.at_least_one()? as usize,
     })
 }
 
-pub fn read_profile(json: &Value) -> Read<(ServiceProfile, Kinds)> {
+pub fn read_profile(json: &Value) -> Read<(ServiceProfile, NodeKinds)> {
     let top = At { value: json, path: String::new() };
     if !json.is_object() {
         return Err("settings are not a JSON object".into());
@@ -135,66 +135,66 @@
     let contents = top.need("Classes")?.list()?;
     let contents = contents.iter().enumerate().map(|(n, c)| read_content(n, c, &family));
     let weights = top.opt("Weights").map_or(Ok("none"), |w| w.word())?;
-    let kinds = Kinds { parent: family.kind("MidKind")?, origin: family.kind("StoreKind")? };
+    let kinds = NodeKinds { parent: family.kind("MidKind")?, origin: family.kind("StoreKind")? };
     let profile = ServiceProfile {
         zone: top.need("Zone")?.number()? as u16,
         zone_routers: family.numbers_or("CountByZone")?.iter().map(|n| *n as u16).collect(),
         routers: top.need("Balancers")?.at_least_one()? as u16,
-        contents: contents.collect::<Read<_>>()?,
-        scales_compare: matches!(weights, "nominal" | "rough"),
-        roster_on_call: top.opt("MembershipMode").map_or(Ok("push"), |m| m.word())? == "ask",
+        content_types: contents.collect::<Read<_>>()?,
+        scales_comparable: matches!(weights, "nominal" | "rough"),
+        membership_on_request: top.opt("MembershipMode").map_or(Ok("push"), |m| m.word())? == "ask",
         may_cancel: allowed.flag_or("Cancel", false)?,
         may_bypass: family.flag_or("BypassAllowed", false)?,
         may_join: family.flag_or("Joins", false)?,
-        most_pulls: allowed.number_or("MaxAttempts", 1.0)? as u32,
-        longest_retry_after: longest_retry_after(&allowed)?,
-        flow_kb_per_s: family.number_or("FlowKbPerS", 0.0)?,
+        max_pulls: allowed.number_or("MaxAttempts", 1.0)? as u32,
+        max_retry_after: max_retry_after(&allowed)?,
+        client_kb_per_s: family.number_or("FlowKbPerS", 0.0)?,
         zone_link_kb_per_s: family.numbers_or("ZoneLinkKbPerS")?,
-        cold_from: safety.number_or("ColdFrom", 1.0)?,
-        cold: safety.span_or("Cold")?,
-        fall_multiple: safety.number_or("FallMultiple", 1.0)?,
-        fall: safety.span_or("Fall")?,
-        parent_cold_from: family.number_or("ParentColdFrom", 1.0)?,
-        parent_cold: family.span_or("ParentRamp")?,
-        parent_fall_multiple: family.number_or("ParentBreaksAt", 1.0)?,
-        purge_settles: family.span_or("PurgeSettles")?,
+        cold_share: safety.number_or("ColdFrom", 1.0)?,
+        warm_up_time: safety.span_or("Cold")?,
+        overload_factor: safety.number_or("FallMultiple", 1.0)?,
+        overload_window: safety.span_or("Fall")?,
+        parent_cold_share: family.number_or("ParentColdFrom", 1.0)?,
+        parent_warm_up_time: family.span_or("ParentRamp")?,
+        parent_overload_factor: family.number_or("ParentBreaksAt", 1.0)?,
+        purge_settle_time: family.span_or("PurgeSettles")?,
     };
     Ok((profile, kinds))
 }
 
-fn longest_retry_after(allowed: &At) -> Read<Span> {
+fn max_retry_after(allowed: &At) -> Read<Span> {
     if allowed.flag_or("RetryAfter", false)? { allowed.span_or("MaxRetryAfter") } else { Ok(Span::ZERO) }
 }
 
-fn read_content(n: usize, class: &At, family: &At) -> Read<Content> {
+fn read_content(n: usize, class: &At, family: &At) -> Read<ContentType> {
     let by_class = |key: &str| -> Read<Option<At>> {
         Ok(family.opt(key).map(|at| at.list()).transpose()?.and_then(|l| l.into_iter().nth(n)))
     };
     let span_of = |key: &str| -> Read<Span> { by_class(key)?.map_or(Ok(Span::ZERO), |at| at.span()) };
     let repeat = match class.need("Idempotency")?.word()? {
-        "repeatable" => Repeat::Retriable,
-        "once" => Repeat::NonRetriable,
-        "by_key" => Repeat::Deduped {
-            within: match class.opt("Group").map_or(Ok("all"), |g| g.word())? {
-                "all" => Circle::All,
-                "zone" => Circle::Zone,
-                "cell" => Circle::Cell,
+        "repeatable" => Idempotency::Retriable,
+        "once" => Idempotency::NonRetriable,
+        "by_key" => Idempotency::Deduped {
+            scope: match class.opt("Group").map_or(Ok("all"), |g| g.word())? {
+                "all" => DedupeScope::All,
+                "zone" => DedupeScope::Zone,
+                "cell" => DedupeScope::Cell,
                 // Taken for all of them, a repeat could run twice.
                 _ => return class.need("Group")?.wrong("all, zone or cell"),
             },
-            memory: class.span_or("MemorySpan")?,
+            window: class.span_or("MemorySpan")?,
         },
         _ => return class.need("Idempotency")?.wrong("repeatable, by_key or once"),
     };
     let fresh = span_of("GoodFor")?;
-    Ok(Content {
-        repeat,
-        target: class.need("Aim")?.span()?,
+    Ok(ContentType {
+        idempotency: repeat,
+        target_time: class.need("Aim")?.span()?,
         target_stretch: class.number_or("AimStretch", 0.0)?,
         benefit: class.number_or("Worth", 1.0)?,
         write: by_class("ClassWrite")?.map_or(Ok(false), |at| at.flag())?,
         in_parts: by_class("ClassParts")?.map_or(Ok(false), |at| at.flag())?,
-        fresh: (fresh > Span::ZERO).then_some(fresh),
+        fresh_for: (fresh > Span::ZERO).then_some(fresh),
         grace: span_of("GraceFor")?,
     })
 }
--- a/crates/restart/src/pace.rs
+++ b/crates/restart/src/pace.rs
@@ -2,8 +2,8 @@
 //! the archive is cold too, and its capacity is a promise from before. So a start begins with a small share of its part, and
 //! the share grows while answers come as quickly as the first ones did, and shrinks at once where they don't. What little
 //! may be fetched goes to what is worth most.
-use harestage::ring::Ring;
 use harestage::time::{Moment, Span};
+use harestage::window::SlidingWindow;
 
 /// The share of its part that a hub begins with.
 pub const FIRST: f64 = 0.1;
@@ -32,8 +32,8 @@
 pub struct Pace {
     share: f64,
     quickest: Option<f64>,
-    times: Ring,
-    failed: Ring,
+    times: SlidingWindow,
+    failed: SlidingWindow,
     next: Moment,
     bears: Bears,
     /// Something was held back since the last step.
@@ -42,7 +42,7 @@
 
 impl Pace {
     pub fn begin(now: Moment) -> Pace {
-        let ring = || Ring::new(Span::millis(250), 4);
+        let ring = || SlidingWindow::new(Span::millis(250), 4);
         Pace {
             share: FIRST,
             quickest: None,
@@ -117,6 +117,6 @@
     pub fn come_again(&self, chance: f64) -> Span {
         let steps = (1.0 / self.share).ln().max(0.0) / GROWS.ln();
         let seconds = 0.4 + steps * chance;
-        Span::of_seconds(seconds.min(10.0))
+        Span::from_seconds(seconds.min(10.0))
     }
 }
--- a/crates/router/src/program/config.rs
+++ b/crates/router/src/program/config.rs
@@ -1,7 +1,7 @@
 //! The one place where configuration is read, checked and given defaults. Every complaint names the key.
 use super::limits::Limits;
-use harestage::door::ServiceProfile;
-use harestage_profile::{Kinds, Outside, read_outside, read_profile};
+use harestage::interface::ServiceProfile;
+use harestage_profile::{NodeKinds, RouterSettings, read_profile, read_router_settings};
 use harestage_wire::feed::{Told, read_known};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -23,8 +23,8 @@
     pub known_last: u64,
     pub known: Vec<Told>,
     pub profile: ServiceProfile,
-    pub kinds: Kinds,
-    pub outside: Outside,
+    pub kinds: NodeKinds,
+    pub outside: RouterSettings,
     pub limits: Limits,
 }
 
@@ -62,7 +62,7 @@
     let settings = need("settings")?;
     let in_settings = |why: String| format!("settings: {why}");
     let (profile, kinds) = read_profile(settings).map_err(in_settings)?;
-    let outside = read_outside(settings).map_err(in_settings)?;
+    let outside = read_router_settings(settings).map_err(in_settings)?;
     let memory_mb = limit("memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB)? as usize;
     let sockets = limit("sockets", DEFAULT_SOCKETS, LEAST_SOCKETS)? as usize;
     Ok(Start {
--- a/crates/router/src/program/limits.rs
+++ b/crates/router/src/program/limits.rs
@@ -1,7 +1,7 @@
 //! All sizes, counts and times that bound the router, in one type: filled at start from the configuration and
 //! handed down.
 use harestage::time::Span;
-use harestage_profile::Outside;
+use harestage_profile::RouterSettings;
 use std::time::Duration;
 
 /// The protocol's own bounds.
@@ -108,17 +108,16 @@
 }
 
 impl Limits {
-    pub fn new(memory_mb: usize, sockets: usize, outside: &Outside) -> Limits {
+    pub fn new(memory_mb: usize, sockets: usize, outside: &RouterSettings) -> Limits {
         let memory = memory_mb << 20;
         // The program's own are logs, signals, timers, the listener and the feed; most of them are there at any size.
         let connections = sockets - (sockets / 8).max(OWN_FILES.min(sockets / 2));
         // A kill comes that long after the signal and 0.7 s more, so that a deadline shorter than usual brings it sooner.
-        let drain_abandon =
-            Duration::from(outside.longest_wait).min(LONGEST_WAIT) + Duration::from_millis(350);
+        let drain_abandon = Duration::from(outside.max_wait).min(LONGEST_WAIT) + Duration::from_millis(350);
         Limits {
             clients: (connections / 7 * 5).max(1),
             node_connections: (connections / 7 * 2).max(1),
-            downloads: outside.most_held.max(1),
+            downloads: outside.max_held_downloads.max(1),
             held_bytes: memory / 8,
             client_held_bytes: memory / 64,
             download_bytes: 1_500,
@@ -129,7 +128,7 @@
             node_item_room: 64 << 10,
             client_unsent_bytes: 4 * BODY,
             client_unsent_answers: 8 * OPEN_ON_A_CONNECTION,
-            full_retry_after: outside.longest_retry_after.into(),
+            full_retry_after: outside.max_retry_after.into(),
             packets_at_once: 32,
             unsent_bytes: (memory / 4).max(2 * BODY),
             client_stall: Duration::from_secs(6),
@@ -146,13 +145,13 @@
             node_items: 8,
             body_bytes: BODY,
             node_pulls: outside.pulls_per_connection,
-            connect_within: outside.connect_within.into(),
+            connect_within: outside.connect_timeout.into(),
             node_few: 3,
             node_own_connections: (sockets / 32).max(1),
             node_silence: Duration::from_millis(250),
             node_halt: Duration::from_millis(700),
             node_spent_ids: 256,
-            node_idle: Duration::from(outside.idle_closes_after).mul_f64(0.8),
+            node_idle: Duration::from(outside.idle_timeout).mul_f64(0.8),
             answer_grace: Span::millis(20),
             call_back_settles: Span::millis(10),
             gone_kept: Span::millis(90_000),
--- a/crates/router/src/program/mod.rs
+++ b/crates/router/src/program/mod.rs
@@ -79,7 +79,7 @@
     let mut outward = Outside { clients: clients.clone(), nodes };
     let (answer_grace, call_back_settles) = (limits.answer_grace, limits.call_back_settles);
     let gone_kept = limits.gone_kept;
-    let purges_kept = profile.purge_settles;
+    let purges_kept = profile.purge_settle_time;
     let terms = Terms { profile, kinds, outside, answer_grace, call_back_settles, gone_kept };
     let mut routing = Routing::open(terms, seed, clock.now());
     let marks = witness.is_some();
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -6,11 +6,11 @@
 
 use async_channel::Sender;
 use bytes::Bytes;
-use harestage::brain::Brain;
-use harestage::door::{Event, Order, Pull, Register, ServiceProfile};
+use harestage::interface::{Action, Event, IdRegistry, Pull, ServiceProfile};
+use harestage::policy::Policy;
 use harestage::state::*;
 use harestage::time::{Moment, Span};
-use harestage_profile::{Kinds, Outside};
+use harestage_profile::{NodeKinds, RouterSettings};
 use harestage_sockets::clock;
 use harestage_wire::client::{ToClient, Wish};
 use harestage_wire::feed::{Marks, Told};
@@ -112,7 +112,7 @@
     client: ClientNo,
     tag: u64,
     wish: Wish,
-    content: ContentIx,
+    content: ContentIndex,
     leaves_at: Moment,
     deadline: TimerNo,
     answered: bool,
@@ -125,8 +125,8 @@
 /// What a routing task is told at its start.
 pub struct Terms {
     pub profile: ServiceProfile,
-    pub kinds: Kinds,
-    pub outside: Outside,
+    pub kinds: NodeKinds,
+    pub outside: RouterSettings,
     /// How long after its deadline a download waits for the core's answer before it is abandoned here.
     pub answer_grace: Span,
     /// How long a pull that was called back is taken to be still at its node.
@@ -136,14 +136,14 @@
 }
 
 pub struct Routing {
-    brain: Brain,
-    register: Register,
-    kinds: Kinds,
-    outside: Outside,
+    policy: Policy,
+    register: IdRegistry,
+    kinds: NodeKinds,
+    outside: RouterSettings,
     answer_grace: Span,
     call_back_settles: Span,
     gone_kept: Span,
-    contents: HashMap<Vec<u8>, ContentIx>,
+    contents: HashMap<Vec<u8>, ContentIndex>,
     contacts: Contacts,
     held: HashMap<DlNo, Held>,
     open: HashMap<(ClientNo, u64), DlNo>,
@@ -167,13 +167,13 @@
         let Terms { profile, kinds, outside, answer_grace, call_back_settles, gone_kept } = terms;
         let names = outside.contents.iter().enumerate();
         Routing {
-            brain: Brain::open(profile, seed, now),
-            register: Register::default(),
+            policy: Policy::new(profile, seed, now),
+            register: IdRegistry::default(),
             kinds,
             answer_grace,
             call_back_settles,
             gone_kept,
-            contents: names.map(|(at, n)| (n.clone().into_bytes(), ContentIx(at as u16))).collect(),
+            contents: names.map(|(at, n)| (n.clone().into_bytes(), ContentIndex(at as u16))).collect(),
             outside,
             contacts: Contacts::default(),
             held: HashMap::new(),
@@ -219,7 +219,7 @@
         }
         let mut orders = Vec::new();
         while !self.events.is_empty() {
-            self.brain.turn(now, std::mem::take(&mut self.events), &mut orders);
+            self.policy.step(now, std::mem::take(&mut self.events), &mut orders);
             for order in orders.drain(..) {
                 self.carry_out(order, now, outward);
             }
@@ -246,8 +246,9 @@
             }
             News::Answered { pull, answer, names } => self.pull_answered(pull, answer, names, now, outward),
             News::Lost { pull, loss } => {
-                let ending = if loss == Loss::Broken { Ending::Broken } else { Ending::NoConnection };
-                self.ended(pull, ending, Remark::Nothing, Span::ZERO, now);
+                let ending =
+                    if loss == Loss::Broken { PullOutcome::Broken } else { PullOutcome::NoConnection };
+                self.ended(pull, ending, CacheStatus::Unknown, Span::ZERO, now);
             }
             News::Told(told) => self.told(told, now, outward),
             News::Confirm { number, to } => self.confirms.push((number, to)),
@@ -256,7 +257,7 @@
     }
 
     /// Turned away before the core hears of it: this process may not act on what it has.
-    fn turned_away(&self, content: ContentIx, id: u64, now: Moment) -> Option<u64> {
+    fn turned_away(&self, content: ContentIndex, id: u64, now: Moment) -> Option<u64> {
         let witness = self.witness.as_ref().filter(|witness| !witness.may_act())?;
         witness.ended(content, Became::Throttled, id, None, now);
         Some(witness.come_again_ms())
@@ -283,15 +284,15 @@
             part: wish.part,
             group: wish.group,
             kilobytes: wish.kilobytes,
-            leaves_at,
-            repeat: wish.repeat,
+            deadline: leaves_at,
+            is_retry: wish.repeat,
         };
         let deadline = self.set(leaves_at, Timer::Deadline(dl));
         let (answered, pulls, acted) = (false, Vec::new(), None);
         let held = Held { client, tag, wish, content, leaves_at, deadline, answered, pulls, acted };
         self.held.insert(dl, held);
         self.open.insert((client, tag), dl);
-        self.events.push(Event::Arrived { dl: self.register.enter_dl(dl), download });
+        self.events.push(Event::Arrived { dl: self.register.register_download(dl), download });
     }
 
     /// Nothing is owed any more: whose answer it was, unless that had been said before.
@@ -308,7 +309,7 @@
             return;
         }
         self.witnessed(dl, Became::Left);
-        self.events.extend(self.register.dl(dl).map(|dl| Event::Left { dl }));
+        self.events.extend(self.register.dl(dl).map(|dl| Event::ClientLeft { dl }));
     }
 
     fn reply(&mut self, dl: DlNo, answer: ToClient, outward: &mut dyn Outward) {
@@ -344,38 +345,45 @@
         let held = self.held.get(&dl).and_then(|held| held.wish.held.as_ref());
         let offered = held.is_some() && held == names.as_ref();
         let ending = match answer.word {
-            Word::Good => Ending::Fulfilled,
+            Word::Good => PullOutcome::Fulfilled,
             // An answer may be spoilt, and then names no copy, or another one than the client has.
-            Word::StillGood if offered => Ending::Fulfilled,
-            Word::StillGood | Word::Failed => Ending::Error,
-            Word::Lacks => Ending::Missed,
-            Word::Full => Ending::Full,
-            Word::TooLate => Ending::NotSent,
+            Word::StillGood if offered => PullOutcome::Fulfilled,
+            Word::StillGood | Word::Failed => PullOutcome::Error,
+            Word::Lacks => PullOutcome::Missed,
+            Word::Full => PullOutcome::Full,
+            Word::TooLate => PullOutcome::NotSent,
         };
-        if ending == Ending::Fulfilled {
+        if ending == PullOutcome::Fulfilled {
             let good = match answer.word {
                 Word::StillGood => ToClient::StillGood,
                 _ => ToClient::Fulfilled { body: answer.body },
             };
             self.reply(dl, good, outward);
         }
-        self.ended(pull, ending, answer.remark, Span::of_seconds(answer.first_ms / 1e3), now);
+        self.ended(pull, ending, answer.remark, Span::from_seconds(answer.first_ms / 1e3), now);
     }
 
-    fn ended(&mut self, pull: PullNo, ending: Ending, remark: Remark, first_byte: Span, now: Moment) {
+    fn ended(
+        &mut self,
+        pull: PullNo,
+        ending: PullOutcome,
+        remark: CacheStatus,
+        first_byte: Span,
+        now: Moment,
+    ) {
         let Some(out) = self.out.remove(&pull) else { return };
         let Some(held) = self.held.get(&out.dl) else { return };
         let Some((dl, node)) = self.register.dl(out.dl).zip(self.register.node(out.node)) else { return };
         let (closed, took) = (held.answered, now.since(out.sent));
         let number = out.number;
-        self.events.push(Event::Ended(PullEnd {
+        self.events.push(Event::PullEnded(PullResult {
             dl,
-            pull: number,
+            attempt: number,
             node,
-            ending,
-            remark,
-            closed,
-            took,
+            outcome: ending,
+            cache_status: remark,
+            answered: closed,
+            duration: took,
             first_byte,
         }));
     }
@@ -396,7 +404,7 @@
                     match said.listing.phase {
                         Phase::Ready => {}
                         Phase::Draining => closed.push(said.node),
-                        Phase::Gone => gone.push(said.node),
+                        Phase::Removed => gone.push(said.node),
                     }
                     listings.push(said.listing);
                 }
@@ -408,8 +416,8 @@
                     self.set(now + self.gone_kept, Timer::Forget(*node));
                 }
                 closed.extend(gone);
-                let news = if whole { RosterNews::Whole } else { RosterNews::Changes };
-                self.events.push(Event::Roster { news, listings });
+                let news = if whole { MembershipUpdate::Snapshot } else { MembershipUpdate::Delta };
+                self.events.push(Event::Membership { update: news, records: listings });
                 let is_closed = |node: &NodeNo| closed.contains(node);
                 self.take_back(
                     |out, _| is_closed(&out.node) || out.source.iter().any(is_closed),
@@ -435,7 +443,7 @@
         pulls.sort_unstable();
         for (pull, node) in pulls {
             if outward.take_back(node, pull) {
-                self.ended(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
+                self.ended(pull, PullOutcome::NotSent, CacheStatus::Unknown, Span::ZERO, now);
             }
         }
     }
@@ -455,12 +463,12 @@
                 if self.out.get(&pull).is_some_and(|out| outward.still_calls_back(out.node, pull)) {
                     self.set(now + self.call_back_settles, Timer::CalledBack(pull));
                 } else {
-                    self.ended(pull, Ending::Cancelled, Remark::Nothing, Span::ZERO, now);
+                    self.ended(pull, PullOutcome::Cancelled, CacheStatus::Unknown, Span::ZERO, now);
                 }
             }
             Timer::StartsTooLate(pull) => {
                 if self.out.get(&pull).is_some_and(|out| outward.take_back(out.node, pull)) {
-                    self.ended(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
+                    self.ended(pull, PullOutcome::NotSent, CacheStatus::Unknown, Span::ZERO, now);
                 }
             }
             Timer::Deadline(dl) => {
@@ -481,7 +489,7 @@
             Timer::Overdue(dl) => {
                 if self.held.get(&dl).is_some_and(|h| !h.answered) {
                     self.reply(dl, ToClient::Abandoned, outward);
-                    self.events.extend(self.register.dl(dl).map(|dl| Event::Left { dl }));
+                    self.events.extend(self.register.dl(dl).map(|dl| Event::ClientLeft { dl }));
                 }
             }
         }
@@ -490,48 +498,48 @@
     fn time_out(&mut self, pull: PullNo, now: Moment, outward: &mut dyn Outward) {
         let Some(node) = self.out.get(&pull).map(|out| out.node) else { return };
         let never_left = outward.cancel(node, pull);
-        let ending = if never_left { Ending::NotSent } else { Ending::TimedOut };
-        self.ended(pull, ending, Remark::Nothing, Span::ZERO, now);
+        let ending = if never_left { PullOutcome::NotSent } else { PullOutcome::TimedOut };
+        self.ended(pull, ending, CacheStatus::Unknown, Span::ZERO, now);
     }
 
-    fn carry_out(&mut self, order: Order, now: Moment, outward: &mut dyn Outward) {
+    fn carry_out(&mut self, order: Action, now: Moment, outward: &mut dyn Outward) {
         match order {
-            Order::Pull(pull) => self.pull(pull, now, outward),
-            Order::Cancel { dl, pull: number } => {
-                let dl = self.register.dl_id(dl);
+            Action::Pull(pull) => self.pull(pull, now, outward),
+            Action::Cancel { dl, attempt: number } => {
+                let dl = self.register.download_id(dl);
                 let pulls = self.held.get(&dl).map(|held| &held.pulls);
                 let Some(pull) = pulls.and_then(|p| p.get(number as usize)).copied() else { return };
                 let Some(node) = self.out.get(&pull).map(|out| out.node) else { return };
                 let never_left = outward.cancel(node, pull);
                 if never_left || self.held.get(&dl).is_none_or(|held| held.answered) {
-                    let ending = if never_left { Ending::NotSent } else { Ending::Cancelled };
-                    return self.ended(pull, ending, Remark::Nothing, Span::ZERO, now);
+                    let ending = if never_left { PullOutcome::NotSent } else { PullOutcome::Cancelled };
+                    return self.ended(pull, ending, CacheStatus::Unknown, Span::ZERO, now);
                 }
                 // Guards against two pulls of one download at work at once: the next one may go over another
                 // connection, and would overtake the cancel on its way.
                 self.set(now + self.call_back_settles, Timer::CalledBack(pull));
             }
-            Order::Throttle { dl, retry_after } => {
+            Action::Throttle { dl, retry_after } => {
                 let retry_after_ms = retry_after.as_micros().div_ceil(1_000);
-                self.reply(self.register.dl_id(dl), ToClient::Throttled { retry_after_ms }, outward);
+                self.reply(self.register.download_id(dl), ToClient::Throttled { retry_after_ms }, outward);
             }
-            Order::Abandon { dl } => self.reply(self.register.dl_id(dl), ToClient::Abandoned, outward),
-            Order::SetTimer { after, timer } => {
+            Action::Abandon { dl } => self.reply(self.register.download_id(dl), ToClient::Abandoned, outward),
+            Action::SetTimer { after, timer } => {
                 self.set(now + after, Timer::Core(timer));
             }
             // The feed runs from the start, asked for or not.
-            Order::WatchRoster => {}
-            Order::Forget { dl } => {
-                if let Some(held) = self.held.remove(&self.register.dl_id(dl)) {
+            Action::WatchMembership => {}
+            Action::Release { dl } => {
+                if let Some(held) = self.held.remove(&self.register.download_id(dl)) {
                     self.ids.remove(&held.wish.id);
                 }
-                self.register.forget_dl(dl);
+                self.register.release_download(dl);
             }
         }
     }
 
     fn pull(&mut self, order: Pull, now: Moment, outward: &mut dyn Outward) {
-        let dl = self.register.dl_id(order.dl);
+        let dl = self.register.download_id(order.dl);
         let Some((node, contact)) = self.contacts.of(&self.register, order.node) else { return };
         let source = order.source.and_then(|source| self.contacts.of(&self.register, source));
         let Some(held) = self.held.get_mut(&dl) else { return };
@@ -539,7 +547,7 @@
         let (pull, number) = (self.last_pull, held.pulls.len() as u8);
         held.pulls.push(pull);
         held.acted = self.witness.as_ref().map(|witness| witness.acts_by()).or(held.acted);
-        let until = match order.time_out {
+        let until = match order.timeout {
             Span::ZERO => held.leaves_at,
             time_out => held.leaves_at.min(now + time_out),
         };
@@ -554,7 +562,7 @@
             source: source.map(|(_, contact)| contact.name.as_str()),
             rank: order.rank,
             // Rounded down: a copy that is a moment too old will not do, and 0 would mean the usual.
-            oldest_ms: (order.oldest > Span::ZERO).then(|| (order.oldest.as_micros() / 1_000).max(1)),
+            oldest_ms: (order.max_age > Span::ZERO).then(|| (order.max_age.as_micros() / 1_000).max(1)),
             join: order.join,
             only_held: order.only_held,
             no_copy: order.no_copy,
@@ -571,13 +579,13 @@
         let source = source.map(|(source, _)| source);
         self.out.insert(pull, Out { dl, number, node, source, sent: now });
         if !queued {
-            return self.ended(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
+            return self.ended(pull, PullOutcome::NotSent, CacheStatus::Unknown, Span::ZERO, now);
         }
-        if order.time_out > Span::ZERO {
+        if order.timeout > Span::ZERO {
             self.set(until, Timer::PullTimesOut(pull));
         }
-        if order.start_within > Span::ZERO {
-            self.set(now + order.start_within, Timer::StartsTooLate(pull));
+        if order.connect_within > Span::ZERO {
+            self.set(now + order.connect_within, Timer::StartsTooLate(pull));
         }
     }
 }
--- a/crates/router/src/routing/nodes.rs
+++ b/crates/router/src/routing/nodes.rs
@@ -1,8 +1,8 @@
 //! Names and addresses of caches, parents and the origin, as the feed tells them.
-use harestage::door::Register;
-use harestage::state::{Listing, NodeIx, Phase, Role};
+use harestage::interface::IdRegistry;
+use harestage::state::{NodeIndex, NodeRecord, Phase, Role};
 use harestage::time::{Moment, Span};
-use harestage_profile::{Kinds, Outside};
+use harestage_profile::{NodeKinds, RouterSettings};
 use harestage_sockets::clock::unix_ms;
 use harestage_wire::feed::{Member, MemberState};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -32,7 +32,7 @@
 /// What a line of the list changed.
 pub struct Relisted {
     pub node: NodeNo,
-    pub listing: Listing,
+    pub listing: NodeRecord,
     /// Another process than before stands behind the name.
     pub replaced: bool,
 }
@@ -45,15 +45,15 @@
     pub fn enter(
         &mut self,
         member: &Member,
-        register: &mut Register,
-        kinds: Kinds,
-        outside: &Outside,
+        register: &mut IdRegistry,
+        kinds: NodeKinds,
+        outside: &RouterSettings,
         now: Moment,
     ) -> Relisted {
         let phase = match member.state {
             MemberState::Ready => Phase::Ready,
             MemberState::Draining => Phase::Draining,
-            MemberState::Gone => Phase::Gone,
+            MemberState::Gone => Phase::Removed,
         };
         let told: Option<SocketAddr> = member.address.parse().ok();
         let node = *self.by_name.entry(member.name.clone()).or_insert_with(|| {
@@ -63,19 +63,19 @@
             self.named - 1
         });
         let contact = self.known.get_mut(&node).expect("known by its name");
-        if phase == Phase::Gone && contact.phase != Phase::Gone {
+        if phase == Phase::Removed && contact.phase != Phase::Removed {
             contact.gone = now;
         }
         let replaced = phase == Phase::Ready
-            && (contact.phase == Phase::Gone
+            && (contact.phase == Phase::Removed
                 || contact.since_ms != member.since_ms
                 || told.is_some() && contact.address != told);
         contact.address = told.or(contact.address);
         (contact.phase, contact.since_ms) = (phase, member.since_ms);
         let kind = place(&outside.kinds, &member.kind).map(|k| k as u8);
-        let listing = Listing {
-            node: register.enter_node(node),
-            stamp: stamp(&member.name),
+        let listing = NodeRecord {
+            node: register.register_node(node),
+            hash_key: stamp(&member.name),
             zone: place(&outside.zones, &member.zone).map_or(u16::MAX, |z| z as u16),
             cell: member.cell,
             kind: kind.unwrap_or(u8::MAX),
@@ -96,8 +96,8 @@
         let named: HashSet<&str> = members.iter().map(|m| m.name.as_str()).collect();
         let mut left_out = Vec::new();
         for (node, contact) in self.known.iter_mut().filter(|(_, c)| !named.contains(c.name.as_str())) {
-            if contact.phase != Phase::Gone {
-                (contact.phase, contact.gone) = (Phase::Gone, now);
+            if contact.phase != Phase::Removed {
+                (contact.phase, contact.gone) = (Phase::Removed, now);
             }
             left_out.push(*node);
         }
@@ -106,16 +106,16 @@
 
     /// Guards the memory of a long day, on which new names come all the time, against those that are gone.
     /// False: it is not gone, or not for as long.
-    pub fn forget(&mut self, node: NodeNo, after: Span, now: Moment, register: &mut Register) -> bool {
-        let long_gone = |c: &&Contact| c.phase == Phase::Gone && now.since(c.gone) >= after;
+    pub fn forget(&mut self, node: NodeNo, after: Span, now: Moment, register: &mut IdRegistry) -> bool {
+        let long_gone = |c: &&Contact| c.phase == Phase::Removed && now.since(c.gone) >= after;
         let Some(contact) = self.known.get(&node).filter(long_gone) else { return false };
         self.by_name.remove(&contact.name);
         self.known.remove(&node);
-        register.forget_node(node);
+        register.release_node(node);
         true
     }
 
-    pub fn of(&self, register: &Register, node: NodeIx) -> Option<(NodeNo, &Contact)> {
+    pub fn of(&self, register: &IdRegistry, node: NodeIndex) -> Option<(NodeNo, &Contact)> {
         let no = register.node_id(node);
         self.known.get(&no).map(|contact| (no, contact))
     }
--- a/crates/router/src/routing/witness.rs
+++ b/crates/router/src/routing/witness.rs
@@ -1,6 +1,6 @@
 //! What an installation that is audited attaches to a router: it hears what the router goes by and what became of downloads,
 //! and may say that no further order goes out. The platform's router has none, and links nothing for it.
-use harestage::state::ContentIx;
+use harestage::state::ContentIndex;
 use harestage::time::Moment;
 use harestage_wire::feed::Marks;
 use harestage_wire::peer::Mark;
@@ -23,7 +23,7 @@
     /// When whoever is turned away for that may come again, in milliseconds.
     fn come_again_ms(&self) -> u64;
     /// `acted`: what [`Witness::acts_by`] said when its last pull went out; none: it had no pull.
-    fn ended(&self, content: ContentIx, became: Became, id: u64, acted: Option<u64>, now: Moment);
+    fn ended(&self, content: ContentIndex, became: Became, id: u64, acted: Option<u64>, now: Moment);
     /// A number for what the router goes by now.
     fn acts_by(&self) -> u64;
     /// Nothing more will come: what is open is to be told before the router ends.
--- a/crates/router/tests/links.rs
+++ b/crates/router/tests/links.rs
@@ -2,9 +2,9 @@
 use async_executor::LocalExecutor;
 use async_io::{Timer, block_on};
 use bytes::Bytes;
-use harestage::door::Register;
+use harestage::interface::IdRegistry;
 use harestage::time::{Moment, Span};
-use harestage_profile::{Kinds, Outside};
+use harestage_profile::{NodeKinds, RouterSettings};
 use harestage_router::program::limits::Limits;
 use harestage_router::routing::nodes::{Contact, Contacts};
 use harestage_router::routing::{Loss, News};
@@ -66,24 +66,24 @@
     connections: usize,
     script: impl AsyncFnOnce(&mut Links, &Contact, &TcpListener),
 ) -> Vec<News> {
-    let outside = Outside {
+    let outside = RouterSettings {
         contents: vec![],
         zones: vec![],
         kinds: vec![],
-        connect_within: Span::millis(400),
-        idle_closes_after: Span::millis(30_000),
+        connect_timeout: Span::millis(400),
+        idle_timeout: Span::millis(30_000),
         pulls_per_connection: 100,
-        most_held: 100,
-        longest_retry_after: Span::millis(500),
-        longest_wait: Span::millis(3_000),
+        max_held_downloads: 100,
+        max_retry_after: Span::millis(500),
+        max_wait: Span::millis(3_000),
     };
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (name, zone, kind) = ("s-1".into(), String::new(), String::new());
     let (address, state) = (listener.local_addr().unwrap().to_string(), MemberState::Ready);
     let member = Member { name, address, zone, kind, cell: 0, state, scale: 1.0, since_ms: 0 };
     let mut contacts = Contacts::default();
-    let (kinds, now) = (Kinds { parent: None, origin: None }, Moment::at_micros(1));
-    contacts.enter(&member, &mut Register::default(), kinds, &outside, now);
+    let (kinds, now) = (NodeKinds { parent: None, origin: None }, Moment::at_micros(1));
+    contacts.enter(&member, &mut IdRegistry::default(), kinds, &outside, now);
     let executor = Rc::new(LocalExecutor::new());
     let (inbox, news) = async_channel::bounded(64);
     let usual = Limits::new(192, 1_024, &outside);
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -6,11 +6,11 @@
 use async_channel::{Receiver, bounded};
 use bytes::Bytes;
 use common::{CACHES, ORIGIN, PARENTS, profile};
-use harestage::brain::Brain;
-use harestage::door::{Event, Order, Register};
+use harestage::interface::{Action, Event, IdRegistry};
+use harestage::policy::Policy;
 use harestage::state::*;
 use harestage::time::{Moment, Span};
-use harestage_profile::{Kinds, Outside};
+use harestage_profile::{NodeKinds, RouterSettings};
 use harestage_router::routing::nodes::{Contact, Contacts, NodeNo};
 use harestage_router::routing::{ClientNo, Loss, News, Outward, PullNo, Routing, Terms};
 use harestage_wire::client::{ToClient, Wish};
@@ -19,7 +19,7 @@
 use harestage_wire::{Packet, fields::Hex};
 
 const START: Moment = Moment::at_micros(1_764_576_000_000_000);
-const KINDS: Kinds = Kinds { parent: Some(1), origin: Some(2) };
+const KINDS: NodeKinds = NodeKinds { parent: Some(1), origin: Some(2) };
 
 /// Notes what goes out; pulls stay unwritten while `stuck` is set.
 #[derive(Default)]
@@ -71,18 +71,18 @@
     }
 }
 
-fn outside() -> Outside {
+fn outside() -> RouterSettings {
     let names = |names: &[&str]| names.iter().map(|n| n.to_string()).collect();
-    Outside {
+    RouterSettings {
         contents: names(&["page", "write", "cell", "all"]),
         zones: names(&["hub", "other", "here"]),
         kinds: names(&["cache", "parent", "origin"]),
-        connect_within: Span::millis(400),
-        idle_closes_after: Span::millis(30_000),
+        connect_timeout: Span::millis(400),
+        idle_timeout: Span::millis(30_000),
         pulls_per_connection: 100,
-        most_held: 1_000,
-        longest_retry_after: Span::millis(500),
-        longest_wait: Span::millis(3_000),
+        max_held_downloads: 1_000,
+        max_retry_after: Span::millis(500),
+        max_wait: Span::millis(3_000),
     }
 }
 
@@ -114,7 +114,7 @@
     Wish { id, content, object, part, group, waits_ms, repeat, kilobytes, dedup_key, held, body }
 }
 
-fn answer(word: Word, remark: Remark) -> Answer {
+fn answer(word: Word, remark: CacheStatus) -> Answer {
     let id = Hex::read(b"0000000000000001").unwrap();
     Answer { id, word, remark, first_ms: 0.0, body: Bytes::from("bytes") }
 }
@@ -161,8 +161,8 @@
 #[test]
 fn the_router_adds_nothing_to_what_the_core_orders() {
     let mut bed = Bed::open();
-    let (mut register, mut contacts) = (Register::default(), Contacts::default());
-    let mut brain = Brain::open(profile(), 11, START);
+    let (mut register, mut contacts) = (IdRegistry::default(), Contacts::default());
+    let mut policy = Policy::new(profile(), 11, START);
     let Told::Members { members, .. } = all_ready() else { unreachable!() };
     let enter = |m| contacts.enter(m, &mut register, KINDS, &outside(), START).listing;
     let listings = members.iter().map(enter).collect();
@@ -171,35 +171,40 @@
     let mut throttled = 0;
     let mut turn = |now: Moment, event: Event, direct: &mut Vec<(u32, u32)>, timers: &mut Vec<Moment>| {
         let mut orders = Vec::new();
-        brain.turn(now, vec![event], &mut orders);
+        policy.step(now, vec![event], &mut orders);
         for order in orders {
             match order {
-                Order::Pull(pull) => direct.push((pull.dl.0, register.node_id(pull.node))),
-                Order::SetTimer { after, .. } => timers.push(now + after),
-                Order::Throttle { .. } => throttled += 1,
+                Action::Pull(pull) => direct.push((pull.dl.0, register.node_id(pull.node))),
+                Action::SetTimer { after, .. } => timers.push(now + after),
+                Action::Throttle { .. } => throttled += 1,
                 _ => {}
             }
         }
     };
-    turn(START, Event::Roster { news: RosterNews::Whole, listings }, &mut direct, &mut timers);
+    turn(
+        START,
+        Event::Membership { update: MembershipUpdate::Snapshot, records: listings },
+        &mut direct,
+        &mut timers,
+    );
     let endings = [
-        (Word::Good, Ending::Fulfilled, Remark::FromOrigin),
-        (Word::Failed, Ending::Error, Remark::Nothing),
-        (Word::Full, Ending::Full, Remark::SourceRefused),
-        (Word::Good, Ending::Fulfilled, Remark::Hit),
-        (Word::Lacks, Ending::Missed, Remark::SourceLacks),
+        (Word::Good, PullOutcome::Fulfilled, CacheStatus::FromOrigin),
+        (Word::Failed, PullOutcome::Error, CacheStatus::Unknown),
+        (Word::Full, PullOutcome::Full, CacheStatus::SourceRefused),
+        (Word::Good, PullOutcome::Fulfilled, CacheStatus::Hit),
+        (Word::Lacks, PullOutcome::Missed, CacheStatus::SourceLacks),
     ];
     for round in 0..400u64 {
         // No download is ever forgotten before the next comes, so that both give out the same indices.
         let (object, before) = (round % 37 * 1_000, bed.paper.pulls.len());
         let download = Download {
-            content: ContentIx(0),
+            content: ContentIndex(0),
             object: ObjectKey(object),
             part: 0,
             group: 3,
             kilobytes: 0.0,
-            leaves_at: bed.now + Span::millis(2_000),
-            repeat: false,
+            deadline: bed.now + Span::millis(2_000),
+            is_retry: false,
         };
         bed.hear(vec![News::Asked {
             client: 1,
@@ -207,16 +212,25 @@
             wish: wish("page", object, 2_000),
             at: bed.now,
         }]);
-        turn(bed.now, Event::Arrived { dl: DlIx(0), download }, &mut direct, &mut timers);
+        turn(bed.now, Event::Arrived { dl: DownloadIndex(0), download }, &mut direct, &mut timers);
         let mut number = 0;
         while bed.paper.pulls.len() > before + number {
             let (node, pull, _) = bed.paper.pulls[before + number].clone();
             let (word, ending, remark) = endings[(round as usize + number) % endings.len()];
             bed.hear(vec![News::Answered { pull, answer: answer(word, remark), names: None }]);
-            let (dl, node, closed) = (DlIx(0), NodeIx(node), ending == Ending::Fulfilled);
+            let (dl, node, closed) = (DownloadIndex(0), NodeIndex(node), ending == PullOutcome::Fulfilled);
             let (took, first_byte) = (Span::ZERO, Span::ZERO);
-            let end = PullEnd { dl, pull: number as u8, node, ending, remark, closed, took, first_byte };
-            turn(bed.now, Event::Ended(end), &mut direct, &mut timers);
+            let end = PullResult {
+                dl,
+                attempt: number as u8,
+                node,
+                outcome: ending,
+                cache_status: remark,
+                answered: closed,
+                duration: took,
+                first_byte,
+            };
+            turn(bed.now, Event::PullEnded(end), &mut direct, &mut timers);
             number += 1;
         }
         let until = bed.now + Span::millis(7 + round % 11);
@@ -244,7 +258,7 @@
     assert_eq!(bed.answered(1).len(), 1);
     assert_eq!(bed.paper.cancels, [pull]);
     // What comes after the end is passed over.
-    bed.hear(vec![News::Answered { pull, answer: answer(Word::Good, Remark::Hit), names: None }]);
+    bed.hear(vec![News::Answered { pull, answer: answer(Word::Good, CacheStatus::Hit), names: None }]);
     bed.wait(500);
     assert_eq!(bed.answered(1).len(), 1);
     assert_eq!(bed.routing.unanswered(), 0);
@@ -255,7 +269,7 @@
     let mut bed = Bed::open();
     let pull = bed.ask(1, "page", 300);
     bed.now = bed.now + Span::millis(300);
-    bed.hear(vec![News::Answered { pull, answer: answer(Word::Good, Remark::Hit), names: None }]);
+    bed.hear(vec![News::Answered { pull, answer: answer(Word::Good, CacheStatus::Hit), names: None }]);
     bed.wait(200);
     assert_eq!(bed.answered(1), [&ToClient::Fulfilled { body: Bytes::from("bytes") }]);
 }
@@ -274,7 +288,7 @@
     assert_eq!(bed.answered(1), [&ToClient::Abandoned]);
     for word in [Word::Full, Word::TooLate, Word::Failed] {
         let pull = bed.ask(2, "write", 2_000);
-        bed.hear(vec![News::Answered { pull, answer: answer(word, Remark::Nothing), names: None }]);
+        bed.hear(vec![News::Answered { pull, answer: answer(word, CacheStatus::Unknown), names: None }]);
         let failed = bed.answered(2).contains(&&ToClient::Abandoned);
         assert_eq!(failed, word == Word::Failed, "{word:?}");
         bed.hear(vec![News::HungUp { client: 1 }]);
@@ -360,12 +374,12 @@
         bed.wait(2_000);
         let pull = bed.ask(u64::from(day) + 1, "page", 1_000);
         assert!(!bed.paper.forgotten.contains(&bed.paper.pulls.last().unwrap().0));
-        bed.hear(vec![News::Answered { pull, answer: answer(Word::Good, Remark::Hit), names: None }]);
+        bed.hear(vec![News::Answered { pull, answer: answer(Word::Good, CacheStatus::Hit), names: None }]);
     }
     assert!(bed.paper.forgotten.len() >= 34, "{:?}", bed.paper.forgotten);
     let (first, last) = (bed.paper.forgotten[0], *bed.paper.forgotten.last().unwrap());
     assert_eq!(last - first + 1, bed.paper.forgotten.len() as u32, "one after the other, and none twice");
-    let mut register = Register::default();
+    let mut register = IdRegistry::default();
     let mut contacts = Contacts::default();
     for day in 0..40u32 {
         let gone = |state| member(100 + day, state, 1);
@@ -393,7 +407,7 @@
     assert_eq!((bed.answered(2), bed.answered(3)), (vec![&ToClient::Abandoned], vec![&ToClient::Abandoned]));
     assert_eq!(bed.paper.pulls.len(), 1);
     let pull = bed.paper.pulls[0].1;
-    bed.hear(vec![News::Answered { pull, answer: answer(Word::Good, Remark::Hit), names: None }]);
+    bed.hear(vec![News::Answered { pull, answer: answer(Word::Good, CacheStatus::Hit), names: None }]);
     assert_eq!(bed.answered(1).len(), 1);
     bed.hear(vec![asked(4, 1)]);
     assert_eq!(bed.paper.pulls.len(), 2, "free again once that is answered");
--- a/crates/router/tests/sides.rs
+++ b/crates/router/tests/sides.rs
@@ -3,7 +3,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer, block_on};
 use harestage::time::Span;
-use harestage_profile::Outside;
+use harestage_profile::RouterSettings;
 use harestage_router::program::limits::Limits;
 use harestage_router::routing::News;
 use harestage_router::transport::{client, feed};
@@ -18,16 +18,16 @@
 const SHORT: Duration = Duration::from_millis(150);
 
 fn limits() -> Rc<Limits> {
-    let outside = Outside {
+    let outside = RouterSettings {
         contents: vec![],
         zones: vec![],
         kinds: vec![],
-        connect_within: Span::millis(400),
-        idle_closes_after: Span::millis(30_000),
+        connect_timeout: Span::millis(400),
+        idle_timeout: Span::millis(30_000),
         pulls_per_connection: 100,
-        most_held: 10_000,
-        longest_retry_after: Span::millis(500),
-        longest_wait: Span::millis(3_000),
+        max_held_downloads: 10_000,
+        max_retry_after: Span::millis(500),
+        max_wait: Span::millis(3_000),
     };
     Rc::new(Limits::new(192, 1_024, &outside))
 }
--- a/crates/router/tests/words.rs
+++ b/crates/router/tests/words.rs
@@ -6,7 +6,7 @@
 use async_io::{Timer, block_on};
 use bed::{Bed, LONG, Reply, subscribed};
 use harestage::time::Span;
-use harestage_profile::Outside;
+use harestage_profile::RouterSettings;
 use harestage_router::program::limits::Limits;
 use harestage_router::routing::News;
 use harestage_router::transport::feed;
@@ -166,16 +166,16 @@
     let executor = Rc::new(LocalExecutor::new());
     let (inbox, news) = bounded(16);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let outside = Outside {
+    let outside = RouterSettings {
         contents: vec![],
         zones: vec![],
         kinds: vec![],
-        connect_within: Span::millis(400),
-        idle_closes_after: Span::millis(30_000),
+        connect_timeout: Span::millis(400),
+        idle_timeout: Span::millis(30_000),
         pulls_per_connection: 100,
-        most_held: 10_000,
-        longest_retry_after: Span::millis(500),
-        longest_wait: Span::millis(3_000),
+        max_held_downloads: 10_000,
+        max_retry_after: Span::millis(500),
+        max_wait: Span::millis(3_000),
     };
     let follows = feed::Feed {
         limits: Rc::new(Limits::new(192, 1_024, &outside)),
--- a/crates/shape/src/parts.rs
+++ b/crates/shape/src/parts.rs
@@ -243,6 +243,6 @@
     /// When the next fetch may begin.
     pub fn next(&self, now: Moment) -> Moment {
         let lacks = (1.0 - self.tokens).max(0.0);
-        now + Span::of_seconds(lacks / self.rate(now).max(0.01)) + Span::millis(1)
+        now + Span::from_seconds(lacks / self.rate(now).max(0.01)) + Span::millis(1)
     }
 }
--- a/crates/sites/src/ration.rs
+++ b/crates/sites/src/ration.rs
@@ -5,8 +5,8 @@
 //! The line moves down at once when more is asked for, and up in small steps only, so that it does not flutter. Those who
 //! are refused are told when to come again, spread over the time in which there will be room for them, so that they don't
 //! come back in a wave.
-use harestage::ring::Ring;
 use harestage::time::{Moment, Span};
+use harestage::window::SlidingWindow;
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -74,13 +74,13 @@
 pub struct Ration {
     /// Units a second; none: there is room for all.
     room: Option<f64>,
-    asked: Vec<Ring>,
-    taken: Ring,
-    refused: Ring,
+    asked: Vec<SlidingWindow>,
+    taken: SlidingWindow,
+    refused: SlidingWindow,
     line: Line,
     fell: Moment,
     /// What each branch asked for at the line's rank.
-    by_branch: BTreeMap<u32, Ring>,
+    by_branch: BTreeMap<u32, SlidingWindow>,
     /// Units a second that a branch may have at the line's rank.
     level: f64,
     next: Moment,
@@ -153,7 +153,7 @@
 
 impl Ration {
     pub fn new(now: Moment) -> Ration {
-        let ring = || Ring::new(Span::millis(250), 4);
+        let ring = || SlidingWindow::new(Span::millis(250), 4);
         Ration {
             room: None,
             asked: (0..RANKS).map(|_| ring()).collect(),
@@ -235,7 +235,7 @@
 
     fn note(&mut self, want: &Want, now: Moment) {
         let key = self.key(want.branch);
-        let ring = self.by_branch.entry(key).or_insert_with(|| Ring::new(Span::millis(250), 4));
+        let ring = self.by_branch.entry(key).or_insert_with(|| SlidingWindow::new(Span::millis(250), 4));
         ring.add(now, want.takes);
     }
 
--- a/crates/standins/src/archive.rs
+++ b/crates/standins/src/archive.rs
@@ -2,7 +2,7 @@
 //! and counts what it was asked for.
 use crate::talk;
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage_wire::node::{Asked, CopyTag, Given, Word};
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -111,7 +111,7 @@
         let mut body = vec![(object % 251) as u8; script.body_bytes];
         body.get_mut(1).into_iter().for_each(|version| *version = change as u8);
         let body = Bytes::from(body);
-        let (id, word, remark) = (asked.id, Word::Good, Remark::Nothing);
+        let (id, word, remark) = (asked.id, Word::Good, CacheStatus::Unknown);
         Some(Given { id, word, remark, first_ms: 0.0, copy, body, come_ms: None, why: None })
     }
 
--- a/crates/standins/src/edge.rs
+++ b/crates/standins/src/edge.rs
@@ -1,7 +1,7 @@
 //! An edge cache: keeps what it gets, and fills what it lacks from the source that a pull names.
 use crate::talk::{self, Caller, Reply};
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage_wire::fields::Hex;
 use harestage_wire::node::{Asked, CopyTag, Given, Request, Word};
 use std::collections::HashMap;
@@ -96,10 +96,12 @@
             asked.oldest_ms.is_none_or(|oldest| now_ms.saturating_sub(copy.dated_ms) <= oldest)
         };
         if let Some((copy, body)) = held.filter(|(copy, _)| asked.body.is_empty() && young(copy)) {
-            return given(Word::Good, Remark::Hit, Some(copy), body);
+            return given(Word::Good, CacheStatus::Hit, Some(copy), body);
         }
         let source = asked.source.as_ref().map(|name| String::from_utf8_lossy(name).into_owned());
-        let Some(source) = source else { return given(Word::Lacks, Remark::Nothing, None, Bytes::new()) };
+        let Some(source) = source else {
+            return given(Word::Lacks, CacheStatus::Unknown, None, Bytes::new());
+        };
         match self.fill(&asked, &source) {
             Some((copy, body, remark)) => {
                 if asked.rank > 0 && asked.body.is_empty() {
@@ -107,7 +109,7 @@
                 }
                 given(Word::Good, remark, Some(copy), body)
             }
-            None => given(Word::Failed, Remark::SourceLost, None, Bytes::new()),
+            None => given(Word::Failed, CacheStatus::SourceLost, None, Bytes::new()),
         }
     }
 
@@ -129,7 +131,7 @@
         Some(reply)
     }
 
-    fn fill(&self, asked: &Asked, source: &str) -> Option<(CopyTag, Bytes, Remark)> {
+    fn fill(&self, asked: &Asked, source: &str) -> Option<(CopyTag, Bytes, CacheStatus)> {
         let address = *self.sources.lock().expect("no holder panics").get(source)?;
         *self.filled.lock().expect("no holder panics").entry(source.into()).or_default() += 1;
         let content = String::from_utf8_lossy(&asked.content).into_owned();
@@ -145,8 +147,8 @@
         };
         let reply = self.ask(address, &request, Duration::from_millis(asked.waits_ms))?;
         let remark = match reply.answer.remark {
-            Remark::FromOrigin => Remark::FromOrigin,
-            _ => Remark::Filled,
+            CacheStatus::FromOrigin => CacheStatus::FromOrigin,
+            _ => CacheStatus::Filled,
         };
         (reply.answer.word == Word::Good).then_some((reply.copy?, reply.answer.body, remark))
     }
--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -4,7 +4,7 @@
 use crate::peer::{self, Chase, Mark, Way};
 use crate::resp;
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 
 /// A pull as it goes on the wire.
 #[derive(Clone, Debug, PartialEq)]
@@ -46,7 +46,7 @@
 pub struct Answer {
     pub id: Hex,
     pub word: Word,
-    pub remark: Remark,
+    pub remark: CacheStatus,
     /// Milliseconds waited for the source.
     pub first_ms: f64,
     pub body: Bytes,
@@ -102,7 +102,7 @@
         b"STALE" => Word::TooLate,
         _ => return None,
     };
-    let (mut remark, mut first_ms) = (Remark::Nothing, 0.0);
+    let (mut remark, mut first_ms) = (CacheStatus::Unknown, 0.0);
     for (name, value) in fields::read(list) {
         match name {
             b"res" => remark = read_remark(&value),
@@ -113,19 +113,19 @@
     Some(Answer { id, word, remark, first_ms, body: body.clone() })
 }
 
-fn read_remark(word: &[u8]) -> Remark {
+fn read_remark(word: &[u8]) -> CacheStatus {
     match word {
-        b"HIT" => Remark::Hit,
-        b"MISS" => Remark::Filled,
-        b"MISS_ORIGIN" => Remark::FromOrigin,
-        b"COLLAPSED" => Remark::Joined,
-        b"STALE" => Remark::Aged,
-        b"UP_BUSY" => Remark::SourceRefused,
-        b"UP_DOWN" => Remark::SourceLost,
-        b"UP_MISS" => Remark::SourceLacks,
-        b"NO_FILL" => Remark::NoPlace,
-        b"ORIGIN_ERR" => Remark::OriginFailed,
-        _ => Remark::Nothing,
+        b"HIT" => CacheStatus::Hit,
+        b"MISS" => CacheStatus::Filled,
+        b"MISS_ORIGIN" => CacheStatus::FromOrigin,
+        b"COLLAPSED" => CacheStatus::Joined,
+        b"STALE" => CacheStatus::Stale,
+        b"UP_BUSY" => CacheStatus::SourceRefused,
+        b"UP_DOWN" => CacheStatus::SourceLost,
+        b"UP_MISS" => CacheStatus::SourceLacks,
+        b"NO_FILL" => CacheStatus::NoFillSlot,
+        b"ORIGIN_ERR" => CacheStatus::OriginFailed,
+        _ => CacheStatus::Unknown,
     }
 }
 
@@ -247,7 +247,7 @@
 pub struct Given {
     pub id: Hex,
     pub word: Word,
-    pub remark: Remark,
+    pub remark: CacheStatus,
     pub first_ms: f64,
     /// The tag of the copy, and the Unix millisecond at which the origin gave it out.
     pub copy: Option<CopyTag>,
@@ -318,18 +318,18 @@
     Some(CopyTag { digest: digest?, dated_ms: dated_ms?, group })
 }
 
-fn word_of(remark: Remark) -> Option<&'static str> {
+fn word_of(remark: CacheStatus) -> Option<&'static str> {
     Some(match remark {
-        Remark::Nothing => return None,
-        Remark::Hit => "HIT",
-        Remark::Filled => "MISS",
-        Remark::FromOrigin => "MISS_ORIGIN",
-        Remark::Joined => "COLLAPSED",
-        Remark::Aged => "STALE",
-        Remark::SourceRefused => "UP_BUSY",
-        Remark::SourceLost => "UP_DOWN",
-        Remark::SourceLacks => "UP_MISS",
-        Remark::NoPlace => "NO_FILL",
-        Remark::OriginFailed => "ORIGIN_ERR",
+        CacheStatus::Unknown => return None,
+        CacheStatus::Hit => "HIT",
+        CacheStatus::Filled => "MISS",
+        CacheStatus::FromOrigin => "MISS_ORIGIN",
+        CacheStatus::Joined => "COLLAPSED",
+        CacheStatus::Stale => "STALE",
+        CacheStatus::SourceRefused => "UP_BUSY",
+        CacheStatus::SourceLost => "UP_DOWN",
+        CacheStatus::SourceLacks => "UP_MISS",
+        CacheStatus::NoFillSlot => "NO_FILL",
+        CacheStatus::OriginFailed => "ORIGIN_ERR",
     })
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,6 +1,6 @@
 //! The messages: round trips, every split of the input, the protocol page's own examples, and bad input.
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage_wire::client::{self, FromClient, ToClient};
 use harestage_wire::feed::{Line, MemberState, Told, read_known, read_line};
 use harestage_wire::fields::{Fields, Hex, read as read_fields};
@@ -236,11 +236,11 @@
         node::read(&["9b1f03aa5c7e2d41", word, fields, "body"].map(|i| Bytes::copy_from_slice(i.as_bytes())))
     };
     let good = answer("ACK", "res=MISS_ORIGIN,first=36.5,digest=aa,dated=1764576000123").unwrap();
-    assert_eq!((good.word, good.remark, good.first_ms), (Word::Good, Remark::FromOrigin, 36.5));
+    assert_eq!((good.word, good.remark, good.first_ms), (Word::Good, CacheStatus::FromOrigin, 36.5));
     assert_eq!((&good.body[..], good.id), (&b"body"[..], request.id));
     let words = ["NOMOD", "NOENT", "AGAIN", "EIO", "STALE"].map(|w| answer(w, "-").unwrap().word);
     assert_eq!(words, [Word::StillGood, Word::Lacks, Word::Full, Word::Failed, Word::TooLate]);
-    assert_eq!(answer("EIO", "res=UP_DOWN,first=NaN").unwrap().remark, Remark::SourceLost);
+    assert_eq!(answer("EIO", "res=UP_DOWN,first=NaN").unwrap().remark, CacheStatus::SourceLost);
     assert!(answer("WHAT", "-").is_none() && node::read(&[]).is_none());
     // Without its body an answer was cut short; it must not pass for that of an empty object.
     let short = ["9b1f03aa5c7e2d41", "ACK", "res=HIT"].map(|i| Bytes::copy_from_slice(i.as_bytes()));
@@ -331,7 +331,7 @@
     let given = Given {
         id: Hex::of(0x1f),
         word: Word::Good,
-        remark: Remark::FromOrigin,
+        remark: CacheStatus::FromOrigin,
         first_ms: 9.5,
         copy: Some(copy.clone()),
         body: Bytes::from_static(b"bytes"),
@@ -341,7 +341,7 @@
     let items = items_of(&node::write_given(&given));
     assert_eq!(peer::read_come(&items), Some(750));
     let answer = node::read(&items).unwrap();
-    assert_eq!((answer.word, answer.remark, answer.first_ms), (Word::Good, Remark::FromOrigin, 9.5));
+    assert_eq!((answer.word, answer.remark, answer.first_ms), (Word::Good, CacheStatus::FromOrigin, 9.5));
     assert_eq!(node::read_copy(&items), Some(copy));
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! The core of harestage: what a router decides, with no input or output of its own.
 //!
-//! `door` is the one way in; `brain` holds every decision behind it.
-pub mod brain;
-pub mod door;
-pub mod ring;
+//! `interface` is the one way in; `policy` holds every decision behind it.
+pub mod interface;
+pub mod policy;
 pub mod state;
 pub mod time;
+pub mod window;
--- a/src/time.rs
+++ b/src/time.rs
@@ -40,7 +40,7 @@
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    pub fn of_seconds(s: f64) -> Self {
+    pub fn from_seconds(s: f64) -> Self {
         Span((s.max(0.0) * 1e6) as u64)
     }
     pub fn less(self, other: Span) -> Span {
--- a/src/ring.rs
+++ b/src/window.rs
@@ -9,14 +9,14 @@
 }
 
 #[derive(Clone, Default)]
-pub struct Ring {
+pub struct SlidingWindow {
     width: Span,
     buckets: Vec<Bucket>,
 }
 
-impl Ring {
+impl SlidingWindow {
     pub fn new(width: Span, buckets: usize) -> Self {
-        Ring { width, buckets: vec![Bucket::default(); buckets] }
+        SlidingWindow { width, buckets: vec![Bucket::default(); buckets] }
     }
 
     // Laps count from one, so that a bucket never written to belongs to no time.
@@ -25,11 +25,11 @@
     }
 
     pub fn add(&mut self, now: Moment, value: f64) {
-        self.weigh(now, 1.0, value);
+        self.add_weighted(now, 1.0, value);
     }
 
     /// Adds to the bucket of `now`, which may be a past one as long as the ring still holds it.
-    pub fn weigh(&mut self, now: Moment, count: f64, value: f64) {
+    pub fn add_weighted(&mut self, now: Moment, count: f64, value: f64) {
         let lap = self.lap(now);
         let at = (lap % self.buckets.len() as u64) as usize;
         let bucket = &mut self.buckets[at];
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,8 +2,8 @@
 mod common;
 
 use common::{CACHES, ORIGIN, PAGE, PARENTS, listing, profile};
-use harestage::brain::Brain;
-use harestage::door::{Event, Order};
+use harestage::interface::{Action, Event};
+use harestage::policy::Policy;
 use harestage::state::*;
 use harestage::time::{Moment, Span};
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 const SENDING: Span = Span::millis(100);
 
 struct Router {
-    brain: Brain,
+    policy: Policy,
     next: u32,
     due: BTreeMap<(Moment, u32, u8), Event>,
     pulls: BTreeMap<u32, u8>,
@@ -25,33 +25,33 @@
     fn open(routers: u16, seed: u64, now: Moment) -> Router {
         let mut profile = profile();
         (profile.routers, profile.zone_routers) = (routers, vec![0, 0, routers]);
-        let brain = Brain::open(profile, seed, now);
-        Router { brain, next: 0, due: BTreeMap::new(), pulls: BTreeMap::new() }
+        let policy = Policy::new(profile, seed, now);
+        Router { policy, next: 0, due: BTreeMap::new(), pulls: BTreeMap::new() }
     }
 
     /// Gives the pulls at the cold cache.
     fn turn(&mut self, now: Moment, event: Event) -> usize {
         let (mut orders, mut reached) = (Vec::new(), 0);
-        self.brain.turn(now, vec![event], &mut orders);
+        self.policy.step(now, vec![event], &mut orders);
         for order in orders {
             match order {
-                Order::Pull(pull) => {
+                Action::Pull(pull) => {
                     let number = self.pulls.entry(pull.dl.0).or_default();
-                    let end = PullEnd {
+                    let end = PullResult {
                         dl: pull.dl,
-                        pull: *number,
+                        attempt: *number,
                         node: pull.node,
-                        ending: Ending::Fulfilled,
-                        remark: Remark::Hit,
-                        closed: true,
-                        took: SENDING,
+                        outcome: PullOutcome::Fulfilled,
+                        cache_status: CacheStatus::Hit,
+                        answered: true,
+                        duration: SENDING,
                         first_byte: Span::ZERO,
                     };
-                    self.due.insert((now + SENDING, pull.dl.0, *number), Event::Ended(end));
+                    self.due.insert((now + SENDING, pull.dl.0, *number), Event::PullEnded(end));
                     *number += 1;
                     reached += usize::from(pull.node.0 == COLD);
                 }
-                Order::SetTimer { after, timer } => {
+                Action::SetTimer { after, timer } => {
                     self.due.insert((now + after, u32::MAX, 0), Event::TimerFired { timer });
                 }
                 _ => {}
@@ -72,10 +72,17 @@
     fn arrive(&mut self, now: Moment) -> usize {
         self.next += 1;
         let object = ObjectKey(u64::from(self.next) * 131);
-        let (content, leaves_at) = (ContentIx(PAGE), now + Span::millis(2_000));
-        let download =
-            Download { content, object, part: 0, group: 0, kilobytes: KILOBYTES, leaves_at, repeat: false };
-        self.turn(now, Event::Arrived { dl: DlIx(self.next), download })
+        let (content, leaves_at) = (ContentIndex(PAGE), now + Span::millis(2_000));
+        let download = Download {
+            content,
+            object,
+            part: 0,
+            group: 0,
+            kilobytes: KILOBYTES,
+            deadline: leaves_at,
+            is_retry: false,
+        };
+        self.turn(now, Event::Arrived { dl: DownloadIndex(self.next), download })
     }
 }
 
@@ -88,13 +95,14 @@
         (0..routers).map(|n| Router::open(routers, seed * 1_000 + u64::from(n), start)).collect();
     let nodes = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
     let started = |n: u32| (n == COLD).then_some(start);
-    let listings: Vec<Listing> = nodes.map(|n| listing(*n, Phase::Ready, started(*n))).collect();
+    let listings: Vec<NodeRecord> = nodes.map(|n| listing(*n, Phase::Ready, started(*n))).collect();
     for router in &mut fleet {
-        router.turn(start, Event::Roster { news: RosterNews::Whole, listings: listings.clone() });
+        router
+            .turn(start, Event::Membership { update: MembershipUpdate::Snapshot, records: listings.clone() });
     }
     let (mut now, mut owed, mut turn) = (start, 0.0, 0usize);
     let mut reached: Vec<(Moment, usize)> = Vec::new();
-    while now < start + profile.cold {
+    while now < start + profile.warm_up_time {
         now = now + STEP;
         let mut sum: usize = fleet.iter_mut().map(|router| router.until(now)).sum();
         owed += rate * STEP.seconds();
@@ -108,19 +116,20 @@
     }
     // What the settings allow: a cache's part of the link in, cold as it is at the window's end, as often as downloads
     // of that size fit into it.
-    let link = profile.zone_link_kb_per_s[2] / profile.flow_kb_per_s / CACHES.len() as f64;
+    let link = profile.zone_link_kb_per_s[2] / profile.client_kb_per_s / CACHES.len() as f64;
     let allowed = |at: Moment| {
-        let part = profile.cold_from + (1.0 - profile.cold_from) * (at.since(start) / profile.cold).min(1.0);
-        profile.fall_multiple * part * link * profile.fall.seconds() / SENDING.seconds()
+        let part = profile.cold_share
+            + (1.0 - profile.cold_share) * (at.since(start) / profile.warm_up_time).min(1.0);
+        profile.overload_factor * part * link * profile.overload_window.seconds() / SENDING.seconds()
     };
     let worst = reached.iter().map(|(from, _)| {
-        let within = |(at, _): &&(Moment, usize)| *at >= *from && at.since(*from) < profile.fall;
+        let within = |(at, _): &&(Moment, usize)| *at >= *from && at.since(*from) < profile.overload_window;
         let sum: usize = reached.iter().filter(within).map(|(_, sum)| sum).sum();
-        let allowed = allowed(*from + profile.fall);
+        let allowed = allowed(*from + profile.overload_window);
         sum as f64 - (allowed + 2.0 * allowed.sqrt() + 2.0)
     });
     let got: usize = reached.iter().map(|(_, sum)| sum).sum();
-    let whole: f64 = reached.iter().map(|(at, _)| allowed(*at) * (STEP / profile.fall)).sum();
+    let whole: f64 = reached.iter().map(|(at, _)| allowed(*at) * (STEP / profile.overload_window)).sum();
     (worst.fold(f64::MIN, f64::max), got as f64 / whole)
 }
 
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -2,7 +2,7 @@
 //! repeated only where and while repeats are dropped, purges that cross fills, caches that pause, lists that are stale.
 mod common;
 use common::*;
-use harestage::door::Order;
+use harestage::interface::Action;
 use harestage::state::*;
 use harestage::time::Span;
 
@@ -12,7 +12,7 @@
 
 fn pulls(front: &Front, dl: u32) -> Vec<Placed> {
     let of = front.orders.iter().filter_map(|o| match o {
-        Order::Pull(pull) if pull.dl.0 == dl => Some(*pull),
+        Action::Pull(pull) if pull.dl.0 == dl => Some(*pull),
         _ => None,
     });
     let placed = |(n, pull)| Placed { dl, number: n as u8, pull, sent: front.now };
@@ -31,13 +31,13 @@
         let dl = front.arrive(content, 1, 0, Span::millis(3_000));
         let first = front.last_pull(dl);
         front.wait(Span::millis(after_ms));
-        front.end(first, Ending::Broken, Remark::Nothing);
+        front.end(first, PullOutcome::Broken, CacheStatus::Unknown);
         let out = pulls(&front, dl);
         assert_eq!(out.len() == 2, again, "content {content}, {after_ms} ms after its first pull");
         if again {
             // One that waits for its connection is not sent after the window has closed.
             let left = Span::millis(1_000 - after_ms);
-            assert!(out[1].pull.start_within > Span::ZERO && out[1].pull.start_within <= left);
+            assert!(out[1].pull.connect_within > Span::ZERO && out[1].pull.connect_within <= left);
         }
     }
 }
@@ -52,10 +52,10 @@
             let first = front.last_pull(dl);
             let home = first.pull.node.0;
             if !other_is_there {
-                front.relist(home ^ 1, Phase::Gone, None);
-                front.relist(home, Phase::Gone, None);
+                front.relist(home ^ 1, Phase::Removed, None);
+                front.relist(home, Phase::Removed, None);
             }
-            front.end(first, Ending::Error, Remark::Nothing);
+            front.end(first, PullOutcome::Error, CacheStatus::Unknown);
             let others = pulls(&front, dl).into_iter().skip(1).map(|p| p.pull.node.0);
             assert!(others.clone().all(|node| node / 2 == home / 2), "{object}: sent on to another cell");
             assert!(other_is_there || others.count() == 0, "{object}: nobody of its cell is left");
@@ -65,14 +65,14 @@
 
 #[test]
 fn a_write_that_may_have_run_is_never_sent_again_and_one_that_did_not_is() {
-    use Ending::{Broken, Error, NoConnection, NotSent, TimedOut};
+    use PullOutcome::{Broken, Error, NoConnection, NotSent, TimedOut};
     for (ending, again) in
         [(Broken, false), (Error, false), (TimedOut, false), (NoConnection, true), (NotSent, true)]
     {
         let mut front = Front::open(profile());
         let dl = front.arrive(WRITE, 5, 0, Span::millis(3_000));
         let first = front.last_pull(dl);
-        front.end(first, ending, Remark::Nothing);
+        front.end(first, ending, CacheStatus::Unknown);
         assert_eq!(pulls(&front, dl).len() == 2, again, "{ending:?}");
         let invited = front.throttled(dl);
         assert!(again || !invited, "{ending:?}: a repeat of what may have run was invited");
@@ -96,7 +96,7 @@
                 purge(&mut front, Span::ZERO);
             }
             front.wait(Span::millis(100));
-            front.end(first, Ending::Fulfilled, Remark::FromOrigin);
+            front.end(first, PullOutcome::Fulfilled, CacheStatus::FromOrigin);
             match when {
                 "after" => purge(&mut front, Span::ZERO),
                 "late" => purge(&mut front, Span::millis(300)),
@@ -113,11 +113,11 @@
             } else {
                 350
             };
-            let oldest = next.pull.oldest;
+            let oldest = next.pull.max_age;
             assert!(oldest > Span::ZERO && oldest <= Span::millis(since), "{when}, {by_group}: {oldest:?}");
             // Another object of no purge is as before.
             let dl = front.page(6);
-            assert_eq!(front.last_pull(dl).pull.oldest, Span::ZERO, "{when}, {by_group}");
+            assert_eq!(front.last_pull(dl).pull.max_age, Span::ZERO, "{when}, {by_group}");
         }
     }
 }
@@ -131,7 +131,7 @@
         let dl = front.page(n);
         let out = front.last_pull(dl);
         front.wait(Span::millis(10));
-        front.end(out, Ending::Fulfilled, Remark::Hit);
+        front.end(out, PullOutcome::Fulfilled, CacheStatus::Hit);
         if out.pull.node.0 == 2 {
             at_home.push(n);
         }
@@ -140,7 +140,7 @@
     let waiting: Vec<Placed> = waiting.into_iter().map(|dl| front.last_pull(dl)).collect();
     assert!(waiting.iter().all(|out| out.pull.node.0 == 2));
     front.wait(Span::millis(120));
-    waiting.into_iter().for_each(|out| front.end(out, Ending::Fulfilled, Remark::Hit));
+    waiting.into_iter().for_each(|out| front.end(out, PullOutcome::Fulfilled, CacheStatus::Hit));
     for object in &at_home[4..12] {
         let dl = front.page(*object);
         assert_eq!(front.last_pull(dl).pull.node.0, 2, "{object} comes home");
@@ -153,7 +153,7 @@
     let mut front = Front::open(profile());
     let dl = front.page(3);
     let gone = front.last_pull(dl).pull.node;
-    front.end(front.last_pull(dl), Ending::Fulfilled, Remark::Hit);
+    front.end(front.last_pull(dl), PullOutcome::Fulfilled, CacheStatus::Hit);
     let (mut refused, mut served) = (0, 0);
     for n in 0..300u64 {
         let dl = front.page(n % 20);
@@ -162,11 +162,11 @@
             match out.pull.node == gone {
                 true => {
                     refused += 1;
-                    front.end(out, Ending::NoConnection, Remark::Nothing);
+                    front.end(out, PullOutcome::NoConnection, CacheStatus::Unknown);
                 }
                 false => {
                     served += 1;
-                    front.end(out, Ending::Fulfilled, Remark::Hit);
+                    front.end(out, PullOutcome::Fulfilled, CacheStatus::Hit);
                 }
             }
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -21,25 +21,25 @@
             if out.is_empty() {
                 return;
             }
-            use Ending::{Broken, Cancelled, Error, Fulfilled, Full, Missed, NoConnection, NotSent};
-            use Remark::{Filled, FromOrigin, Hit, NoPlace, Nothing, SourceLost, SourceRefused};
+            use CacheStatus::{Filled, FromOrigin, Hit, NoFillSlot, SourceLost, SourceRefused, Unknown};
+            use PullOutcome::{Broken, Cancelled, Error, Fulfilled, Full, Missed, NoConnection, NotSent};
             let found =
                 [(Fulfilled, Hit), (Fulfilled, FromOrigin), (Fulfilled, Filled), (Full, SourceRefused)];
-            let failed = [(Error, Nothing), (Error, SourceLost), (Full, Nothing), (Full, NoPlace)];
-            let lost = [(Missed, Nothing), (NoConnection, Nothing), (Broken, Nothing), (Cancelled, Nothing)];
-            let all = [found, failed, lost, [(NotSent, Nothing); 4]].concat();
+            let failed = [(Error, Unknown), (Error, SourceLost), (Full, Unknown), (Full, NoFillSlot)];
+            let lost = [(Missed, Unknown), (NoConnection, Unknown), (Broken, Unknown), (Cancelled, Unknown)];
+            let all = [found, failed, lost, [(NotSent, Unknown); 4]].concat();
             let (ending, remark) = all[how as usize % 13];
             front.end(out[how_much as usize % out.len()], ending, remark);
         }
         11 => front.wait(millis(how_much % 900)),
         12 => {
-            let phase = [Phase::Ready, Phase::Draining, Phase::Gone, Phase::Ready][how as usize % 4];
+            let phase = [Phase::Ready, Phase::Draining, Phase::Removed, Phase::Ready][how as usize % 4];
             let started = (phase == Phase::Ready).then(|| front.now.before(millis(how_much % 3_000)));
             front.relist(node, phase, started.filter(|_| how % 8 > 3));
         }
         13 => {
             let kept = front.roster.values().filter(|l| l.node.0 != node).copied().collect();
-            front.list(RosterNews::Whole, kept);
+            front.list(MembershipUpdate::Snapshot, kept);
         }
         14 => {
             let object = (how % 2 == 0).then(|| u64::from(how_much % 7));
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -1,7 +1,7 @@
 //! One small test for each failure that was found, without the bench.
 mod common;
 use common::*;
-use harestage::door::{Order, ServiceProfile};
+use harestage::interface::{Action, ServiceProfile};
 use harestage::state::*;
 use harestage::time::Span;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -13,14 +13,14 @@
     for n in objects {
         let dl = front.page(n);
         front.wait(TICK);
-        front.end(front.last_pull(dl), Ending::Fulfilled, Remark::Hit);
+        front.end(front.last_pull(dl), PullOutcome::Fulfilled, CacheStatus::Hit);
     }
 }
 
-fn home(front: &mut Front, object: u64) -> NodeIx {
+fn home(front: &mut Front, object: u64) -> NodeIndex {
     let dl = front.page(object);
     let out = front.last_pull(dl);
-    front.end(out, Ending::Fulfilled, Remark::Hit);
+    front.end(out, PullOutcome::Fulfilled, CacheStatus::Hit);
     out.pull.node
 }
 
@@ -32,9 +32,9 @@
     for _ in 0..3 {
         let dl = front.page(1);
         assert_eq!(front.last_pull(dl).pull.node, bad);
-        front.end(front.last_pull(dl), Ending::Error, Remark::Nothing);
+        front.end(front.last_pull(dl), PullOutcome::Error, CacheStatus::Unknown);
         assert_ne!(front.last_pull(dl).pull.node, bad);
-        front.end(front.last_pull(dl), Ending::Fulfilled, Remark::Hit);
+        front.end(front.last_pull(dl), PullOutcome::Fulfilled, CacheStatus::Hit);
         front.wait(TICK * 3.0);
     }
     assert_ne!(home(&mut front, 1), bad);
@@ -53,17 +53,17 @@
         let lost: Vec<_> = dls.iter().map(|dl| front.last_pull(*dl)).collect();
         let lost: Vec<_> = lost.into_iter().filter(|out| out.pull.node == node).collect();
         assert!(lost.len() >= 6);
-        lost.iter().for_each(|out| front.end(*out, Ending::Broken, Remark::Nothing));
+        lost.iter().for_each(|out| front.end(*out, PullOutcome::Broken, CacheStatus::Unknown));
         let again = lost.iter().filter(|out| front.last_pull(out.dl).pull.node == node).count();
         assert_eq!(again > 0, broken < 3, "{again} after {broken} breaks");
         // Once: against a cache that breaks whatever it is sent, another one helps.
         for out in front.out().into_iter().filter(|out| out.number == 1 && out.pull.node == node) {
-            front.end(out, Ending::Broken, Remark::Nothing);
+            front.end(out, PullOutcome::Broken, CacheStatus::Unknown);
             let last = front.last_pull(out.dl);
             assert!(last.number == 1 || last.pull.node != node);
         }
         for out in front.out() {
-            front.end(out, Ending::Cancelled, Remark::Nothing);
+            front.end(out, PullOutcome::Cancelled, CacheStatus::Unknown);
         }
         dls.into_iter().for_each(|dl| front.leave(dl));
         front.wait(TICK * 3.0);
@@ -71,7 +71,7 @@
 }
 
 fn called_back(front: &Front) -> Vec<Placed> {
-    let cancel = |o: &Placed| Order::Cancel { dl: DlIx(o.dl), pull: o.number };
+    let cancel = |o: &Placed| Action::Cancel { dl: DownloadIndex(o.dl), attempt: o.number };
     front.out().into_iter().filter(|o| front.orders.contains(&cancel(o))).collect()
 }
 
@@ -81,22 +81,22 @@
     for parent in [false, true] {
         let mut front = Front::open(profile());
         hits(&mut front, 0..40);
-        let silent = if parent { NodeIx(PARENTS[0]) } else { home(&mut front, 1) };
+        let silent = if parent { NodeIndex(PARENTS[0]) } else { home(&mut front, 1) };
         let waits = |o: &Placed| if parent { o.pull.source == Some(silent) } else { o.pull.node == silent };
-        let remark = if parent { Remark::FromOrigin } else { Remark::Hit };
+        let remark = if parent { CacheStatus::FromOrigin } else { CacheStatus::Hit };
         let mut moved = 0;
         for n in 0..150 {
             let dl = front.page(if parent { 100 + n } else { n % 40 });
             let out = front.last_pull(dl);
             if !waits(&out) {
-                front.end(out, Ending::Fulfilled, remark);
+                front.end(out, PullOutcome::Fulfilled, remark);
             }
             front.wait(Span::millis(30));
             for out in called_back(&front) {
-                front.end(out, Ending::Cancelled, Remark::Nothing);
+                front.end(out, PullOutcome::Cancelled, CacheStatus::Unknown);
                 let next = front.last_pull(out.dl);
                 assert!(!waits(&next));
-                front.end(next, Ending::Fulfilled, remark);
+                front.end(next, PullOutcome::Fulfilled, remark);
                 moved += 1;
             }
         }
@@ -118,18 +118,18 @@
             hits(&mut front, n % 40..n % 40 + 1);
             if stuck {
                 let failed = front.page(1_000 + n);
-                front.end(front.last_pull(failed), Ending::Error, Remark::OriginFailed);
+                front.end(front.last_pull(failed), PullOutcome::Error, CacheStatus::OriginFailed);
                 front.leave(failed);
             }
             for out in called_back(&front) {
-                front.end(out, Ending::Cancelled, Remark::Nothing);
+                front.end(out, PullOutcome::Cancelled, CacheStatus::Unknown);
                 assert_eq!(front.last_pull(dl).pull.node, lost.pull.node);
                 again += usize::from(out.dl == dl);
                 lost = front.last_pull(dl);
             }
         }
         assert_eq!(again, times, "seen before: {seen}, origin stuck: {stuck}");
-        front.end(lost, Ending::Fulfilled, Remark::Hit);
+        front.end(lost, PullOutcome::Fulfilled, CacheStatus::Hit);
     }
 }
 
@@ -143,7 +143,7 @@
         looked += usize::from(front.last_pull(dl).pull.only_held);
         front.wait(TICK * 2.0);
         if n % 3 > 0 {
-            front.end(front.last_pull(dl), Ending::Fulfilled, Remark::FromOrigin);
+            front.end(front.last_pull(dl), PullOutcome::Fulfilled, CacheStatus::FromOrigin);
         }
     }
     assert!(looked < 20, "{looked} of 400 only looked for where one in three is lost");
@@ -163,13 +163,17 @@
         let over: Vec<_> =
             front.out().into_iter().filter(|o| front.now.since(o.sent) >= TICK * 12.0).collect();
         for out in over {
-            if out.pull.source != Some(NodeIx(PARENTS[0])) || out.dl % 3 == 0 {
+            if out.pull.source != Some(NodeIndex(PARENTS[0])) || out.dl % 3 == 0 {
                 let held = out.number == 0 && out.dl % 2 == 0;
-                front.end(out, Ending::Fulfilled, if held { Remark::Filled } else { Remark::FromOrigin });
+                front.end(
+                    out,
+                    PullOutcome::Fulfilled,
+                    if held { CacheStatus::Filled } else { CacheStatus::FromOrigin },
+                );
                 continue;
             }
             failed += 1;
-            front.end(out, Ending::Error, Remark::SourceLost);
+            front.end(out, PullOutcome::Error, CacheStatus::SourceLost);
             assert_ne!(front.last_pull(out.dl).pull.source, out.pull.source, "asked again");
         }
     }
@@ -181,16 +185,21 @@
     // Guards against a slow or refusing source emptying the caches in front of it.
     let mut front = Front::open(profile());
     let cache = home(&mut front, 1);
-    for remark in [Remark::SourceLost, Remark::OriginFailed, Remark::SourceRefused, Remark::SourceLost] {
+    for remark in [
+        CacheStatus::SourceLost,
+        CacheStatus::OriginFailed,
+        CacheStatus::SourceRefused,
+        CacheStatus::SourceLost,
+    ] {
         let dl = front.page(1);
-        front.end(front.last_pull(dl), Ending::Error, remark);
+        front.end(front.last_pull(dl), PullOutcome::Error, remark);
         front.leave(dl);
-        front.out().into_iter().for_each(|o| front.end(o, Ending::Cancelled, Remark::Nothing));
+        front.out().into_iter().for_each(|o| front.end(o, PullOutcome::Cancelled, CacheStatus::Unknown));
     }
     assert_eq!(home(&mut front, 1), cache);
     // Nor are six pulls to be spent on a cache whose places for fills are all taken.
     let dl = front.page(1);
-    front.end(front.last_pull(dl), Ending::Full, Remark::NoPlace);
+    front.end(front.last_pull(dl), PullOutcome::Full, CacheStatus::NoFillSlot);
     assert_ne!(front.last_pull(dl).pull.node, cache);
 }
 
@@ -198,10 +207,10 @@
 fn a_lost_roster_is_watched_again() {
     // Guards against the rules holding a router informed of what it no longer hears.
     let mut service = profile();
-    service.roster_on_call = true;
+    service.membership_on_request = true;
     let mut front = Front::open(service);
-    front.list(RosterNews::Failed, Vec::new());
-    assert_eq!(front.orders.iter().filter(|o| **o == Order::WatchRoster).count(), 2);
+    front.list(MembershipUpdate::Failed, Vec::new());
+    assert_eq!(front.orders.iter().filter(|o| **o == Action::WatchMembership).count(), 2);
 }
 
 /// Guards against seconds of throttling while gates that answer at once open step by step: where a day starts with
@@ -214,13 +223,13 @@
         for n in 0..30 {
             let before = front.orders.len();
             front.page(tick * 30 + n);
-            let turned_away = |o: &Order| matches!(o, Order::Throttle { .. });
+            let turned_away = |o: &Action| matches!(o, Action::Throttle { .. });
             throttled += usize::from(tick >= 100 && front.orders[before..].iter().any(turned_away));
         }
         front.wait(TICK);
         let done = |o: &Placed| front.now.since(o.sent) >= TICK * 6.0;
         let over: Vec<_> = front.out().into_iter().filter(done).collect();
-        over.into_iter().for_each(|out| front.end(out, Ending::Fulfilled, Remark::Hit));
+        over.into_iter().for_each(|out| front.end(out, PullOutcome::Fulfilled, CacheStatus::Hit));
     }
     assert!(throttled < 45, "{throttled} of 900 throttled after a second");
 }
@@ -234,11 +243,11 @@
         looked += usize::from(front.last_pull(dl).pull.source.is_none());
         front.wait(TICK);
         for out in front.out().into_iter().filter(|o| o.pull.source.is_none()) {
-            front.end(out, Ending::Missed, Remark::SourceLacks);
+            front.end(out, PullOutcome::Missed, CacheStatus::SourceLacks);
         }
         let done = |o: &Placed| front.now.since(o.sent) >= long + Span::millis(20);
         let over: Vec<_> = front.out().into_iter().filter(done).collect();
-        over.into_iter().for_each(|out| front.end(out, Ending::Fulfilled, Remark::Filled));
+        over.into_iter().for_each(|out| front.end(out, PullOutcome::Fulfilled, CacheStatus::Filled));
     }
     looked
 }
@@ -261,13 +270,15 @@
         let out = front.last_pull(dl);
         looked += usize::from(front.throttled(dl) || out.pull.only_held);
         if n % 4 == 0 && front.held.contains_key(&dl) {
-            front.end(out, Ending::Fulfilled, Remark::Filled);
+            front.end(out, PullOutcome::Fulfilled, CacheStatus::Filled);
         }
         for out in front.out().into_iter().filter(|o| o.pull.only_held || o.pull.source.is_none()) {
-            front.end(out, Ending::Missed, Remark::SourceLacks);
+            front.end(out, PullOutcome::Missed, CacheStatus::SourceLacks);
         }
         front.wait(Span::millis(20));
-        called_back(&front).into_iter().for_each(|o| front.end(o, Ending::Cancelled, Remark::Nothing));
+        called_back(&front)
+            .into_iter()
+            .for_each(|o| front.end(o, PullOutcome::Cancelled, CacheStatus::Unknown));
     }
     looked
 }
@@ -289,7 +300,7 @@
     for round in 0..2 {
         for n in 0..80 {
             let dl = front.page(n);
-            front.end(front.last_pull(dl), Ending::Fulfilled, Remark::FromOrigin);
+            front.end(front.last_pull(dl), PullOutcome::Fulfilled, CacheStatus::FromOrigin);
         }
         front.wait(Span::millis(2_000 * round + 100));
         (0..3).for_each(|group| front.purge(None, group, Span::ZERO));
@@ -302,7 +313,7 @@
 fn parts_of_a_hot_object_get_homes_of_their_own_and_keep_them() {
     // Guards against one cache sending all that a crowd wants of one object.
     let mut service = profile();
-    service.contents[PAGE as usize].in_parts = true;
+    service.content_types[PAGE as usize].in_parts = true;
     let mut front = Front::open(service);
     let mut homes = BTreeMap::new();
     for n in 0..300u64 {
@@ -310,7 +321,7 @@
         let dl = front.arrive(PAGE, 3, part, Span::millis(3_000));
         let out = front.last_pull(dl);
         front.wait(TICK);
-        front.end(out, Ending::Fulfilled, Remark::Hit);
+        front.end(out, PullOutcome::Fulfilled, CacheStatus::Hit);
         if n >= 150 {
             assert_eq!(*homes.entry(part).or_insert(out.pull.node), out.pull.node);
         }
@@ -324,7 +335,7 @@
     // client: they would keep each part at two caches, and find it at neither.
     for in_parts in [true, false] {
         let mut service = profile();
-        service.contents[PAGE as usize].in_parts = in_parts;
+        service.content_types[PAGE as usize].in_parts = in_parts;
         let homes = |busy: bool, seed: u64| {
             let mut front = Front::seeded(service.clone(), seed);
             let mut homes = Vec::new();
@@ -334,12 +345,12 @@
                     let out = front.last_pull(dl);
                     homes.push(out.pull.node);
                     front.wait(TICK);
-                    front.end(out, Ending::Fulfilled, Remark::Hit);
+                    front.end(out, PullOutcome::Fulfilled, CacheStatus::Hit);
                     // Others ask for much else meanwhile, or nobody does.
                     for other in 0..if busy { 12 } else { 0 } {
                         let dl = front.page(1_000 + object * 100 + other);
                         let out = front.last_pull(dl);
-                        front.end(out, Ending::Fulfilled, Remark::Hit);
+                        front.end(out, PullOutcome::Fulfilled, CacheStatus::Hit);
                     }
                 }
             }
@@ -360,7 +371,7 @@
     // to the part of its target that passes for slow. Each is of two seconds; what counts is what it takes beyond.
     let filled = |beyond: Span| {
         let mut service = profile();
-        (service.contents[PAGE as usize].target_stretch, service.may_cancel) = (2.0, false);
+        (service.content_types[PAGE as usize].target_stretch, service.may_cancel) = (2.0, false);
         let mut front = Front::open(service);
         let (mut under_way, mut filled) = (VecDeque::new(), 0);
         for n in 0..400u64 {
@@ -376,8 +387,8 @@
                 let out = under_way.pop_front().unwrap();
                 let looked = out.pull.source.is_none() || out.pull.only_held;
                 match looked {
-                    true => front.end(out, Ending::Missed, Remark::Nothing),
-                    false => front.end(out, Ending::Fulfilled, Remark::Filled),
+                    true => front.end(out, PullOutcome::Missed, CacheStatus::Unknown),
+                    false => front.end(out, PullOutcome::Fulfilled, CacheStatus::Filled),
                 }
             }
         }
@@ -393,11 +404,11 @@
     // Guards against a zone served by nobody, or downloads held for nothing, while its caches are all gone.
     for may_bypass in [false, true] {
         let mut front = Front::open(ServiceProfile { may_bypass, ..profile() });
-        CACHES.iter().for_each(|c| front.relist(*c, Phase::Gone, None));
+        CACHES.iter().for_each(|c| front.relist(*c, Phase::Removed, None));
         let dl = front.page(1);
         assert_eq!(front.throttled(dl), !may_bypass);
         let out = front.out().first().map(|o| (PARENTS.contains(&o.pull.node.0), o.pull.source));
-        assert_eq!(out, may_bypass.then_some((true, Some(NodeIx(ORIGIN)))));
+        assert_eq!(out, may_bypass.then_some((true, Some(NodeIndex(ORIGIN)))));
     }
 }
 
@@ -413,11 +424,11 @@
     assert!(dls.iter().all(|dl| !front.throttled(*dl)));
     // One that never ran goes on elsewhere; one that may have run is abandoned.
     let first = front.last_pull(dls[0]);
-    assert_eq!((first.pull.rank, first.pull.source), (0, Some(NodeIx(ORIGIN))));
-    front.end(first, Ending::NoConnection, Remark::Nothing);
+    assert_eq!((first.pull.rank, first.pull.source), (0, Some(NodeIndex(ORIGIN))));
+    front.end(first, PullOutcome::NoConnection, CacheStatus::Unknown);
     let second = front.last_pull(dls[0]);
     assert_ne!(first.pull.node, second.pull.node);
-    front.end(second, Ending::Broken, Remark::Nothing);
+    front.end(second, PullOutcome::Broken, CacheStatus::Unknown);
     assert!(!front.throttled(dls[0]) && !front.held.contains_key(&dls[0]));
 }
 
@@ -426,7 +437,7 @@
     // Guards against shares that each router takes too large, at a cache and, by looks that miss, at a parent.
     let routers = 40;
     let service = ServiceProfile { zone_routers: vec![0, 0, routers], routers, ..profile() };
-    let (cache, parent) = (NodeIx(CACHES[0]), NodeIx(PARENTS[0]));
+    let (cache, parent) = (NodeIndex(CACHES[0]), NodeIndex(PARENTS[0]));
     let mut sent = [(0.0, 0.0); 40];
     for seed in 0..u64::from(routers) {
         let mut front = Front::seeded(service.clone(), seed);
@@ -438,7 +449,7 @@
             for out in front.out() {
                 window.0 += if out.pull.node == cache { 0.1 } else { 0.0 };
                 window.1 += if out.pull.source == Some(parent) { 0.1 } else { 0.0 };
-                front.end(out, Ending::Missed, Remark::SourceLacks);
+                front.end(out, PullOutcome::Missed, CacheStatus::SourceLacks);
                 front.leave(out.dl);
             }
         }
@@ -455,7 +466,7 @@
 fn a_parent_that_sends_slowly_passes_fills_on_to_the_next_one() {
     // Guards against the link in taken to be full, and misses turned away, where one parent's own link is.
     let mut front = Front::open(profile());
-    let slow = Some(NodeIx(PARENTS[0]));
+    let slow = Some(NodeIndex(PARENTS[0]));
     let mut asked = [0; 4];
     for n in 0..2_400 {
         let dl = front.page(n);
@@ -463,7 +474,7 @@
         front.wait(TICK);
         let done = |o: &Placed| o.pull.source != slow || front.now.since(o.sent) > Span::millis(400);
         let ends: Vec<_> = front.out().into_iter().filter(done).collect();
-        ends.into_iter().for_each(|o| front.end(o, Ending::Fulfilled, Remark::Filled));
+        ends.into_iter().for_each(|o| front.end(o, PullOutcome::Fulfilled, CacheStatus::Filled));
     }
     assert!(asked[3] * 10 < asked[0] * 9, "{asked:?} fills asked of the slow parent");
 }
@@ -477,9 +488,9 @@
         let dl = front.page(n);
         let out = front.last_pull(dl);
         let bad = CACHES[..2].contains(&out.pull.node.0);
-        front.end(out, if bad { Ending::Error } else { Ending::Fulfilled }, Remark::Hit);
+        front.end(out, if bad { PullOutcome::Error } else { PullOutcome::Fulfilled }, CacheStatus::Hit);
         front.leave(dl);
-        front.out().into_iter().for_each(|o| front.end(o, Ending::Cancelled, Remark::Nothing));
+        front.out().into_iter().for_each(|o| front.end(o, PullOutcome::Cancelled, CacheStatus::Unknown));
         front.wait(TICK * 3.0);
     }
     CACHES[2..].iter().for_each(|c| front.relist(*c, Phase::Ready, Some(front.now)));
