--- a/crates/audit/src/file.rs
+++ b/crates/audit/src/history.rs
@@ -1,9 +1,9 @@
 //! The keeper's file on every process: its chains, their gaps, what it acted on and when, and where two sides disagree. It
 //! believes no clock but the keeper's own: what a process says of times is laid on that by the smallest difference that its
 //! reports have shown.
-use crate::chain::{Body, Link, Outcome, Span};
-use crate::owes::{Kind, Owed, Standing};
-use crate::stamp::{Goes, Stamp};
+use crate::chain::{Body, Interval, Link, Outcome};
+use crate::obligations::{Obligations, Staleness, VersionKind};
+use crate::stamp::{Stamp, Versions};
 use harestage::time::{Moment, Span as Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -30,13 +30,13 @@
 
 /// What came of a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum LinkOutcome {
     /// To be written down.
     New,
     /// It was taken before.
-    Again,
+    Duplicate,
     /// It is not what it says that it is.
-    Refused(String),
+    Rejected(String),
 }
 
 /// Where nothing is known of what a process did.
@@ -51,7 +51,8 @@
     /// The keeper's clock.
     pub from_ms: u64,
     pub to_ms: u64,
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 /// Something that should not be.
@@ -62,47 +63,46 @@
         member: String,
         start: u64,
         number: u64,
-        why: String,
-    },
-    Twins {
-        member: String,
-        starts: (u64, u64),
-        at_ms: u64,
+        #[serde(rename = "why")]
+        reason: String,
     },
+    #[serde(rename = "twins")]
+    ConcurrentStarts { member: String, starts: (u64, u64), at_ms: u64 },
     /// A hub has seen a stamp that its bearer never declared.
-    Undeclared {
-        member: String,
-        stamp: Stamp,
-        hub: String,
-        pulls: u64,
-    },
+    Undeclared { member: String, stamp: Stamp, hub: String, pulls: u64 },
     /// It says one version and acts by ties that only another has.
-    ActsByOther {
+    #[serde(rename = "acts_by_other")]
+    UsesOtherVersion {
         member: String,
-        says: u64,
-        acts_by: Option<u64>,
+        #[serde(rename = "says")]
+        declared: u64,
+        #[serde(rename = "acts_by")]
+        actual: Option<u64>,
         place: String,
         hub: String,
         pulls: u64,
     },
     /// A hub took pulls under a stamp that was forbidden.
-    TakenPast {
+    #[serde(rename = "taken_past")]
+    ForbiddenAccepted {
         member: String,
         stamp: Stamp,
         hub: String,
         pulls: u64,
-        past_ms: u64,
+        #[serde(rename = "past_ms")]
+        overdue_ms: u64,
     },
 }
 
 /// A stretch of one process under one stamp.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Spell {
+pub struct StampPeriod {
     pub member: String,
     pub start: u64,
     pub stamp: Stamp,
     /// What the stamp stands for, where the process has declared it.
-    pub goes: Option<Goes>,
+    #[serde(rename = "goes")]
+    pub versions: Option<Versions>,
     /// The keeper's clock.
     pub from_ms: u64,
     pub to_ms: u64,
@@ -113,22 +113,26 @@
     pub refused: u64,
     pub oldest_ms: u64,
     /// How the stamp stood at its end, and how long before that it had come to lack something.
-    pub stood: Standing,
-    pub lacked_ms: Option<u64>,
+    #[serde(rename = "stood")]
+    pub worst_staleness: Staleness,
+    #[serde(rename = "lacked_ms")]
+    pub behind_ms: Option<u64>,
 }
 
 /// What may be known of one download.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Explained {
+pub struct CandidateInterval {
     pub member: String,
     pub start: u64,
     pub link: u64,
     pub stamp: Stamp,
-    pub goes: Option<Goes>,
+    #[serde(rename = "goes")]
+    pub versions: Option<Versions>,
     pub from_ms: u64,
     pub to_ms: u64,
     /// The sketch says yes to one in a hundred that are not there; the first and the last of a piece are sure.
-    pub sure: bool,
+    #[serde(rename = "sure")]
+    pub exact: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -143,14 +147,14 @@
 /// What a chain has declared, by its stamps.
 #[derive(Clone, Debug, Default)]
 struct Declared {
-    goes: BTreeMap<Stamp, Goes>,
+    goes: BTreeMap<Stamp, Versions>,
     by_age: VecDeque<Stamp>,
     /// The highest version and purge of those that were forgotten.
     forgotten: Option<(u64, u64)>,
 }
 
 impl Declared {
-    fn enter(&mut self, goes: &Goes) {
+    fn enter(&mut self, goes: &Versions) {
         let stamp = goes.stamp();
         if self.goes.insert(stamp, goes.clone()).is_none() {
             self.by_age.push_back(stamp);
@@ -163,7 +167,7 @@
         }
     }
 
-    fn get(&self, stamp: &Stamp) -> Option<&Goes> {
+    fn get(&self, stamp: &Stamp) -> Option<&Versions> {
         self.goes.get(stamp)
     }
 
@@ -221,9 +225,9 @@
 
 /// All of it.
 #[derive(Default)]
-pub struct File {
+pub struct History {
     chains: BTreeMap<Key, Chain>,
-    spells: VecDeque<Spell>,
+    spells: VecDeque<StampPeriod>,
     sketches: VecDeque<Sketched>,
     findings: VecDeque<Finding>,
     /// By puller, its place, its stamp, and the hub.
@@ -234,9 +238,9 @@
     downloads: u64,
 }
 
-impl File {
+impl History {
     /// The ties of a version: for each branch, the nodes that its routers may pull from.
-    pub fn version(&mut self, number: u64, ties: BTreeMap<String, BTreeSet<String>>) {
+    pub fn shape_published(&mut self, number: u64, ties: BTreeMap<String, BTreeSet<String>>) {
         self.ties.insert(number, ties);
         while self.ties.len() > MOST_VERSIONS {
             self.ties.pop_first();
@@ -244,7 +248,7 @@
     }
 
     /// A report has come: the member's clock, as far as it goes. `now_ms` is its own.
-    pub fn hear(&mut self, member: &str, start: u64, now_ms: u64, now: Moment) {
+    pub fn on_report(&mut self, member: &str, start: u64, now_ms: u64, now: Moment) {
         let twin = self.chains.iter().find(|((name, other), chain)| {
             name == member
                 && *other > start
@@ -254,10 +258,11 @@
         });
         if let Some(((_, other), _)) = twin {
             let starts = (start, *other);
-            let known = |f: &Finding| matches!(f, Finding::Twins { starts: s, .. } if *s == starts);
+            let known =
+                |f: &Finding| matches!(f, Finding::ConcurrentStarts { starts: s, .. } if *s == starts);
             if !self.findings.iter().any(known) {
                 let at_ms = now.micros() / 1_000;
-                self.find(Finding::Twins { member: member.into(), starts, at_ms });
+                self.find(Finding::ConcurrentStarts { member: member.into(), starts, at_ms });
             }
         }
         let ahead = now.micros() as i64 - (now_ms.saturating_mul(1_000)) as i64;
@@ -286,33 +291,35 @@
     }
 
     /// Takes one link in. What is new has to be on disk before it is acknowledged.
-    pub fn take(&mut self, link: &Link, owed: &Owed, now: Moment) -> Taken {
+    pub fn add_link(&mut self, link: &Link, owed: &Obligations, now: Moment) -> LinkOutcome {
         let key = (link.member.clone(), link.start);
         let altered = |why: &str| Finding::Altered {
             member: link.member.clone(),
             start: link.start,
             number: link.number,
-            why: why.into(),
+            reason: why.into(),
         };
-        if !link.holds() {
+        if !link.is_intact() {
             self.find(altered("its words are not those of its hash"));
-            return Taken::Refused("its words are not those of its hash".into());
+            return LinkOutcome::Rejected("its words are not those of its hash".into());
         }
         let new = Chain { first_heard: now, heard: now, ..Chain::default() };
         let own = self.chains.get(&key).unwrap_or(&new);
         let wrong = match link.number {
             // What was taken under this number was another link.
             n if n == own.number && n > 0 && link.hash != own.hash => Some("another link has this number"),
-            n if n <= own.number => return Taken::Again,
-            n if n == own.number + 1 && link.before != own.hash => Some("it does not follow the one before"),
+            n if n <= own.number => return LinkOutcome::Duplicate,
+            n if n == own.number + 1 && link.previous_hash != own.hash => {
+                Some("it does not follow the one before")
+            }
             _ => None,
         };
         if let Some(why) = wrong {
             self.find(altered(why));
-            return Taken::Refused(why.into());
+            return LinkOutcome::Rejected(why.into());
         }
         let gap = match (own.number, &link.body) {
-            (0, Body::Began { known, .. }) if link.number == 1 => {
+            (0, Body::Began { last_link: known, .. }) if link.number == 1 => {
                 self.between_starts(link, known.as_ref(), now)
             }
             (before, _) if link.number > before + 1 => Some(self.left_out(own, link)),
@@ -327,24 +334,29 @@
         (chain.number, chain.hash) = (link.number, link.hash.clone());
         self.links += 1;
         match &link.body {
-            Body::Began { goes, .. } | Body::Switched { goes } => {
+            Body::Began { versions: goes, .. } | Body::Switched { versions: goes } => {
                 chain.stamp = goes.stamp();
                 chain.goes.enter(goes);
                 let at = chain.at(link.at_ms);
                 self.spell_begins(&key, at);
             }
-            Body::Span(span) => {
+            Body::Interval(span) => {
                 chain.told_to = chain.told_to.max(span.to);
-                self.downloads += span.many();
+                self.downloads += span.download_count();
                 self.span(&key, link.number, span, owed);
             }
             Body::Ended => chain.ended = true,
         }
-        Taken::New
+        LinkOutcome::New
     }
 
     /// What lies between the last link of the start before and this one is not known, whoever says what of it.
-    fn between_starts(&self, link: &Link, known: Option<&crate::chain::Known>, now: Moment) -> Option<Gap> {
+    fn between_starts(
+        &self,
+        link: &Link,
+        known: Option<&crate::chain::LastLink>,
+        now: Moment,
+    ) -> Option<Gap> {
         let before =
             self.chains.range((link.member.clone(), 0)..(link.member.clone(), link.start)).next_back();
         let (start, number, from, ended) = match (before, known) {
@@ -364,14 +376,14 @@
             downloads: None,
             from_ms: from.micros() / 1_000,
             to_ms: now.micros() / 1_000,
-            why: "it ended without a last word".into(),
+            reason: "it ended without a last word".into(),
         })
     }
 
     fn left_out(&self, own: &Chain, link: &Link) -> Gap {
         let from_dl = own.told_to + 1;
         let to_dl = match &link.body {
-            Body::Span(span) if span.from > from_dl => Some(span.from - 1),
+            Body::Interval(span) if span.from > from_dl => Some(span.from - 1),
             _ => None,
         };
         Gap {
@@ -381,18 +393,18 @@
             downloads: to_dl.map(|to| (from_dl, to)),
             from_ms: own.heard.micros() / 1_000,
             to_ms: own.at(link.at_ms).micros() / 1_000,
-            why: "links are missing".into(),
+            reason: "links are missing".into(),
         }
     }
 
     fn spell_begins(&mut self, key: &Key, at: Moment) {
         let Some(chain) = self.chains.get(key) else { return };
         let at_ms = at.micros() / 1_000;
-        let spell = Spell {
+        let spell = StampPeriod {
             member: key.0.clone(),
             start: key.1,
             stamp: chain.stamp,
-            goes: chain.goes.get(&chain.stamp).cloned(),
+            versions: chain.goes.get(&chain.stamp).cloned(),
             from_ms: at_ms,
             to_ms: at_ms,
             downloads: None,
@@ -400,8 +412,8 @@
             pulls: 0,
             refused: 0,
             oldest_ms: 0,
-            stood: Standing::UpToDate,
-            lacked_ms: None,
+            worst_staleness: Staleness::UpToDate,
+            behind_ms: None,
         };
         self.spells.push_back(spell);
         while self.spells.len() > MOST_SPELLS {
@@ -409,7 +421,7 @@
         }
     }
 
-    fn span(&mut self, key: &Key, number: u64, span: &Span, owed: &Owed) {
+    fn span(&mut self, key: &Key, number: u64, span: &Interval, owed: &Obligations) {
         let Some(chain) = self.chains.get(key) else { return };
         let (from, to, in_force) = (chain.at(span.began_ms), chain.at(span.ended_ms), chain.stamp);
         if !span.ids.is_empty() {
@@ -428,33 +440,38 @@
                 self.sketches.pop_front();
             }
         }
-        for answered in &span.answered {
-            let by = (answered.by.clone(), answered.place.clone(), answered.stamp, key.0.clone());
+        for answered in &span.received {
+            let by = (answered.puller.clone(), answered.place.clone(), answered.stamp, key.0.clone());
             let odd = self.is_odd(&answered.place, &answered.stamp, &key.0);
             let seen = self.seen.entry(by).or_insert(Seen { first: from, ..Seen::default() });
-            seen.taken += answered.taken;
+            seen.taken += answered.accepted;
             seen.refused += answered.refused;
             if odd {
-                seen.odd += answered.taken;
+                seen.odd += answered.accepted;
             }
-            if answered.taken > 0 && owed.standing(&answered.stamp, from) == Standing::Forbidden {
-                let past = owed.lacks(&answered.stamp, from).map(|(kind, _, since)| {
-                    let grace = if kind == Kind::Shape { crate::owes::SHAPE } else { crate::owes::PURGE };
-                    from.since(since + grace.forbidden)
+            if answered.accepted > 0 && owed.staleness(&answered.stamp, from) == Staleness::Forbidden {
+                let past = owed.most_overdue(&answered.stamp, from).map(|(kind, _, since)| {
+                    let grace = if kind == VersionKind::Shape {
+                        crate::obligations::SHAPE_GRACE
+                    } else {
+                        crate::obligations::PURGE_GRACE
+                    };
+                    from.since(since + grace.forbidden_after)
                 });
-                let finding = Finding::TakenPast {
-                    member: answered.by.clone(),
+                let finding = Finding::ForbiddenAccepted {
+                    member: answered.puller.clone(),
                     stamp: answered.stamp,
                     hub: key.0.clone(),
-                    pulls: answered.taken,
-                    past_ms: past.map_or(0, |past| past.as_micros() / 1_000),
+                    pulls: answered.accepted,
+                    overdue_ms: past.map_or(0, |past| past.as_micros() / 1_000),
                 };
                 self.find(finding);
             }
         }
         // The last spell of this start under this stamp goes on; without its beginning one begins here.
-        let own =
-            |spell: &&mut Spell| (&spell.member, spell.start, spell.stamp) == (&key.0, key.1, span.stamp);
+        let own = |spell: &&mut StampPeriod| {
+            (&spell.member, spell.start, spell.stamp) == (&key.0, key.1, span.stamp)
+        };
         if self.spells.iter_mut().rev().find(own).is_none() {
             self.chains.entry(key.clone()).and_modify(|chain| chain.stamp = span.stamp);
             self.spell_begins(key, from);
@@ -467,18 +484,18 @@
             spell.downloads = Some((first, span.to));
         }
         for count in &span.downloads {
-            let name = format!("{} {}", count.content, word(count.outcome));
-            *spell.counts.entry(name).or_default() += count.many;
+            let name = format!("{} {}", count.content, outcome_name(count.outcome));
+            *spell.counts.entry(name).or_default() += count.count;
         }
         spell.pulls += span.pulls.iter().map(|(_, many)| many).sum::<u64>();
-        spell.refused += span.answered.iter().map(|a| a.refused).sum::<u64>();
+        spell.refused += span.received.iter().map(|a| a.refused).sum::<u64>();
         if span.oldest_ms > 0 {
             spell.oldest_ms =
                 if spell.oldest_ms == 0 { span.oldest_ms } else { spell.oldest_ms.min(span.oldest_ms) };
         }
-        spell.stood = owed.standing(&span.stamp, to).max(spell.stood);
-        spell.lacked_ms =
-            owed.lacks(&span.stamp, to).map(|(_, _, since)| to.since(since).as_micros() / 1_000);
+        spell.worst_staleness = owed.staleness(&span.stamp, to).max(spell.worst_staleness);
+        spell.behind_ms =
+            owed.most_overdue(&span.stamp, to).map(|(_, _, since)| to.since(since).as_micros() / 1_000);
     }
 
     /// Whether a branch's router had no tie to that hub in the version that it says. Unknown versions and places prove
@@ -489,7 +506,7 @@
     }
 
     /// To be called some times a second: holds what the two sides say against each other.
-    pub fn beat(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Moment) {
         let mut found = Vec::new();
         for ((by, place, stamp, hub), seen) in self.seen.iter_mut().filter(|(_, seen)| !seen.told) {
             let own = (by.clone(), 0)..(by.clone(), u64::MAX);
@@ -507,10 +524,10 @@
                 });
                 let (member, place, hub) = (by.clone(), place.clone(), hub.clone());
                 let acts_by = acts_by.map(|(number, _)| *number);
-                found.push(Finding::ActsByOther {
+                found.push(Finding::UsesOtherVersion {
                     member,
-                    says: stamp.shape,
-                    acts_by,
+                    declared: stamp.shape,
+                    actual: acts_by,
                     place,
                     hub,
                     pulls: seen.odd,
@@ -533,16 +550,18 @@
     }
 
     /// Those who were found to say one thing and do another.
-    pub fn liars(&self) -> BTreeSet<&str> {
+    pub fn contradicted_members(&self) -> BTreeSet<&str> {
         let liar = |finding: &'_ Finding| match finding {
-            Finding::ActsByOther { member, .. } | Finding::Undeclared { member, .. } => Some(member.clone()),
+            Finding::UsesOtherVersion { member, .. } | Finding::Undeclared { member, .. } => {
+                Some(member.clone())
+            }
             _ => None,
         };
         let names: BTreeSet<String> = self.findings.iter().filter_map(liar).collect();
         self.findings
             .iter()
             .filter_map(|finding| match finding {
-                Finding::ActsByOther { member, .. } | Finding::Undeclared { member, .. } => {
+                Finding::UsesOtherVersion { member, .. } | Finding::Undeclared { member, .. } => {
                     Some(member.as_str())
                 }
                 _ => None,
@@ -556,18 +575,18 @@
     }
 
     /// All links up to that number are known without a break at their end.
-    pub fn has(&self, member: &str, start: u64) -> u64 {
+    pub fn last_contiguous(&self, member: &str, start: u64) -> u64 {
         self.chains.get(&(member.to_string(), start)).map_or(0, |chain| chain.number)
     }
 
     /// What acted on what between two moments of the keeper's clock.
-    pub fn who(&self, from_ms: u64, to_ms: u64) -> Vec<Spell> {
-        let within = |spell: &&Spell| spell.from_ms <= to_ms && spell.to_ms >= from_ms;
+    pub fn periods_between(&self, from_ms: u64, to_ms: u64) -> Vec<StampPeriod> {
+        let within = |spell: &&StampPeriod| spell.from_ms <= to_ms && spell.to_ms >= from_ms;
         self.spells.iter().filter(within).cloned().collect()
     }
 
     /// When each start of each member took a number up: the beginning of its first spell that has it.
-    pub fn when(&self, has: impl Fn(&Stamp) -> bool) -> BTreeMap<Key, Option<u64>> {
+    pub fn adoption_times(&self, has: impl Fn(&Stamp) -> bool) -> BTreeMap<Key, Option<u64>> {
         let mut taken: BTreeMap<Key, Option<u64>> =
             self.chains.keys().map(|key| (key.clone(), None)).collect();
         for spell in &self.spells {
@@ -580,17 +599,17 @@
     }
 
     /// The pieces that may hold a download.
-    pub fn explain(&self, id: u64) -> Vec<Explained> {
-        let may = |s: &&Sketched| s.first == id || s.last == id || s.ids.may_hold(id);
-        let explained = |s: &Sketched| Explained {
+    pub fn intervals_with(&self, id: u64) -> Vec<CandidateInterval> {
+        let may = |s: &&Sketched| s.first == id || s.last == id || s.ids.may_contain(id);
+        let explained = |s: &Sketched| CandidateInterval {
             member: s.key.0.clone(),
             start: s.key.1,
             link: s.link,
             stamp: s.stamp,
-            goes: self.chains.get(&s.key).and_then(|chain| chain.goes.get(&s.stamp).cloned()),
+            versions: self.chains.get(&s.key).and_then(|chain| chain.goes.get(&s.stamp).cloned()),
             from_ms: s.from.micros() / 1_000,
             to_ms: s.to.micros() / 1_000,
-            sure: s.first == id || s.last == id,
+            exact: s.first == id || s.last == id,
         };
         self.sketches.iter().filter(may).map(explained).collect()
     }
@@ -607,11 +626,11 @@
     }
 }
 
-pub fn word(outcome: Outcome) -> &'static str {
+pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Fulfilled => "fulfilled",
         Outcome::Throttled => "throttled",
         Outcome::Abandoned => "abandoned",
-        Outcome::Left => "left",
+        Outcome::ClientLeft => "left",
     }
 }
--- a/crates/audit/src/keep.rs
+++ b/crates/audit/src/keeper.rs
@@ -3,11 +3,14 @@
 //! what was agreed on. Only who is held back and what was withdrawn stands in the group's log; records of processes are on
 //! the disk of the member that took them.
 use crate::chain::Link;
-use crate::file::{File, Taken};
-use crate::lines::{Answer, Bring, Call, Refusals, Report, Role, Status, Taken as TakenUp, ToAudited};
-use crate::owes::{Kind, Owed};
+use crate::history::{History, LinkOutcome};
+use crate::lagging::{Decision, Members, UpdateMethod};
+use crate::messages::{
+    AdmissionRules, Adoption as TakenUp, KeeperMessage, KeeperStatus, OperatorRequest, OperatorResponse,
+    Report, Role, Update,
+};
+use crate::obligations::{Obligations, VersionKind};
 use crate::stamp::Stamp;
-use crate::straggle::{Decision, Members, Way};
 use harestage::time::{Moment, Span};
 use harestage_shape::feed;
 use harestage_shape::form::ShapeForm;
@@ -45,11 +48,11 @@
     Decided(Decision),
 }
 
-pub struct Keep {
+pub struct KeeperState {
     term: u64,
-    file: File,
+    history: History,
     members: Members,
-    owed: Owed,
+    owed: Obligations,
     shapes: BTreeMap<u64, Shape>,
     why: BTreeMap<String, String>,
     /// Decisions that wait for the group, by whom they are about, since when.
@@ -59,22 +62,22 @@
 /// Whom a decision is about.
 fn about(decision: &Decision) -> String {
     match decision {
-        Decision::Shut { member, .. } | Decision::Eased { member, .. } | Decision::Freed { member } => {
-            member.clone()
-        }
+        Decision::Excluded { member, .. }
+        | Decision::ShareRaised { member, .. }
+        | Decision::Readmitted { member } => member.clone(),
         Decision::Withdrawn { shape, .. } => format!("version {shape}"),
     }
 }
 
-impl Keep {
+impl KeeperState {
     /// Takes the keeper up from its group's log. What comes back first is the record of the new term.
-    pub fn open(records: &[Record], now: Moment) -> (Keep, Vec<Effect>) {
+    pub fn open(records: &[Record], now: Moment) -> (KeeperState, Vec<Effect>) {
         let term = records.iter().map(|record| record.term).max().unwrap_or(0) + 1;
-        let mut keep = Keep {
+        let mut keep = KeeperState {
             term,
-            file: File::default(),
+            history: History::default(),
             members: Members::new(now),
-            owed: Owed::default(),
+            owed: Obligations::default(),
             shapes: BTreeMap::new(),
             why: BTreeMap::new(),
             pending: BTreeMap::new(),
@@ -85,7 +88,7 @@
             if record.term >= highest
                 && let Entry::Decided(decision) = &record.entry
             {
-                keep.enter(decision, now);
+                keep.apply_decision(decision, now);
             }
             highest = highest.max(record.term);
         }
@@ -96,15 +99,15 @@
         self.term
     }
 
-    pub fn file(&mut self) -> &mut File {
-        &mut self.file
+    pub fn history(&mut self) -> &mut History {
+        &mut self.history
     }
 
     /// A version of the shape is in service.
-    pub fn version(&mut self, form: &ShapeForm, now: Moment) {
+    pub fn shape_published(&mut self, form: &ShapeForm, now: Moment) {
         let Ok(shape) = Shape::of(form) else { return };
-        self.owed.published(Kind::Shape, form.version, now);
-        self.file.version(form.version, may_pull_from(form));
+        self.owed.publish(VersionKind::Shape, form.version, now);
+        self.history.shape_published(form.version, may_pull_from(form));
         self.shapes.insert(form.version, shape);
         while self.shapes.len() > MOST_SHAPES {
             self.shapes.pop_first();
@@ -112,73 +115,75 @@
     }
 
     /// Purges up to that number were told.
-    pub fn purges(&mut self, number: u64, now: Moment) {
+    pub fn purges_published(&mut self, number: u64, now: Moment) {
         if number > 0 {
-            self.owed.published(Kind::Purge, number, now);
+            self.owed.publish(VersionKind::Purge, number, now);
         }
     }
 
     /// A process has reported. What comes back has to be on disk before it is answered.
-    pub fn hear(&mut self, report: &Report, now: Moment) -> Vec<Link> {
-        self.file.hear(&report.member, report.start, report.now_ms, now);
+    pub fn on_report(&mut self, report: &Report, now: Moment) -> Vec<Link> {
+        self.history.on_report(&report.member, report.start, report.now_ms, now);
         let of_member = |link: &&Link| link.member == report.member && link.start == report.start;
         let links = report.links.iter().filter(of_member);
-        let new: Vec<Link> =
-            links.filter(|link| self.file.take(link, &self.owed, now) == Taken::New).cloned().collect();
-        let Report { member, role, site, start, stamp, refuses, .. } = report;
-        self.members.hear(member, *role, site, *start, *stamp, refuses.clone(), now);
+        let new: Vec<Link> = links
+            .filter(|link| self.history.add_link(link, &self.owed, now) == LinkOutcome::New)
+            .cloned()
+            .collect();
+        let Report { member, role, site, start, stamp, rejected: refuses, .. } = report;
+        self.members.on_report(member, *role, site, *start, *stamp, refuses.clone(), now);
         new
     }
 
     /// Links that this member's disk held from before: chains go on where they stood, and nobody counts as heard by them.
-    pub fn recall(&mut self, links: &[Link], now: Moment) {
-        links.iter().for_each(|link| drop(self.file.take(link, &self.owed, now)));
+    pub fn restore_links(&mut self, links: &[Link], now: Moment) {
+        links.iter().for_each(|link| drop(self.history.add_link(link, &self.owed, now)));
     }
 
     /// The answer to a report all of whose new links are on disk.
-    pub fn answer(&mut self, report: &Report, now: Moment) -> ToAudited {
+    pub fn answer_report(&mut self, report: &Report, now: Moment) -> KeeperMessage {
         let shut = self.members.share(&report.member).filter(|share| share.0 == 0.0);
         let why = || self.why.get(&report.member).cloned().unwrap_or_else(|| "shut out".into());
         let shut = shut.map(|_| why());
         let refuse = (report.role == Role::Hub).then(|| self.refusals(now));
-        let way = self.members.bring(&report.member, &self.owed, now);
-        ToAudited::Ack {
+        let way = self.members.next_update(&report.member, &self.owed, now);
+        KeeperMessage::Ack {
             term: self.term,
             start: report.start,
-            upto: self.file.has(&report.member, report.start),
+            upto: self.history.last_contiguous(&report.member, report.start),
             lease_ms: LEASE.as_micros() / 1_000,
-            shut,
-            bring: way.and_then(|way| self.bring(report, way)),
-            refuse,
+            excluded: shut,
+            update: way.and_then(|way| self.bring(report, way)),
+            admission: refuse,
         }
     }
 
-    fn refusals(&self, now: Moment) -> Refusals {
-        let (shape, purge) = self.owed.least(now);
-        let shut = self.members.shut().into_iter().map(|(name, share)| (name, share.0)).collect();
-        Refusals { shut, shape, purge }
+    fn refusals(&self, now: Moment) -> AdmissionRules {
+        let (shape, purge) = self.owed.min_allowed(now);
+        let shut = self.members.excluded().into_iter().map(|(name, share)| (name, share.0)).collect();
+        AdmissionRules { excluded: shut, min_shape: shape, min_purge: purge }
     }
 
-    fn bring(&self, report: &Report, way: Way) -> Option<Bring> {
-        let due = self.shapes.get(&self.owed.newest(Kind::Shape))?;
-        if way == Way::Restart {
-            return Some(Bring::Restart {
-                why: format!("version {} was not taken otherwise", due.version()),
+    fn bring(&self, report: &Report, way: UpdateMethod) -> Option<Update> {
+        let due = self.shapes.get(&self.owed.newest(VersionKind::Shape))?;
+        if way == UpdateMethod::Restart {
+            return Some(Update::Restart {
+                reason: format!("version {} was not taken otherwise", due.version()),
             });
         }
         match report.role {
             Role::Router => {
                 let event = feed::event(1, None, None, due, &report.site);
-                Some(Bring::Listing { event: String::from_utf8_lossy(&event).trim_end().into() })
+                Some(Update::Membership { event: String::from_utf8_lossy(&event).trim_end().into() })
             }
             Role::Feed => {
                 let shape = Box::new(feed::for_branch(due, &report.site)?);
-                Some(Bring::Whole { shape, plans: Vec::new() })
+                Some(Update::Full { shape, plans: Vec::new() })
             }
             Role::Hub => {
-                let own = self.shapes.get(&report.stamp.shape).filter(|_| way == Way::Difference);
+                let own = self.shapes.get(&report.stamp.shape).filter(|_| way == UpdateMethod::Difference);
                 let difference = own.and_then(|own| difference(own, due));
-                Some(difference.unwrap_or_else(|| Bring::Whole {
+                Some(difference.unwrap_or_else(|| Update::Full {
                     shape: Box::new(feed::for_hubs(due)),
                     plans: Vec::new(),
                 }))
@@ -187,11 +192,11 @@
     }
 
     /// To be called some times a second.
-    pub fn beat(&mut self, now: Moment) -> Vec<Effect> {
-        self.file.beat(now);
+    pub fn tick(&mut self, now: Moment) -> Vec<Effect> {
+        self.history.tick(now);
         self.pending.retain(|_, since| now.since(*since) < AGREES_WITHIN);
         let mut effects = Vec::new();
-        for decision in self.members.beat(&self.owed, now) {
+        for decision in self.members.tick(&self.owed, now) {
             let about = about(&decision);
             if self.pending.contains_key(&about) {
                 continue;
@@ -204,82 +209,87 @@
     }
 
     /// A decision stands: agreed on now, or found in the log.
-    pub fn enter(&mut self, decision: &Decision, now: Moment) {
+    pub fn apply_decision(&mut self, decision: &Decision, now: Moment) {
         self.pending.remove(&about(decision));
         match decision {
-            Decision::Shut { member, why } => drop(self.why.insert(member.clone(), why.clone())),
-            Decision::Freed { member } => drop(self.why.remove(member)),
-            Decision::Withdrawn { shape, .. } => self.owed.withdrawn(Kind::Shape, *shape),
-            Decision::Eased { .. } => {}
+            Decision::Excluded { member, reason: why } => drop(self.why.insert(member.clone(), why.clone())),
+            Decision::Readmitted { member } => drop(self.why.remove(member)),
+            Decision::Withdrawn { shape, .. } => self.owed.withdraw(VersionKind::Shape, *shape),
+            Decision::ShareRaised { .. } => {}
         }
-        self.members.enter(decision, now);
+        self.members.apply_decision(decision, now);
     }
 
     /// The newest version before that one: what is gone back to when it is withdrawn.
-    pub fn before(&self, shape: u64) -> Option<ShapeForm> {
+    pub fn previous_version(&self, shape: u64) -> Option<ShapeForm> {
         self.shapes.range(..shape).next_back().map(|(_, shape)| shape.form())
     }
 
     /// The log anew: how everybody is held back now.
-    pub fn whole(&self) -> Vec<Record> {
+    pub fn snapshot(&self) -> Vec<Record> {
         let record = |entry| Record { term: self.term, entry };
-        let shut = self.members.shut().into_iter().flat_map(|(member, share)| {
+        let shut = self.members.excluded().into_iter().flat_map(|(member, share)| {
             let why = self.why.get(&member).cloned().unwrap_or_default();
-            let out = Decision::Shut { member: member.clone(), why };
-            let eased = (share.0 > 0.0).then_some(Decision::Eased { member, share });
+            let out = Decision::Excluded { member: member.clone(), reason: why };
+            let eased = (share.0 > 0.0).then_some(Decision::ShareRaised { member, share });
             std::iter::once(out).chain(eased)
         });
         std::iter::once(record(Entry::Opened)).chain(shut.map(|d| record(Entry::Decided(d)))).collect()
     }
 
     /// Answers what an operator asks.
-    pub fn call(&self, call: &Call, now: Moment) -> Answer {
+    pub fn answer_operator(&self, call: &OperatorRequest, now: Moment) -> OperatorResponse {
         match call {
-            Call::AuditStatus => Answer::Status(Box::new(self.status(now))),
-            Call::AuditWho { from_ms, to_ms } if from_ms > to_ms => {
-                Answer::Refused(format!("from {from_ms} is after to {to_ms}"))
+            OperatorRequest::AuditStatus => OperatorResponse::Status(Box::new(self.status(now))),
+            OperatorRequest::AuditWho { from_ms, to_ms } if from_ms > to_ms => {
+                OperatorResponse::Refused(format!("from {from_ms} is after to {to_ms}"))
+            }
+            OperatorRequest::AuditWho { from_ms, to_ms } => {
+                OperatorResponse::Who(self.history.periods_between(*from_ms, *to_ms))
+            }
+            OperatorRequest::AuditWhen { shape, purge } => self.when(*shape, *purge),
+            OperatorRequest::AuditLagging => OperatorResponse::Lagging(self.members.status(&self.owed, now)),
+            OperatorRequest::AuditExplain { id } => {
+                OperatorResponse::Explained(self.history.intervals_with(*id))
             }
-            Call::AuditWho { from_ms, to_ms } => Answer::Who(self.file.who(*from_ms, *to_ms)),
-            Call::AuditWhen { shape, purge } => self.when(*shape, *purge),
-            Call::AuditStragglers => Answer::Stragglers(self.members.status(&self.owed, now)),
-            Call::AuditExplain { id } => Answer::Explained(self.file.explain(*id)),
         }
     }
 
-    fn when(&self, shape: Option<u64>, purge: Option<u64>) -> Answer {
+    fn when(&self, shape: Option<u64>, purge: Option<u64>) -> OperatorResponse {
         let (kind, number) = match (shape, purge) {
-            (Some(shape), None) => (Kind::Shape, shape),
-            (None, Some(purge)) => (Kind::Purge, purge),
-            _ => return Answer::Refused("one of shape and purge has to be named".into()),
+            (Some(shape), None) => (VersionKind::Shape, shape),
+            (None, Some(purge)) => (VersionKind::Purge, purge),
+            _ => return OperatorResponse::Refused("one of shape and purge has to be named".into()),
+        };
+        let has = |stamp: &Stamp| {
+            if kind == VersionKind::Shape { stamp.shape >= number } else { stamp.purge >= number }
         };
-        let has =
-            |stamp: &Stamp| if kind == Kind::Shape { stamp.shape >= number } else { stamp.purge >= number };
-        let due_ms = self.owed.lacks_since(kind, number.saturating_sub(1)).map(|at| at.micros() / 1_000);
-        let taken = self.file.when(has).into_iter().map(|((member, start), at_ms)| TakenUp {
+        let due_ms = self.owed.behind_since(kind, number.saturating_sub(1)).map(|at| at.micros() / 1_000);
+        let taken = self.history.adoption_times(has).into_iter().map(|((member, start), at_ms)| TakenUp {
             member,
             start,
             at_ms,
             after_ms: at_ms.zip(due_ms).map(|(at, due)| at.saturating_sub(due)),
         });
-        Answer::When(taken.collect())
+        OperatorResponse::When(taken.collect())
     }
 
-    fn status(&self, now: Moment) -> Status {
-        Status {
+    fn status(&self, now: Moment) -> KeeperStatus {
+        KeeperStatus {
             term: self.term,
             now_ms: now.micros() / 1_000,
-            shape: self.owed.newest(Kind::Shape),
-            purge: self.owed.newest(Kind::Purge),
+            shape: self.owed.newest(VersionKind::Shape),
+            purge: self.owed.newest(VersionKind::Purge),
             members: self.members.status(&self.owed, now),
-            shut: self.members.shut(),
-            chains: self.file.summary(),
-            findings: self.file.findings().cloned().collect(),
+            excluded: self.members.excluded(),
+            chains: self.history.summary(),
+            findings: self.history.findings().cloned().collect(),
         }
     }
 }
 
 /// The ties that differ, where both versions name the same hubs.
-fn difference(own: &Shape, due: &Shape) -> Option<Bring> {
+fn difference(own: &Shape, due: &Shape) -> Option<Update> {
     let names = |shape: &Shape| shape.hubs().map(|(_, hub)| hub.name.clone()).collect::<BTreeSet<_>>();
     if names(own) != names(due) {
         return None;
@@ -289,7 +299,7 @@
         let was = own.place(at).and_then(Place::hub)?;
         (was.up != hub.up).then(|| (hub.name.clone(), hub.up.clone()))
     });
-    Some(Bring::Difference { from: own.version(), to: due.version(), ties: differs.collect() })
+    Some(Update::Difference { from: own.version(), to: due.version(), ties: differs.collect() })
 }
 
 /// For each branch, the hubs that its routers may pull from: those that it is tied to, and those that stand as its caches.
--- a/crates/audit/src/straggle.rs
+++ b/crates/audit/src/lagging.rs
@@ -4,15 +4,15 @@
 //!
 //! A floor holds whatever the audit believes: of the members of one site and kind, a third at most are shut out, and never
 //! the only one. An audit that is wrong (an old disk, a clock that is off) therefore costs a third, and not the site.
-use crate::lines::Role;
-use crate::owes::{Kind, Owed, Standing};
+use crate::messages::Role;
+use crate::obligations::{Obligations, Staleness, VersionKind};
 use crate::stamp::Stamp;
 use harestage::time::{Moment, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Who has not reported for as long is out of reach.
-pub const UNREACHED: Span = Span::millis(3_000);
+pub const UNREACHABLE_AFTER: Span = Span::millis(3_000);
 /// And is forgotten after as long, unless it is shut out.
 const FORGOTTEN: Span = Span::millis(3_600_000);
 const MOST_MEMBERS: usize = 16_384;
@@ -43,46 +43,42 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "decided")]
 pub enum Decision {
-    Shut {
+    #[serde(rename = "shut")]
+    Excluded {
         member: String,
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Let in by so much.
-    Eased {
-        member: String,
-        share: Share,
-    },
-    Freed {
-        member: String,
-    },
+    #[serde(rename = "eased")]
+    ShareRaised { member: String, share: Share },
+    #[serde(rename = "freed")]
+    Readmitted { member: String },
     /// The version is to be taken back.
-    Withdrawn {
-        shape: u64,
-        refused_by: Vec<String>,
-    },
+    Withdrawn { shape: u64, refused_by: Vec<String> },
 }
 
 /// Why a member does not take a version that it could have.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cannot {
-    Refuses {
+pub enum Obstacle {
+    #[serde(rename = "refuses")]
+    Rejects {
         shape: u64,
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// It has started so often without taking it.
-    Crashes {
-        shape: u64,
-        starts: usize,
-    },
+    Crashes { shape: u64, starts: usize },
 }
 
 /// How a member is brought up next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Way {
+pub enum UpdateMethod {
     Difference,
-    Whole,
+    #[serde(rename = "whole")]
+    Full,
     Restart,
 }
 
@@ -93,17 +89,23 @@
     pub role: Role,
     pub site: String,
     pub stamp: Stamp,
-    pub stands: Standing,
+    #[serde(rename = "stands")]
+    pub staleness: Staleness,
     /// How long it has lacked something.
-    pub lacks_ms: Option<u64>,
+    #[serde(rename = "lacks_ms")]
+    pub behind_ms: Option<u64>,
     pub silent_ms: u64,
-    pub reached: bool,
-    pub cannot: Option<Cannot>,
+    #[serde(rename = "reached")]
+    pub reachable: bool,
+    #[serde(rename = "cannot")]
+    pub obstacle: Option<Obstacle>,
     /// None: nothing holds it back.
     pub share: Option<Share>,
     /// The floor keeps it in, though it should be out.
-    pub kept_in: bool,
-    pub brought: u32,
+    #[serde(rename = "kept_in")]
+    pub kept_by_floor: bool,
+    #[serde(rename = "brought")]
+    pub updates_sent: u32,
 }
 
 #[derive(Clone, Debug)]
@@ -114,7 +116,7 @@
     stamp: Stamp,
     heard: Moment,
     /// When it was told last, by which way, and how often by that.
-    told: Option<(Moment, Way, u32)>,
+    told: Option<(Moment, UpdateMethod, u32)>,
     brought: u32,
     /// Its starts of late, with the shape that each came with.
     starts: VecDeque<(Moment, u64)>,
@@ -142,17 +144,17 @@
     }
 
     /// A decision that stands in the log.
-    pub fn enter(&mut self, decision: &Decision, now: Moment) {
+    pub fn apply_decision(&mut self, decision: &Decision, now: Moment) {
         match decision {
-            Decision::Shut { member, .. } => {
+            Decision::Excluded { member, .. } => {
                 self.shares.insert(member.clone(), Share(0.0));
                 self.eased.remove(member);
             }
-            Decision::Eased { member, share } => {
+            Decision::ShareRaised { member, share } => {
                 self.shares.insert(member.clone(), *share);
                 self.eased.insert(member.clone(), now);
             }
-            Decision::Freed { member } => {
+            Decision::Readmitted { member } => {
                 self.shares.remove(member);
                 self.eased.remove(member);
             }
@@ -162,7 +164,7 @@
 
     /// A member has reported.
     #[allow(clippy::too_many_arguments)]
-    pub fn hear(
+    pub fn on_report(
         &mut self,
         name: &str,
         role: Role,
@@ -211,27 +213,27 @@
     }
 
     /// Those that hubs hold back.
-    pub fn shut(&self) -> Vec<(String, Share)> {
+    pub fn excluded(&self) -> Vec<(String, Share)> {
         self.shares.iter().map(|(name, share)| (name.clone(), *share)).collect()
     }
 
-    fn cannot(&self, member: &Member, owed: &Owed) -> Option<Cannot> {
-        let due = owed.newest(Kind::Shape);
+    fn cannot(&self, member: &Member, owed: &Obligations) -> Option<Obstacle> {
+        let due = owed.newest(VersionKind::Shape);
         if let Some((shape, why)) = &member.refuses {
-            return Some(Cannot::Refuses { shape: *shape, why: why.clone() });
+            return Some(Obstacle::Rejects { shape: *shape, reason: why.clone() });
         }
         let without = member.starts.iter().filter(|(_, shape)| *shape < due).count();
         let crashes = without >= CRASHES && member.stamp.shape < due;
-        crashes.then_some(Cannot::Crashes { shape: due, starts: without })
+        crashes.then_some(Obstacle::Crashes { shape: due, starts: without })
     }
 
     /// To be called some times a second: what is to be decided now. Nothing of it is so before it is entered.
-    pub fn beat(&mut self, owed: &Owed, now: Moment) -> Vec<Decision> {
+    pub fn tick(&mut self, owed: &Obligations, now: Moment) -> Vec<Decision> {
         let shares = &self.shares;
         self.members.retain(|name, member| now.since(member.heard) < FORGOTTEN || shares.contains_key(name));
         for member in self.members.values_mut() {
-            let good = owed.standing(&member.stamp, now) <= Standing::Harmless
-                && now.since(member.heard) < UNREACHED;
+            let good = owed.staleness(&member.stamp, now) <= Staleness::Harmless
+                && now.since(member.heard) < UNREACHABLE_AFTER;
             member.good = if good { member.good.or(Some(now)) } else { None };
         }
         let mut decisions = self.let_in(owed, now);
@@ -241,13 +243,13 @@
     }
 
     /// Step by step, each only while it stays good.
-    fn let_in(&self, owed: &Owed, now: Moment) -> Vec<Decision> {
+    fn let_in(&self, owed: &Obligations, now: Moment) -> Vec<Decision> {
         let mut decisions = Vec::new();
         for (name, share) in &self.shares {
             let Some(member) = self.members.get(name) else { continue };
-            let relapsed = share.0 > 0.0 && owed.standing(&member.stamp, now) == Standing::Forbidden;
+            let relapsed = share.0 > 0.0 && owed.staleness(&member.stamp, now) == Staleness::Forbidden;
             if relapsed {
-                decisions.push(Decision::Shut { member: name.clone(), why: "it fell back".into() });
+                decisions.push(Decision::Excluded { member: name.clone(), reason: "it fell back".into() });
                 continue;
             }
             let since = self.eased.get(name).copied().max(member.good);
@@ -256,20 +258,20 @@
             }
             let next = STEPS.into_iter().find(|step| *step > share.0);
             decisions.push(match next {
-                Some(step) => Decision::Eased { member: name.clone(), share: Share(step) },
-                None => Decision::Freed { member: name.clone() },
+                Some(step) => Decision::ShareRaised { member: name.clone(), share: Share(step) },
+                None => Decision::Readmitted { member: name.clone() },
             });
         }
         decisions
     }
 
     /// Those whose stamp is forbidden, the ones that have lacked something for longest first, as far as the floor lets.
-    fn shut_out(&mut self, owed: &Owed, now: Moment) -> Vec<Decision> {
+    fn shut_out(&mut self, owed: &Obligations, now: Moment) -> Vec<Decision> {
         let mut due: Vec<(Moment, String)> = Vec::new();
         for (name, member) in &self.members {
-            let forbidden = owed.standing(&member.stamp, now) == Standing::Forbidden;
+            let forbidden = owed.staleness(&member.stamp, now) == Staleness::Forbidden;
             if forbidden && !self.shares.contains_key(name) && member.role == Role::Router {
-                due.extend(owed.lacks(&member.stamp, now).map(|(_, _, since)| (since, name.clone())));
+                due.extend(owed.most_overdue(&member.stamp, now).map(|(_, _, since)| (since, name.clone())));
             }
         }
         due.sort();
@@ -285,12 +287,12 @@
             };
             let all = self.members.values().filter(|m| m.role == role && m.site == site).count();
             let are_out = out.entry((role, site)).or_default();
-            let kept_in = *are_out >= most_out(all);
+            let kept_in = *are_out >= max_excluded(all);
             if !kept_in {
                 *are_out += 1;
                 let lacks_ms = now.since(since).as_micros() / 1_000;
                 let why = format!("it has gone by what is forbidden for {lacks_ms} ms");
-                decisions.push(Decision::Shut { member: name.clone(), why });
+                decisions.push(Decision::Excluded { member: name.clone(), reason: why });
             }
             self.members.get_mut(&name).into_iter().for_each(|member| member.kept_in = kept_in);
         }
@@ -300,12 +302,12 @@
     }
 
     /// A version that many who are well can't take is at fault itself.
-    fn withdraw(&self, owed: &Owed, now: Moment) -> Vec<Decision> {
-        let due = owed.newest(Kind::Shape);
+    fn withdraw(&self, owed: &Obligations, now: Moment) -> Vec<Decision> {
+        let due = owed.newest(VersionKind::Shape);
         let reached: Vec<(&String, &Member)> =
-            self.members.iter().filter(|(_, m)| now.since(m.heard) < UNREACHED).collect();
-        let of_due = |cannot: Cannot| match cannot {
-            Cannot::Refuses { shape, .. } | Cannot::Crashes { shape, .. } => shape == due,
+            self.members.iter().filter(|(_, m)| now.since(m.heard) < UNREACHABLE_AFTER).collect();
+        let of_due = |cannot: Obstacle| match cannot {
+            Obstacle::Rejects { shape, .. } | Obstacle::Crashes { shape, .. } => shape == due,
         };
         let refuse: Vec<String> = reached
             .iter()
@@ -328,28 +330,28 @@
 
     /// Whether a member that reports now is brought up now, and how. Who does more harm goes first; those who can't take
     /// what is due are not tried again.
-    pub fn bring(&mut self, name: &str, owed: &Owed, now: Moment) -> Option<Way> {
+    pub fn next_update(&mut self, name: &str, owed: &Obligations, now: Moment) -> Option<UpdateMethod> {
         self.fill(now);
         let member = self.members.get(name)?;
-        let due = owed.newest(Kind::Shape);
-        let stands = owed.standing(&member.stamp, now);
+        let due = owed.newest(VersionKind::Shape);
+        let stands = owed.staleness(&member.stamp, now);
         // A service that speaks tells it by itself at first.
-        if member.stamp.shape >= due || stands < Standing::Late || self.cannot(member, owed).is_some() {
+        if member.stamp.shape >= due || stands < Staleness::Late || self.cannot(member, owed).is_some() {
             return None;
         }
         let way = match member.told {
             Some((at, ..)) if now.since(at) < TRIES_EVERY => return None,
-            None => Way::Difference,
+            None => UpdateMethod::Difference,
             Some((_, way, times)) if times < TRIES => way,
-            Some((_, Way::Difference, _)) => Way::Whole,
-            Some((_, Way::Whole, _)) => Way::Restart,
-            Some((_, Way::Restart, _)) => return None,
+            Some((_, UpdateMethod::Difference, _)) => UpdateMethod::Full,
+            Some((_, UpdateMethod::Full, _)) => UpdateMethod::Restart,
+            Some((_, UpdateMethod::Restart, _)) => return None,
         };
-        let cost = if way == Way::Difference { DIFFERENCE } else { 1.0 };
+        let cost = if way == UpdateMethod::Difference { DIFFERENCE } else { 1.0 };
         let worse = |other: &&Member| {
-            let waits = other.stamp.shape < due && now.since(other.heard) < UNREACHED;
+            let waits = other.stamp.shape < due && now.since(other.heard) < UNREACHABLE_AFTER;
             let told = other.told.is_some_and(|(at, ..)| now.since(at) < TRIES_EVERY);
-            waits && !told && owed.standing(&other.stamp, now) > stands
+            waits && !told && owed.staleness(&other.stamp, now) > stands
         };
         let before = self.members.values().filter(worse).count() as f64;
         if self.tokens < cost * (1.0 + before) {
@@ -363,22 +365,22 @@
         Some(way)
     }
 
-    pub fn status(&self, owed: &Owed, now: Moment) -> Vec<MemberStatus> {
+    pub fn status(&self, owed: &Obligations, now: Moment) -> Vec<MemberStatus> {
         let status = |(name, member): (&String, &Member)| MemberStatus {
             member: name.clone(),
             role: member.role,
             site: member.site.clone(),
             stamp: member.stamp,
-            stands: owed.standing(&member.stamp, now),
-            lacks_ms: owed
-                .lacks(&member.stamp, now)
+            staleness: owed.staleness(&member.stamp, now),
+            behind_ms: owed
+                .most_overdue(&member.stamp, now)
                 .map(|(_, _, since)| now.since(since).as_micros() / 1_000),
             silent_ms: now.since(member.heard).as_micros() / 1_000,
-            reached: now.since(member.heard) < UNREACHED,
-            cannot: self.cannot(member, owed),
+            reachable: now.since(member.heard) < UNREACHABLE_AFTER,
+            obstacle: self.cannot(member, owed),
             share: self.share(name),
-            kept_in: member.kept_in,
-            brought: member.brought,
+            kept_by_floor: member.kept_in,
+            updates_sent: member.brought,
         };
         self.members.iter().map(status).collect()
     }
@@ -389,7 +391,7 @@
 }
 
 /// Of so many members of a site, how many the audit may shut out at most.
-pub fn most_out(members: usize) -> usize {
+pub fn max_excluded(members: usize) -> usize {
     match members {
         0 | 1 => 0,
         2 => 1,
--- a/crates/audit/src/lease.rs
+++ b/crates/audit/src/lease.rs
@@ -7,43 +7,43 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lease {
     /// No keeper is followed.
-    Free,
+    Unlimited,
     /// No keeper has answered yet: until then.
-    First(Moment),
+    Initial(Moment),
     /// Until then.
     Until(Moment),
     /// Its stamp is forbidden: it acts no more, however long the lease would be.
-    ShutOut,
+    Excluded,
 }
 
 /// Before the first answer of a keeper, a process that has one may act for as long: it starts with what is newest, or with
 /// nothing.
-pub const FIRST: Span = Span::millis(10_000);
+pub const INITIAL_LEASE: Span = Span::millis(10_000);
 /// A grant is believed up to here.
 const MOST: Span = Span::millis(120_000);
 
 impl Lease {
     /// For a process that follows a keeper.
-    pub fn first(now: Moment) -> Lease {
-        Lease::First(now + FIRST)
+    pub fn initial(now: Moment) -> Lease {
+        Lease::Initial(now + INITIAL_LEASE)
     }
 
     /// What the answer to a report that went out at `asked` gives. An older answer never shortens a newer one.
-    pub fn granted(self, asked: Moment, term: Span, shut: bool) -> Lease {
+    pub fn renewed(self, asked: Moment, term: Span, shut: bool) -> Lease {
         let until = asked + term.min(MOST);
         match self {
-            Lease::Free => Lease::Free,
-            _ if shut => Lease::ShutOut,
+            Lease::Unlimited => Lease::Unlimited,
+            _ if shut => Lease::Excluded,
             Lease::Until(own) => Lease::Until(own.max(until)),
-            Lease::First(_) | Lease::ShutOut => Lease::Until(until),
+            Lease::Initial(_) | Lease::Excluded => Lease::Until(until),
         }
     }
 
     pub fn may_act(self, now: Moment) -> bool {
         match self {
-            Lease::Free => true,
-            Lease::First(until) | Lease::Until(until) => now < until,
-            Lease::ShutOut => false,
+            Lease::Unlimited => true,
+            Lease::Initial(until) | Lease::Until(until) => now < until,
+            Lease::Excluded => false,
         }
     }
 }
--- a/crates/audit/src/lines.rs
+++ b/crates/audit/src/messages.rs
@@ -1,8 +1,8 @@
 //! What audited processes, operators and the keeper write to each other: one JSON object a line.
 use crate::chain::Link;
-use crate::file::{Explained, Finding, Spell, Summary};
+use crate::history::{CandidateInterval, Finding, StampPeriod, Summary};
+use crate::lagging::{MemberStatus, Share};
 use crate::stamp::Stamp;
-use crate::straggle::{MemberStatus, Share};
 use harestage_shape::form::ShapeForm;
 use harestage_shape::lines::Planned;
 use serde::{Deserialize, Serialize};
@@ -32,37 +32,46 @@
     pub links: Vec<Link>,
     /// A version that it was given and can't take, and why.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub refuses: Option<(u64, String)>,
+    #[serde(rename = "refuses")]
+    pub rejected: Option<(u64, String)>,
 }
 
 /// How a straggler is brought up.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Bring {
+pub enum Update {
     /// Ties of single places, for whoever has the version `from`.
     Difference { from: u64, to: u64, ties: Vec<(String, Vec<String>)> },
     /// The whole version as hubs and branches' feeds take it.
-    Whole { shape: Box<ShapeForm>, plans: Vec<Planned> },
+    #[serde(rename = "whole")]
+    Full { shape: Box<ShapeForm>, plans: Vec<Planned> },
     /// The whole list as routers take it: an event of the platform's feed, whose number says nothing.
-    Listing { event: String },
+    #[serde(rename = "listing")]
+    Membership { event: String },
     /// Nothing else has helped.
-    Restart { why: String },
+    Restart {
+        #[serde(rename = "why")]
+        reason: String,
+    },
 }
 
 /// Who is refused by hubs, and what is.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Refusals {
+pub struct AdmissionRules {
     /// Members that are shut out, each with the share of its pulls that is let in all the same.
-    pub shut: Vec<(String, f64)>,
+    #[serde(rename = "shut")]
+    pub excluded: Vec<(String, f64)>,
     /// The least numbers that are not forbidden.
-    pub shape: u64,
-    pub purge: u64,
+    #[serde(rename = "shape")]
+    pub min_shape: u64,
+    #[serde(rename = "purge")]
+    pub min_purge: u64,
 }
 
 /// The answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ToAudited {
+pub enum KeeperMessage {
     Ack {
         term: u64,
         start: u64,
@@ -71,27 +80,35 @@
         lease_ms: u64,
         /// It is shut out: it is to act no more until it has caught up.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        shut: Option<String>,
+        #[serde(rename = "shut")]
+        excluded: Option<String>,
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        bring: Option<Bring>,
+        #[serde(rename = "bring")]
+        update: Option<Update>,
         /// For hubs.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        refuse: Option<Refusals>,
+        #[serde(rename = "refuse")]
+        admission: Option<AdmissionRules>,
     },
     /// This member of the keeper does not speak for it; the one that does is there, if that is known.
-    Elsewhere { serves: Option<String> },
+    #[serde(rename = "elsewhere")]
+    NotLeader {
+        #[serde(rename = "serves")]
+        leader_address: Option<String>,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum FromAudited {
-    Audited(Box<Report>),
+pub enum ProcessMessage {
+    #[serde(rename = "audited")]
+    Report(Box<Report>),
 }
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Call {
+pub enum OperatorRequest {
     AuditStatus,
     /// Who acted on what between these, Unix milliseconds of the keeper.
     AuditWho {
@@ -103,7 +120,8 @@
         shape: Option<u64>,
         purge: Option<u64>,
     },
-    AuditStragglers,
+    #[serde(rename = "audit_stragglers")]
+    AuditLagging,
     /// The download of this id.
     AuditExplain {
         id: u64,
@@ -112,19 +130,24 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answer {
-    Status(Box<Status>),
-    Who(Vec<Spell>),
-    When(Vec<Taken>),
-    Stragglers(Vec<MemberStatus>),
-    Explained(Vec<Explained>),
+pub enum OperatorResponse {
+    Status(Box<KeeperStatus>),
+    Who(Vec<StampPeriod>),
+    When(Vec<Adoption>),
+    #[serde(rename = "stragglers")]
+    Lagging(Vec<MemberStatus>),
+    Explained(Vec<CandidateInterval>),
     Refused(String),
-    Elsewhere { serves: Option<String> },
+    #[serde(rename = "elsewhere")]
+    NotLeader {
+        #[serde(rename = "serves")]
+        leader_address: Option<String>,
+    },
 }
 
 /// When a process took a number up.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct Adoption {
     pub member: String,
     pub start: u64,
     /// None: it never did, as far as it has told.
@@ -134,19 +157,20 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Status {
+pub struct KeeperStatus {
     pub term: u64,
     pub now_ms: u64,
     pub shape: u64,
     pub purge: u64,
     pub members: Vec<MemberStatus>,
-    pub shut: Vec<(String, Share)>,
+    #[serde(rename = "shut")]
+    pub excluded: Vec<(String, Share)>,
     pub chains: Summary,
     pub findings: Vec<Finding>,
 }
 
 /// One line, with its end.
-pub fn line(what: &impl Serialize) -> Vec<u8> {
+pub fn to_line(what: &impl Serialize) -> Vec<u8> {
     let mut text = serde_json::to_vec(what).unwrap_or_default();
     text.push(b'\n');
     text
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -3,9 +3,9 @@
 //!
 //! Bounded: a piece ends after a second, or when its list of ids is full; links that nobody acknowledges are kept up to a
 //! bound, and then the oldest are dropped, which shows as a gap in the chain and is never filled.
-use crate::chain::{Answered, Body, Count, Known, Link, OUTCOMES, Outcome, Span};
+use crate::chain::{Body, DownloadCount, Interval, LastLink, Link, OUTCOMES, Outcome, ReceivedPulls};
 use crate::sketch::Ids;
-use crate::stamp::{Goes, Stamp};
+use crate::stamp::{Stamp, Versions};
 use harestage::time::{Moment, Span as Time};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,10 +21,10 @@
 const MOST_OTHERS: usize = 512;
 
 /// A content type, by its place in the list that the record was opened with.
-pub type ContentNo = usize;
+pub type ContentIndex = usize;
 
 /// A stamp, by the number of switches before it.
-pub type StampNo = u64;
+pub type StampSequence = u64;
 
 #[derive(Debug, Default)]
 struct Piece {
@@ -45,7 +45,7 @@
     }
 
     /// True: there is no room for another.
-    fn enter(&mut self, number: u64, content: ContentNo, outcome: Outcome, id: u64) -> bool {
+    fn enter(&mut self, number: u64, content: ContentIndex, outcome: Outcome, id: u64) -> bool {
         if self.from == 0 {
             self.from = number;
         }
@@ -53,7 +53,7 @@
         if let Some(count) = self.counts.get_mut(content) {
             count[outcome as usize] += 1;
         }
-        !self.ids.enter(id)
+        !self.ids.push(id)
     }
 
     fn is_empty(&self) -> bool {
@@ -66,17 +66,17 @@
 pub struct Recorder {
     member: String,
     start: u64,
-    goes: Goes,
+    versions: Versions,
     stamp: Stamp,
     contents: Vec<String>,
     /// Downloads so far.
     downloads: u64,
     piece: Piece,
     /// What was acted on under stamps of before, and ended since; by their numbers.
-    late: BTreeMap<StampNo, Piece>,
+    late: BTreeMap<StampSequence, Piece>,
     /// The stamps of before, and the number of the one in force.
-    stamps: VecDeque<(StampNo, Stamp)>,
-    no: StampNo,
+    stamps: VecDeque<(StampSequence, Stamp)>,
+    no: StampSequence,
     number: u64,
     hash: String,
     waiting: VecDeque<Link>,
@@ -85,19 +85,19 @@
 
 impl Recorder {
     /// `known`: the last link that is known of from before this start.
-    pub fn begin(
+    pub fn new(
         member: &str,
         start: u64,
         contents: Vec<String>,
-        goes: Goes,
-        known: Option<Known>,
+        goes: Versions,
+        known: Option<LastLink>,
         now: Moment,
     ) -> Recorder {
         let stamp = goes.stamp();
         let mut recorder = Recorder {
             member: member.into(),
             start,
-            goes: goes.clone(),
+            versions: goes.clone(),
             stamp,
             piece: Piece::new(contents.len(), now),
             contents,
@@ -110,7 +110,7 @@
             waiting: VecDeque::new(),
             dropped: 0,
         };
-        recorder.link(Body::Began { goes, known }, now);
+        recorder.link(Body::Began { versions: goes, last_link: known }, now);
         recorder
     }
 
@@ -122,8 +122,8 @@
         self.start
     }
 
-    pub fn goes(&self) -> &Goes {
-        &self.goes
+    pub fn versions(&self) -> &Versions {
+        &self.versions
     }
 
     pub fn stamp(&self) -> Stamp {
@@ -141,8 +141,8 @@
     }
 
     /// From here on it goes by this. What was counted before is closed under what it went by then.
-    pub fn goes_by(&mut self, goes: Goes, now: Moment) {
-        if goes == self.goes {
+    pub fn set_versions(&mut self, goes: Versions, now: Moment) {
+        if goes == self.versions {
             return;
         }
         self.close(now);
@@ -151,17 +151,17 @@
         while self.stamps.len() > MOST_STAMPS {
             self.stamps.pop_front();
         }
-        (self.stamp, self.goes) = (goes.stamp(), goes.clone());
-        self.link(Body::Switched { goes }, now);
+        (self.stamp, self.versions) = (goes.stamp(), goes.clone());
+        self.link(Body::Switched { versions: goes }, now);
     }
 
     /// The number of the stamp in force, for a download whose last pull goes out now.
-    pub fn stamp_no(&self) -> StampNo {
+    pub fn stamp_sequence(&self) -> StampSequence {
         self.no
     }
 
     /// A download has ended; it counts under what the process goes by at this moment.
-    pub fn ended(&mut self, content: ContentNo, outcome: Outcome, id: u64, now: Moment) {
+    pub fn download_ended(&mut self, content: ContentIndex, outcome: Outcome, id: u64, now: Moment) {
         self.downloads += 1;
         if self.piece.enter(self.downloads, content, outcome, id) {
             self.close(now);
@@ -169,9 +169,16 @@
     }
 
     /// The same for one whose last pull went out under that stamp: it was acted on by that, whatever came since.
-    pub fn ended_under(&mut self, no: StampNo, content: ContentNo, outcome: Outcome, id: u64, now: Moment) {
+    pub fn download_ended_under(
+        &mut self,
+        no: StampSequence,
+        content: ContentIndex,
+        outcome: Outcome,
+        id: u64,
+        now: Moment,
+    ) {
         if no == self.no || self.stamp_of(no).is_none() {
-            return self.ended(content, outcome, id, now);
+            return self.download_ended(content, outcome, id, now);
         }
         self.downloads += 1;
         let contents = self.contents.len();
@@ -182,7 +189,7 @@
     }
 
     /// A pull goes out, under the stamp of this moment.
-    pub fn pulled(&mut self, from: &str, now: Moment) {
+    pub fn pull_sent(&mut self, from: &str, now: Moment) {
         match self.piece.pulls.get_mut(from) {
             Some(many) => *many += 1,
             None => {
@@ -195,7 +202,7 @@
     }
 
     /// Somebody has pulled here, and says under what.
-    pub fn answered(&mut self, by: &str, place: &str, stamp: Stamp, taken: bool, now: Moment) {
+    pub fn pull_received(&mut self, by: &str, place: &str, stamp: Stamp, taken: bool, now: Moment) {
         if self.piece.answered.len() >= MOST_OTHERS {
             self.close(now);
         }
@@ -206,13 +213,13 @@
     }
 
     /// A copy was given out that was made then.
-    pub fn gave(&mut self, made_ms: u64) {
+    pub fn copy_served(&mut self, made_ms: u64) {
         let oldest = &mut self.piece.oldest_ms;
         *oldest = if *oldest == 0 { made_ms } else { made_ms.min(*oldest) };
     }
 
     /// To be called some times a second.
-    pub fn beat(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Moment) {
         let due = |piece: &Piece| now.since(piece.began) >= PIECE;
         if due(&self.piece) || self.late.values().any(due) {
             self.close(now);
@@ -220,13 +227,13 @@
     }
 
     /// It ends in order: what is open is closed, and nothing follows.
-    pub fn end(&mut self, now: Moment) {
+    pub fn finish(&mut self, now: Moment) {
         self.close(now);
         self.link(Body::Ended, now);
     }
 
     /// A stamp of before, by its number: they stand there without gaps.
-    fn stamp_of(&self, no: StampNo) -> Option<Stamp> {
+    fn stamp_of(&self, no: StampSequence) -> Option<Stamp> {
         let (first, _) = self.stamps.front()?;
         let (_, stamp) = self.stamps.get(no.checked_sub(*first)? as usize)?;
         Some(*stamp)
@@ -247,19 +254,19 @@
         if piece.is_empty() {
             return;
         }
-        let (first, last) = piece.ids.ends();
+        let (first, last) = piece.ids.first_and_last();
         let downloads = piece.counts.iter().zip(&self.contents).flat_map(|(counts, content)| {
             let each = OUTCOMES.iter().zip(counts).filter(|(_, many)| **many > 0);
-            each.map(|(outcome, many)| Count { content: content.clone(), outcome: *outcome, many: *many })
+            each.map(|(outcome, many)| DownloadCount {
+                content: content.clone(),
+                outcome: *outcome,
+                count: *many,
+            })
         });
-        let answered = piece.answered.into_iter().map(|((by, place, stamp), (taken, refused))| Answered {
-            by,
-            place,
-            stamp,
-            taken,
-            refused,
+        let answered = piece.answered.into_iter().map(|((by, place, stamp), (taken, refused))| {
+            ReceivedPulls { puller: by, place, stamp, accepted: taken, refused }
         });
-        let span = Span {
+        let span = Interval {
             stamp,
             from: piece.from,
             to: piece.to,
@@ -267,13 +274,13 @@
             ended_ms: now.micros() / 1_000,
             downloads: downloads.collect(),
             pulls: piece.pulls.into_iter().collect(),
-            answered: answered.collect(),
+            received: answered.collect(),
             oldest_ms: piece.oldest_ms,
             first,
             last,
-            ids: piece.ids.take(),
+            ids: piece.ids.take_sketch(),
         };
-        self.link(Body::Span(Box::new(span)), now);
+        self.link(Body::Interval(Box::new(span)), now);
     }
 
     fn link(&mut self, body: Body, now: Moment) {
@@ -289,7 +296,7 @@
     }
 
     /// The links of the next report: the same again until they are acknowledged.
-    pub fn due(&self) -> Vec<Link> {
+    pub fn pending_links(&self) -> Vec<Link> {
         self.waiting.iter().take(BATCH).cloned().collect()
     }
 
@@ -298,7 +305,7 @@
         self.waiting.len() > BATCH
     }
 
-    pub fn is_told(&self) -> bool {
+    pub fn is_fully_acknowledged(&self) -> bool {
         self.waiting.is_empty()
     }
 
@@ -313,7 +320,7 @@
     }
 
     /// The newest link, for whoever starts next.
-    pub fn known(&self) -> Known {
-        Known { start: self.start, number: self.number, hash: self.hash.clone() }
+    pub fn last_link(&self) -> LastLink {
+        LastLink { start: self.start, number: self.number, hash: self.hash.clone() }
     }
 }
--- a/crates/audit/src/sketch.rs
+++ b/crates/audit/src/sketch.rs
@@ -5,7 +5,7 @@
 const BITS_EACH: usize = 10;
 const PROBES: u64 = 7;
 /// Downloads that one sketch is made for at most; further ones make it say yes more often.
-pub const MOST: usize = 4_096;
+pub const MAX_IDS: usize = 4_096;
 
 /// Ids while a piece is open; the filter is made once, for as many as came.
 #[derive(Clone, Debug, Default)]
@@ -13,9 +13,9 @@
 
 impl Ids {
     /// False: there is no room, and the piece has to be closed.
-    pub fn enter(&mut self, id: u64) -> bool {
+    pub fn push(&mut self, id: u64) -> bool {
         self.0.push(id);
-        self.0.len() < MOST
+        self.0.len() < MAX_IDS
     }
 
     pub fn len(&self) -> usize {
@@ -26,12 +26,12 @@
         self.0.is_empty()
     }
 
-    pub fn ends(&self) -> (u64, u64) {
+    pub fn first_and_last(&self) -> (u64, u64) {
         (self.0.first().copied().unwrap_or(0), self.0.last().copied().unwrap_or(0))
     }
 
     /// Takes them out, as a sketch.
-    pub fn take(&mut self) -> Sketch {
+    pub fn take_sketch(&mut self) -> Sketch {
         let mut words = vec![0u64; (self.0.len() * BITS_EACH).div_ceil(64)];
         let bits = words.len() as u64 * 64;
         for id in self.0.drain(..) {
@@ -60,7 +60,7 @@
 }
 
 impl Sketch {
-    pub fn may_hold(&self, id: u64) -> bool {
+    pub fn may_contain(&self, id: u64) -> bool {
         let bits = self.words.len() as u64 / 16 * 64;
         let word = |at: u64| {
             let digits = self.words.get(at as usize * 16..at as usize * 16 + 16)?;
--- a/crates/audit/src/stamp.rs
+++ b/crates/audit/src/stamp.rs
@@ -7,7 +7,7 @@
 
 /// All that decides what a process does with a download.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Goes {
+pub struct Versions {
     pub build: String,
     /// Hash of its own file.
     pub settings: u64,
@@ -38,9 +38,9 @@
 }
 
 /// Bytes of a stamp's text, at most.
-pub const LONGEST: usize = 16 + 1 + 20 + 1 + 20;
+pub const MAX_TEXT_BYTES: usize = 16 + 1 + 20 + 1 + 20;
 
-impl Goes {
+impl Versions {
     pub fn stamp(&self) -> Stamp {
         let mut hasher = blake3::Hasher::new();
         // Lengths first, so that no two lists of fields read alike.
@@ -58,7 +58,7 @@
 }
 
 /// Hash of a file's bytes, for `settings`.
-pub fn settings_of(text: &[u8]) -> u64 {
+pub fn settings_digest(text: &[u8]) -> u64 {
     let mut digest = [0; 8];
     digest.copy_from_slice(&blake3::hash(text).as_bytes()[..8]);
     u64::from_le_bytes(digest)
@@ -72,25 +72,25 @@
 
 /// The text is no stamp.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoStamp;
+pub struct ParseStampError;
 
-impl fmt::Display for NoStamp {
+impl fmt::Display for ParseStampError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "no stamp: 16 hex digits and two numbers")
     }
 }
 
 impl FromStr for Stamp {
-    type Err = NoStamp;
+    type Err = ParseStampError;
 
-    fn from_str(text: &str) -> Result<Stamp, NoStamp> {
+    fn from_str(text: &str) -> Result<Stamp, ParseStampError> {
         let mut parts = text.split('.');
         let (digest, shape, purge) = (parts.next(), parts.next(), parts.next());
         let digest = digest.filter(|d| d.len() == 16).and_then(|d| u64::from_str_radix(d, 16).ok());
         let number = |text: Option<&str>| text.and_then(|text| text.parse::<u64>().ok());
         match (digest, number(shape), number(purge), parts.next()) {
             (Some(digest), Some(shape), Some(purge), None) => Ok(Stamp { digest, shape, purge }),
-            _ => Err(NoStamp),
+            _ => Err(ParseStampError),
         }
     }
 }
@@ -104,6 +104,6 @@
 impl<'de> Deserialize<'de> for Stamp {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Stamp, D::Error> {
         let text = String::deserialize(from)?;
-        text.parse().map_err(|why: NoStamp| D::Error::custom(format!("{why}: {text:?}")))
+        text.parse().map_err(|why: ParseStampError| D::Error::custom(format!("{why}: {text:?}")))
     }
 }
--- a/crates/audit/tests/straggling.rs
+++ b/crates/audit/tests/lagging.rs
@@ -1,9 +1,9 @@
 //! Who is brought up, shut out and let in again, by hand and by chance.
 use harestage::time::Moment;
-use harestage_audit::lines::Role;
-use harestage_audit::owes::{Kind, Owed, SHAPE, Standing};
+use harestage_audit::lagging::{Decision, Members, Obstacle, Share, UpdateMethod, max_excluded};
+use harestage_audit::messages::Role;
+use harestage_audit::obligations::{Obligations, SHAPE_GRACE, Staleness, VersionKind};
 use harestage_audit::stamp::Stamp;
-use harestage_audit::straggle::{Cannot, Decision, Members, Share, Way, most_out};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 
 struct Fleet {
     members: Members,
-    owed: Owed,
+    owed: Obligations,
     ms: u64,
     /// What each goes by, and whether it is heard.
     goes: BTreeMap<String, (u64, bool)>,
@@ -27,8 +27,8 @@
 impl Fleet {
     fn new(names: &[&str], shape: u64) -> Fleet {
         let goes = names.iter().map(|name| (name.to_string(), (shape, true))).collect();
-        let mut owed = Owed::default();
-        owed.published(Kind::Shape, shape, at(0));
+        let mut owed = Obligations::default();
+        owed.publish(VersionKind::Shape, shape, at(0));
         Fleet { members: Members::new(at(0)), owed, ms: 0, goes, decided: Vec::new() }
     }
 
@@ -39,22 +39,22 @@
             for (name, (shape, heard)) in &self.goes {
                 if *heard {
                     let site = name.split('-').next().unwrap();
-                    self.members.hear(name, Role::Router, site, 1, stamp(*shape), None, at(self.ms));
+                    self.members.on_report(name, Role::Router, site, 1, stamp(*shape), None, at(self.ms));
                 }
             }
-            for decision in self.members.beat(&self.owed, at(self.ms)) {
-                self.members.enter(&decision, at(self.ms));
+            for decision in self.members.tick(&self.owed, at(self.ms)) {
+                self.members.apply_decision(&decision, at(self.ms));
                 self.decided.push(decision);
             }
         }
     }
 
     fn publish(&mut self, shape: u64) {
-        self.owed.published(Kind::Shape, shape, at(self.ms));
+        self.owed.publish(VersionKind::Shape, shape, at(self.ms));
     }
 
     fn out(&self, site: &str) -> usize {
-        let shut = self.members.shut().into_iter();
+        let shut = self.members.excluded().into_iter();
         shut.filter(|(name, share)| share.0 == 0.0 && name.starts_with(&format!("{site}-"))).count()
     }
 }
@@ -66,11 +66,11 @@
     fleet.publish(2);
     fleet.goes.get_mut("w-2").unwrap().0 = 2;
     fleet.goes.get_mut("w-3").unwrap().0 = 2;
-    fleet.run(SHAPE.forbidden.as_micros() / 1_000 - 200);
+    fleet.run(SHAPE_GRACE.forbidden_after.as_micros() / 1_000 - 200);
     assert_eq!(fleet.decided, []);
     fleet.run(400);
     assert!(
-        matches!(&fleet.decided[..], [Decision::Shut { member, .. }] if member == "w-1"),
+        matches!(&fleet.decided[..], [Decision::Excluded { member, .. }] if member == "w-1"),
         "{:?}",
         fleet.decided
     );
@@ -81,8 +81,8 @@
     let shares: Vec<f64> = fleet.decided[1..]
         .iter()
         .map(|decision| match decision {
-            Decision::Eased { share, .. } => share.0,
-            Decision::Freed { .. } => 1.0,
+            Decision::ShareRaised { share, .. } => share.0,
+            Decision::Readmitted { .. } => 1.0,
             other => panic!("{other:?}"),
         })
         .collect();
@@ -119,9 +119,10 @@
         assert!(fleet.out("w") <= 3 && fleet.out("e") == 0 && fleet.out("n") <= 1);
     }
     assert_eq!((fleet.out("w"), fleet.out("n")), (3, 1));
-    let kept = fleet.members.status(&fleet.owed, at(fleet.ms)).into_iter().filter(|m| m.kept_in).count();
+    let kept =
+        fleet.members.status(&fleet.owed, at(fleet.ms)).into_iter().filter(|m| m.kept_by_floor).count();
     assert_eq!(kept, 12 - 4);
-    assert_eq!([0, 1, 2, 3, 6, 10].map(most_out), [0, 0, 1, 1, 2, 3]);
+    assert_eq!([0, 1, 2, 3, 6, 10].map(max_excluded), [0, 0, 1, 1, 2, 3]);
 }
 
 #[test]
@@ -131,22 +132,32 @@
     let mut ways = Vec::new();
     for _ in 0..100 {
         fleet.run(100);
-        ways.extend(fleet.members.bring("w-1", &fleet.owed, at(fleet.ms)));
+        ways.extend(fleet.members.next_update("w-1", &fleet.owed, at(fleet.ms)));
     }
-    assert_eq!(ways, [Way::Difference, Way::Difference, Way::Whole, Way::Whole, Way::Restart, Way::Restart]);
-    assert_eq!(fleet.members.bring("nobody", &fleet.owed, at(fleet.ms)), None);
+    assert_eq!(
+        ways,
+        [
+            UpdateMethod::Difference,
+            UpdateMethod::Difference,
+            UpdateMethod::Full,
+            UpdateMethod::Full,
+            UpdateMethod::Restart,
+            UpdateMethod::Restart
+        ]
+    );
+    assert_eq!(fleet.members.next_update("nobody", &fleet.owed, at(fleet.ms)), None);
     // One that refuses the version is told apart from one that can't be reached, and is not brought up.
     let refuses = Some((2, "no such place".to_string()));
-    fleet.members.hear("w-2", Role::Router, "w", 1, stamp(1), refuses, at(fleet.ms));
-    assert_eq!(fleet.members.bring("w-2", &fleet.owed, at(fleet.ms)), None);
+    fleet.members.on_report("w-2", Role::Router, "w", 1, stamp(1), refuses, at(fleet.ms));
+    assert_eq!(fleet.members.next_update("w-2", &fleet.owed, at(fleet.ms)), None);
     fleet.goes.get_mut("w-1").unwrap().1 = false;
     fleet.goes.get_mut("w-2").unwrap().1 = false;
     let status = |fleet: &Fleet, name: &str| {
         fleet.members.status(&fleet.owed, at(fleet.ms)).into_iter().find(|m| m.member == name).unwrap()
     };
-    assert!(matches!(status(&fleet, "w-2").cannot, Some(Cannot::Refuses { shape: 2, .. })));
+    assert!(matches!(status(&fleet, "w-2").obstacle, Some(Obstacle::Rejects { shape: 2, .. })));
     fleet.run(4_000);
-    assert!(!status(&fleet, "w-1").reached && status(&fleet, "w-1").cannot.is_none());
+    assert!(!status(&fleet, "w-1").reachable && status(&fleet, "w-1").obstacle.is_none());
 }
 
 #[test]
@@ -156,15 +167,15 @@
     fleet.goes.clear();
     for start in 1..=4 {
         fleet.ms += 2_000;
-        fleet.members.hear("w-1", Role::Router, "w", start, stamp(1), None, at(fleet.ms));
+        fleet.members.on_report("w-1", Role::Router, "w", start, stamp(1), None, at(fleet.ms));
     }
     let status = fleet.members.status(&fleet.owed, at(fleet.ms));
     assert!(
-        matches!(status[0].cannot, Some(Cannot::Crashes { shape: 2, starts: 4 })),
+        matches!(status[0].obstacle, Some(Obstacle::Crashes { shape: 2, starts: 4 })),
         "{:?}",
-        status[0].cannot
+        status[0].obstacle
     );
-    assert_eq!(fleet.members.bring("w-1", &fleet.owed, at(fleet.ms)), None);
+    assert_eq!(fleet.members.next_update("w-1", &fleet.owed, at(fleet.ms)), None);
 }
 
 #[test]
@@ -179,10 +190,10 @@
             for (n, name) in names.iter().enumerate() {
                 let refuses = (n < many).then(|| (2, "wrong".to_string()));
                 let shape = if n < many { 1 } else { 2 };
-                fleet.members.hear(name, Role::Hub, "w", 1, stamp(shape), refuses, at(fleet.ms));
+                fleet.members.on_report(name, Role::Hub, "w", 1, stamp(shape), refuses, at(fleet.ms));
             }
-            let decided = fleet.members.beat(&fleet.owed, at(fleet.ms));
-            decided.iter().for_each(|decision| fleet.members.enter(decision, at(fleet.ms)));
+            let decided = fleet.members.tick(&fleet.owed, at(fleet.ms));
+            decided.iter().for_each(|decision| fleet.members.apply_decision(decision, at(fleet.ms)));
             fleet.decided.extend(decided);
             let _ = round;
         }
@@ -204,11 +215,11 @@
         for name in &names {
             let site = name.split('-').next().unwrap();
             let shape = fleet.goes[name].0;
-            fleet.members.hear(name, Role::Router, site, 1, stamp(shape), None, at(fleet.ms));
-            match fleet.members.bring(name, &fleet.owed, at(fleet.ms)) {
+            fleet.members.on_report(name, Role::Router, site, 1, stamp(shape), None, at(fleet.ms));
+            match fleet.members.next_update(name, &fleet.owed, at(fleet.ms)) {
                 // Half can't use a difference.
-                Some(Way::Difference) if tick % 2 == 0 => fleet.goes.get_mut(name).unwrap().0 = 2,
-                Some(Way::Difference) => this += 1,
+                Some(UpdateMethod::Difference) if tick % 2 == 0 => fleet.goes.get_mut(name).unwrap().0 = 2,
+                Some(UpdateMethod::Difference) => this += 1,
                 Some(_) => {
                     (whole, this) = (whole + 1, this + 1);
                     fleet.goes.get_mut(name).unwrap().0 = 2;
@@ -244,30 +255,34 @@
             fleet.run(ms);
             prop_assert!(fleet.out("w") <= 1 && fleet.out("e") <= 1);
             for decision in &fleet.decided[before..] {
-                if let Decision::Shut { member, .. } = decision {
-                    let stands = fleet.owed.standing(&fleet.members.stamp(member).unwrap(), at(fleet.ms));
-                    prop_assert!(stands == Standing::Forbidden, "{member} was {stands:?}");
+                if let Decision::Excluded { member, .. } = decision {
+                    let stands = fleet.owed.staleness(&fleet.members.stamp(member).unwrap(), at(fleet.ms));
+                    prop_assert!(stands == Staleness::Forbidden, "{member} was {stands:?}");
                 }
             }
         }
         fleet.goes.values_mut().for_each(|goes| *goes = (newest, true));
         fleet.run(8_000);
-        prop_assert_eq!(fleet.members.shut().len(), 0);
+        prop_assert_eq!(fleet.members.excluded().len(), 0);
     }
 }
 
 #[test]
 fn what_was_decided_is_so_after_a_restart() {
-    use harestage_audit::keep::{Effect, Entry, Keep, Record};
+    use harestage_audit::keeper::{Effect, Entry, KeeperState, Record};
     let decided = |decision| Record { term: 3, entry: Entry::Decided(decision) };
-    let shut = |member: &str| Decision::Shut { member: member.into(), why: "old".into() };
+    let shut = |member: &str| Decision::Excluded { member: member.into(), reason: "old".into() };
     let mut records = vec![Record { term: 3, entry: Entry::Opened }];
-    records.extend([decided(shut("a")), decided(shut("b")), decided(Decision::Freed { member: "b".into() })]);
+    records.extend([
+        decided(shut("a")),
+        decided(shut("b")),
+        decided(Decision::Readmitted { member: "b".into() }),
+    ]);
     // Written by a keeper that had been replaced.
     records.push(Record { term: 2, entry: Entry::Decided(shut("c")) });
-    let (keep, effects) = Keep::open(&records, at(0));
+    let (keep, effects) = KeeperState::open(&records, at(0));
     assert_eq!(effects, [Effect::Write(Record { term: 4, entry: Entry::Opened })]);
-    let whole = keep.whole();
+    let whole = keep.snapshot();
     assert_eq!(
         whole,
         [Record { term: 4, entry: Entry::Opened }, Record { term: 4, entry: Entry::Decided(shut("a")) }]
--- a/crates/branch/src/net.rs
+++ b/crates/branch/src/net.rs
@@ -7,9 +7,9 @@
 use event_listener::Event;
 use futures_lite::future::or;
 use harestage::time::Moment;
-use harestage_audit::acting::{Acting, Wanted, Who};
-use harestage_audit::lines::{Bring, Role, ToAudited};
-use harestage_audit::stamp::Goes;
+use harestage_audit::messages::{KeeperMessage, Role, Update};
+use harestage_audit::process::{AuditedProcess, KeeperRequest, ProcessIdentity};
+use harestage_audit::stamp::Versions;
 use harestage_following::audit::Audited;
 use harestage_following::control::{Heard, Member};
 use harestage_following::{Line, control, looks, purges};
@@ -77,7 +77,7 @@
     log: Logger,
     name: String,
     /// What it went by, where there is a keeper.
-    acting: Option<RefCell<Acting>>,
+    acting: Option<RefCell<AuditedProcess>>,
     callers: RefCell<BTreeMap<u64, Rc<Calling>>>,
     called: Cell<u64>,
     /// Connections that were ended for a word that can't be.
@@ -113,7 +113,7 @@
         let clock = Clock::start();
         let board = Board::new(&start.branch, start.groups, !start.purges.is_empty(), clock.now());
         let acting = (!start.keepers.is_empty()).then(|| {
-            let who = Who {
+            let who = ProcessIdentity {
                 member: start.name.clone(),
                 start: clock.now().micros(),
                 role: Role::Feed,
@@ -121,8 +121,8 @@
                 place: start.branch.clone(),
             };
             let (build, settings) = (start.build.clone(), start.settings);
-            let goes = Goes { build, settings, ..Goes::default() };
-            RefCell::new(Acting::begin(who, Vec::new(), goes, clock.now()))
+            let goes = Versions { build, settings, ..Versions::default() };
+            RefCell::new(AuditedProcess::new(who, Vec::new(), goes, clock.now()))
         });
         let shared = Rc::new(Shared {
             board: RefCell::new(board),
@@ -191,9 +191,9 @@
     /// What was recorded last is told, if that takes no longer than a moment.
     async fn last_word(&self) {
         let Some(acting) = &self.acting else { return };
-        acting.borrow_mut().recorder().end(self.clock.now());
+        acting.borrow_mut().recorder().finish(self.clock.now());
         for _ in 0..20 {
-            if acting.borrow_mut().recorder().is_told() {
+            if acting.borrow_mut().recorder().is_fully_acknowledged() {
                 return;
             }
             Timer::after(BEAT / 2).await;
@@ -206,9 +206,9 @@
         let (shape, purge) = self.board.borrow().goes();
         let plan = self.board.borrow().plan();
         let mut acting = acting.borrow_mut();
-        let goes = Goes { shape, purge, plan, ..acting.goes().clone() };
-        acting.goes_by(goes, now);
-        acting.beat(now);
+        let goes = Versions { shape, purge, plan, ..acting.versions().clone() };
+        acting.set_versions(goes, now);
+        acting.tick(now);
     }
 
     async fn until_news(&self, at_most: Duration) {
@@ -263,7 +263,7 @@
 struct Reports(Rc<Shared>);
 
 impl Reports {
-    fn with<T>(&self, look: impl FnOnce(&mut Acting) -> T) -> Option<T> {
+    fn with<T>(&self, look: impl FnOnce(&mut AuditedProcess) -> T) -> Option<T> {
         self.0.acting.as_ref().map(|acting| look(&mut acting.borrow_mut()))
     }
 }
@@ -273,7 +273,7 @@
         self.0.clock.now()
     }
 
-    fn report(&self) -> harestage_audit::lines::Report {
+    fn report(&self) -> harestage_audit::messages::Report {
         let now = self.now();
         let report = self.with(|acting| acting.report(now));
         report.unwrap_or_else(|| unreachable!("only a feed that is audited reports"))
@@ -283,10 +283,10 @@
         self.with(|acting| acting.recorder().has_more()).unwrap_or(false)
     }
 
-    async fn answered(&self, answer: ToAudited, asked: Moment) -> bool {
+    async fn answered(&self, answer: KeeperMessage, asked: Moment) -> bool {
         // A feed that starts anew would leave its branch without one: it is brought up, and never ended.
-        if let Some(Wanted::Take(Bring::Whole { shape, plans })) =
-            self.with(|acting| acting.answered(answer, asked)).flatten()
+        if let Some(KeeperRequest::Apply(Update::Full { shape, plans })) =
+            self.with(|acting| acting.on_answer(answer, asked)).flatten()
         {
             info!(self.0.log, "brought up by the keeper"; "version" => shape.version);
             let now = self.now();
--- a/crates/branch/src/start.rs
+++ b/crates/branch/src/start.rs
@@ -95,7 +95,7 @@
             purges: all("purge_services", &self.purge_services)?,
             keepers: all("keepers", &self.keepers)?,
             build: env!("CARGO_PKG_VERSION").into(),
-            settings: harestage_audit::stamp::settings_of(&serde_json::to_vec(&self).unwrap_or_default()),
+            settings: harestage_audit::stamp::settings_digest(&serde_json::to_vec(&self).unwrap_or_default()),
             groups: self.groups,
             routers: self.routers as usize,
             name: self.name,
--- a/crates/cli/src/audit.rs
+++ b/crates/cli/src/audit.rs
@@ -3,10 +3,10 @@
 use crate::ask::Call;
 use crate::exit;
 use harestage_audit::chain::Link;
-use harestage_audit::file::{File, Finding, Spell, Taken};
-use harestage_audit::lines::{self, Answer, Status};
-use harestage_audit::owes::{Owed, Standing};
-use harestage_audit::straggle::{Cannot, MemberStatus};
+use harestage_audit::history::{Finding, History, LinkOutcome, StampPeriod};
+use harestage_audit::lagging::{MemberStatus, Obstacle};
+use harestage_audit::messages::{self, KeeperStatus, OperatorResponse};
+use harestage_audit::obligations::{Obligations, Staleness};
 use harestage_keeper::columns;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -116,15 +116,15 @@
     ExitCode::from(code)
 }
 
-fn ask(of: &Keepers, call: &lines::Call) -> Result<Answer, Failure> {
+fn ask(of: &Keepers, call: &messages::OperatorRequest) -> Result<OperatorResponse, Failure> {
     let answer = Call::find("keeper", &of.keepers, call).and_then(|mut call| call.next());
     match answer.map_err(Failure::Away)? {
-        Answer::Refused(why) => Err(Failure::Refused(why)),
+        OperatorResponse::Refused(why) => Err(Failure::Refused(why)),
         answer => Ok(answer),
     }
 }
 
-fn unexpected<T>(answer: &Answer) -> Result<T, Failure> {
+fn unexpected<T>(answer: &OperatorResponse) -> Result<T, Failure> {
     Err(Failure::Away(format!("an answer of another kind: {answer:?}")))
 }
 
@@ -135,9 +135,9 @@
     of.json
 }
 
-fn get_status(of: &Keepers) -> Result<Status, Failure> {
-    match ask(of, &lines::Call::AuditStatus)? {
-        Answer::Status(status) => Ok(*status),
+fn get_status(of: &Keepers) -> Result<KeeperStatus, Failure> {
+    match ask(of, &messages::OperatorRequest::AuditStatus)? {
+        OperatorResponse::Status(status) => Ok(*status),
         other => unexpected(&other),
     }
 }
@@ -158,7 +158,7 @@
         chains.gaps.len()
     );
     chains.gaps.iter().for_each(print_gap);
-    for (member, share) in &status.shut {
+    for (member, share) in &status.excluded {
         println!(
             "{member}: {}",
             if share.0 > 0.0 { format!("let in by {:.2}", share.0) } else { "shut out".into() }
@@ -168,32 +168,32 @@
     Ok(())
 }
 
-fn print_gap(gap: &harestage_audit::file::Gap) {
+fn print_gap(gap: &harestage_audit::history::Gap) {
     let links = gap.links.map_or(String::new(), |(a, b)| format!(", links {a} to {b}"));
     let downloads =
         gap.downloads.map_or(", downloads unknown".into(), |(a, b)| format!(", downloads {a} to {b}"));
     println!(
         "gap: {} ({}), {} to {} ms{links}{downloads}: {}",
-        gap.member, gap.start, gap.from_ms, gap.to_ms, gap.why
+        gap.member, gap.start, gap.from_ms, gap.to_ms, gap.reason
     );
 }
 
 fn words(finding: &Finding) -> String {
     match finding {
-        Finding::Altered { member, start, number, why } => {
+        Finding::Altered { member, start, number, reason: why } => {
             format!("{member} ({start}): link {number} was altered: {why}")
         }
-        Finding::Twins { member, starts: (a, b), .. } => {
+        Finding::ConcurrentStarts { member, starts: (a, b), .. } => {
             format!("{member}: two processes have this name, started at {a} and {b}")
         }
         Finding::Undeclared { member, stamp, hub, pulls } => {
             format!("{member}: {pulls} pulls at {hub} under {stamp}, which it never declared")
         }
-        Finding::ActsByOther { member, says, acts_by, place, hub, pulls } => {
+        Finding::UsesOtherVersion { member, declared: says, actual: acts_by, place, hub, pulls } => {
             let by = acts_by.map_or("no version that is known".into(), |by| format!("version {by}"));
             format!("{member}: says version {says} and acts by {by}: {pulls} pulls for {place} at {hub}")
         }
-        Finding::TakenPast { member, stamp, hub, pulls, past_ms } => {
+        Finding::ForbiddenAccepted { member, stamp, hub, pulls, overdue_ms: past_ms } => {
             format!("{member}: {hub} took {pulls} pulls under {stamp}, {past_ms} ms past the bound")
         }
     }
@@ -206,13 +206,14 @@
 
 fn who(from: i64, to: i64, late: bool, of: &Keepers) -> Result<(), Failure> {
     let now_ms = get_status(of)?.now_ms;
-    let call = lines::Call::AuditWho { from_ms: moment(from, now_ms), to_ms: moment(to, now_ms) };
+    let call =
+        messages::OperatorRequest::AuditWho { from_ms: moment(from, now_ms), to_ms: moment(to, now_ms) };
     let mut spells = match ask(of, &call)? {
-        Answer::Who(spells) => spells,
+        OperatorResponse::Who(spells) => spells,
         other => return unexpected(&other),
     };
     if late {
-        spells.retain(|spell| spell.stood >= Standing::Late);
+        spells.retain(|spell| spell.worst_staleness >= Staleness::Late);
     }
     if json(of, &spells) {
         return Ok(());
@@ -225,10 +226,10 @@
     Ok(())
 }
 
-fn print_spell(spell: &Spell) {
+fn print_spell(spell: &StampPeriod) {
     let downloads = spell.downloads.map_or("no downloads".into(), |(a, b)| format!("downloads {a} to {b}"));
     let counts: Vec<String> = spell.counts.iter().map(|(what, many)| format!("{many} {what}")).collect();
-    let lacked = spell.lacked_ms.map_or(String::new(), |ms| format!(", lacked something for {ms} ms"));
+    let lacked = spell.behind_ms.map_or(String::new(), |ms| format!(", lacked something for {ms} ms"));
     let oldest = match spell.oldest_ms {
         0 => String::new(),
         ms => format!(", oldest copy of {ms} ms"),
@@ -238,7 +239,7 @@
         spell.member,
         spell.stamp.shape,
         spell.stamp.purge,
-        standing(spell.stood),
+        standing(spell.worst_staleness),
         spell.from_ms,
         spell.to_ms,
         if counts.is_empty() { "nothing".into() } else { counts.join(", ") },
@@ -246,18 +247,18 @@
     );
 }
 
-fn standing(is: Standing) -> &'static str {
+fn standing(is: Staleness) -> &'static str {
     match is {
-        Standing::UpToDate => "up to date",
-        Standing::Harmless => "harmless",
-        Standing::Late => "late",
-        Standing::Forbidden => "forbidden",
+        Staleness::UpToDate => "up to date",
+        Staleness::Harmless => "harmless",
+        Staleness::Late => "late",
+        Staleness::Forbidden => "forbidden",
     }
 }
 
 fn when(shape: Option<u64>, purge: Option<u64>, of: &Keepers) -> Result<(), Failure> {
-    let taken = match ask(of, &lines::Call::AuditWhen { shape, purge })? {
-        Answer::When(taken) => taken,
+    let taken = match ask(of, &messages::OperatorRequest::AuditWhen { shape, purge })? {
+        OperatorResponse::When(taken) => taken,
         other => return unexpected(&other),
     };
     if json(of, &taken) {
@@ -276,13 +277,13 @@
 }
 
 fn stragglers(of: &Keepers) -> Result<(), Failure> {
-    let members = match ask(of, &lines::Call::AuditStragglers)? {
-        Answer::Stragglers(members) => members,
+    let members = match ask(of, &messages::OperatorRequest::AuditLagging)? {
+        OperatorResponse::Lagging(members) => members,
         other => return unexpected(&other),
     };
     let behind: Vec<&MemberStatus> = members
         .iter()
-        .filter(|m| m.stands >= Standing::Late || m.share.is_some() || m.cannot.is_some())
+        .filter(|m| m.staleness >= Staleness::Late || m.share.is_some() || m.obstacle.is_some())
         .collect();
     if !json(of, &behind) {
         behind.iter().for_each(|member| println!("{}", straggler(member)));
@@ -294,11 +295,11 @@
 }
 
 fn straggler(member: &MemberStatus) -> String {
-    let lacks = member.lacks_ms.map_or(String::new(), |ms| format!(", lacks something for {ms} ms"));
-    let reached = if member.reached { "" } else { ", can't be reached" };
-    let cannot = match &member.cannot {
-        Some(Cannot::Refuses { shape, why }) => format!(", refuses version {shape}: {why}"),
-        Some(Cannot::Crashes { shape, starts }) => {
+    let lacks = member.behind_ms.map_or(String::new(), |ms| format!(", lacks something for {ms} ms"));
+    let reached = if member.reachable { "" } else { ", can't be reached" };
+    let cannot = match &member.obstacle {
+        Some(Obstacle::Rejects { shape, reason: why }) => format!(", refuses version {shape}: {why}"),
+        Some(Obstacle::Crashes { shape, starts }) => {
             format!(", has started {starts} times without version {shape}")
         }
         None => String::new(),
@@ -306,7 +307,7 @@
     let share = match member.share {
         Some(share) if share.0 > 0.0 => format!(", let in by {:.2}", share.0),
         Some(_) => ", shut out".into(),
-        None if member.kept_in => ", kept in by the floor".into(),
+        None if member.kept_by_floor => ", kept in by the floor".into(),
         None => String::new(),
     };
     format!(
@@ -315,24 +316,27 @@
         member.site,
         member.stamp.shape,
         member.stamp.purge,
-        standing(member.stands),
-        member.brought
+        standing(member.staleness),
+        member.updates_sent
     )
 }
 
 fn explain(id: &str, of: &Keepers) -> Result<(), Failure> {
     let number = u64::from_str_radix(id, 16).ok().filter(|_| id.len() == 16);
     let id = number.ok_or_else(|| Failure::Refused(format!("{id:?} is not 16 hex digits")))?;
-    let explained = match ask(of, &lines::Call::AuditExplain { id })? {
-        Answer::Explained(explained) => explained,
+    let explained = match ask(of, &messages::OperatorRequest::AuditExplain { id })? {
+        OperatorResponse::Explained(explained) => explained,
         other => return unexpected(&other),
     };
     if json(of, &explained) {
         return Ok(());
     }
     for e in &explained {
-        let sure =
-            if e.sure { "was" } else { "may have been (the sketch says so, and is wrong once in a hundred)" };
+        let sure = if e.exact {
+            "was"
+        } else {
+            "may have been (the sketch says so, and is wrong once in a hundred)"
+        };
         println!(
             "it {sure} at {} ({}), between {} and {} ms, by shape {}, purge {}: link {}",
             e.member, e.start, e.from_ms, e.to_ms, e.stamp.shape, e.stamp.purge, e.link
@@ -354,8 +358,8 @@
         let behind: Vec<String> = status
             .members
             .iter()
-            .filter(|m| m.stands >= Standing::Late || m.share.is_some())
-            .map(|m| format!("{}: {}", m.member, standing(m.stands)))
+            .filter(|m| m.staleness >= Staleness::Late || m.share.is_some())
+            .map(|m| format!("{}: {}", m.member, standing(m.staleness)))
             .collect();
         if behind != before {
             println!("{}", if behind.is_empty() { "nobody lags behind".into() } else { behind.join("; ") });
@@ -402,12 +406,12 @@
 }
 
 /// Goes through all chains as the keeper does, with nothing due.
-fn check(links: &[Link]) -> (File, Vec<String>) {
-    let (mut file, owed, mut refused) = (File::default(), Owed::default(), Vec::new());
+fn check(links: &[Link]) -> (History, Vec<String>) {
+    let (mut file, owed, mut refused) = (History::default(), Obligations::default(), Vec::new());
     for link in links {
         let now = harestage::time::Moment::at_micros(link.at_ms.saturating_mul(1_000));
-        file.hear(&link.member, link.start, link.at_ms, now);
-        if let Taken::Refused(why) = file.take(link, &owed, now) {
+        file.on_report(&link.member, link.start, link.at_ms, now);
+        if let LinkOutcome::Rejected(why) = file.add_link(link, &owed, now) {
             refused.push(format!("{} ({}): link {}: {why}", link.member, link.start, link.number));
         }
     }
@@ -453,7 +457,7 @@
 /// One row a process, a colour a version of the shape, and what is not known hatched.
 fn timeline(links: &[Link]) -> String {
     let (file, _) = check(links);
-    let spells = file.who(0, u64::MAX);
+    let spells = file.periods_between(0, u64::MAX);
     let gaps = file.summary().gaps;
     let members: BTreeMap<&str, usize> = {
         let names: std::collections::BTreeSet<&str> = links.iter().map(|link| link.member.as_str()).collect();
@@ -499,7 +503,8 @@
     }
     for gap in &gaps {
         if let Some(row) = members.get(gap.member.as_str()) {
-            svg += &bar(*row, gap.from_ms, gap.to_ms, "url(#gap)", &format!("{}: {}", gap.member, gap.why));
+            svg +=
+                &bar(*row, gap.from_ms, gap.to_ms, "url(#gap)", &format!("{}: {}", gap.member, gap.reason));
         }
     }
     svg += &format!("<text x=\"{NAMES}\" y=\"{}\">0 s</text>", height - 8.0);
--- a/crates/cli/src/group.rs
+++ b/crates/cli/src/group.rs
@@ -1,7 +1,7 @@
 //! `harestage group`: who is in a service's group, and who leads it; and the words by which a member of one is started.
 use crate::ask::Call;
 use crate::exit;
-use harestage_group::{Member, SeatStatus};
+use harestage_group::{Member, ReplicaStatus};
 use harestage_seats::{Answer, CouncilStart};
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -62,7 +62,13 @@
         }
         let founder = |((peer, at), serves): ((&String, &SocketAddr), &SocketAddr)| {
             let (name, site) = name_and_site(peer).map_err(|why| format!("--peer: {why}"))?;
-            Ok(Member { name, site, at: at.to_string(), serves: serves.to_string(), incarnation: 0 })
+            Ok(Member {
+                name,
+                site,
+                address: at.to_string(),
+                service_address: serves.to_string(),
+                incarnation: 0,
+            })
         };
         let founders = self.peers.iter().zip(&self.at).zip(&self.serves).map(founder);
         let founders: Vec<Member> = founders.collect::<Result<_, String>>()?;
@@ -127,7 +133,7 @@
         Group::Add { services, member, incarnation, at, serves } => {
             name_and_site(&member).map_err(Failure::Refused).and_then(|(name, site)| {
                 let (at, serves) = (at.to_string(), serves.to_string());
-                let member = Member { name, site, at, serves, incarnation };
+                let member = Member { name, site, address: at, service_address: serves, incarnation };
                 change(&services, &harestage_seats::Call::GroupAdd { member })
             })
         }
@@ -148,7 +154,7 @@
 
 /// What each member says; they may differ, and that is what staff wants to see.
 fn status(services: &[SocketAddr], json: bool) -> Result<(), Failure> {
-    let (mut seen, mut away) = (Vec::<SeatStatus>::new(), Vec::new());
+    let (mut seen, mut away) = (Vec::<ReplicaStatus>::new(), Vec::new());
     for at in services {
         match ask(*at, &harestage_seats::Call::GroupStatus) {
             Ok(Answer::GroupStatus(status)) => seen.push(*status),
@@ -164,7 +170,7 @@
         return Ok(());
     }
     for status in &seen {
-        let leads = match (status.may_speak, status.leads) {
+        let leads = match (status.holds_leader_lease, status.is_leader) {
             (true, _) => "leads and speaks",
             (false, true) => "leads, and has lost the majority: hands nothing out",
             (false, false) => "follows",
@@ -172,13 +178,13 @@
         let leader = status.leader.as_deref().unwrap_or("nobody");
         println!(
             "{:<16} {leads}; leader {leader}, term {}, agreed on {}",
-            status.name, status.term, status.agreed
+            status.name, status.term, status.last_applied
         );
-        if status.leads {
+        if status.is_leader {
             for member in &status.members {
-                let heard = status.name == member.name || status.heard.contains(&member.name);
+                let heard = status.name == member.name || status.recently_heard.contains(&member.name);
                 let heard = if heard { "" } else { ", not heard lately" };
-                println!("  {:<14} {} at {}{heard}", member.name, member.site, member.serves);
+                println!("  {:<14} {} at {}{heard}", member.name, member.site, member.service_address);
             }
         }
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -184,7 +184,7 @@
 fn main() -> ExitCode {
     let Harestage { log, clock_off_ms, synced_copy, what } = Harestage::parse();
     harestage_sockets::clock::set_off(clock_off_ms);
-    if let Some(Err(why)) = synced_copy.map(|folder| harestage_segments::keep_synced_copy(&folder)) {
+    if let Some(Err(why)) = synced_copy.map(|folder| harestage_segments::mirror_synced_files(&folder)) {
         eprintln!("harestage: --synced-copy: {why}");
         return ExitCode::from(exit::REFUSED);
     }
--- a/crates/cli/src/witness.rs
+++ b/crates/cli/src/witness.rs
@@ -4,10 +4,10 @@
 use futures_lite::future::or;
 use harestage::state::ContentIx;
 use harestage::time::Moment;
-use harestage_audit::acting::{Acting, Wanted, Who};
 use harestage_audit::chain::Outcome;
-use harestage_audit::lines::{Bring, Report, Role, ToAudited};
-use harestage_audit::stamp::Goes;
+use harestage_audit::messages::{KeeperMessage, Report, Role, Update};
+use harestage_audit::process::{AuditedProcess, KeeperRequest, ProcessIdentity};
+use harestage_audit::stamp::Versions;
 use harestage_following::audit::{Audited, follow};
 use harestage_router::program::{Attach, Attached, Beside};
 use harestage_router::routing::News;
@@ -46,7 +46,7 @@
 const COME_AGAIN_MS: u64 = 500;
 
 struct Watching {
-    acting: RefCell<Acting>,
+    acting: RefCell<AuditedProcess>,
     clock: Clock,
     marked: Vec<String>,
     drawn: Cell<u64>,
@@ -78,12 +78,12 @@
         let Attached { name, contents, clock, inbox, log } = to;
         let place = if watch.branch.is_empty() { name.clone() } else { watch.branch.clone() };
         let start = clock.now().micros();
-        let who = Who { member: name, start, role: Role::Router, site: place.clone(), place };
-        let settings = harestage_audit::stamp::settings_of(&settings);
-        let goes = Goes { build: watch.build.clone(), settings, ..Goes::default() };
-        let mut acting = Acting::begin(who, contents, goes, clock.now());
+        let who = ProcessIdentity { member: name, start, role: Role::Router, site: place.clone(), place };
+        let settings = harestage_audit::stamp::settings_digest(&settings);
+        let goes = Versions { build: watch.build.clone(), settings, ..Versions::default() };
+        let mut acting = AuditedProcess::new(who, contents, goes, clock.now());
         if watch.plain {
-            acting.is_plain();
+            acting.disable_lease();
         }
         let acting = RefCell::new(acting);
         let (marked, drawn, said) = (watch.marked.clone(), Cell::new(0), Cell::new(false));
@@ -100,8 +100,8 @@
     loop {
         Timer::after(BEAT).await;
         let now = watching.clock.now();
-        watching.acting.borrow_mut().beat(now);
-        let why = watching.acting.borrow().why_shut(now);
+        watching.acting.borrow_mut().tick(now);
+        let why = watching.acting.borrow().exclusion_reason(now);
         if watching.said.replace(why.is_some()) != why.is_some() {
             match why {
                 Some(why) => warn!(watching.log, "acts no more"; "why" => why),
@@ -114,7 +114,7 @@
 impl Watching {
     fn take_up(&self, marks: &Marks, now: Moment) {
         let mut acting = self.acting.borrow_mut();
-        let own = acting.goes().clone();
+        let own = acting.versions().clone();
         // Numbers never go back: a feed that starts anew tells what it has, which may be less than was told before it.
         let shape = marks.version.unwrap_or(own.shape).max(own.shape);
         let purge = marks.purges.unwrap_or(own.purge).max(own.purge);
@@ -122,7 +122,7 @@
         if (shape, purge, &plan) != (own.shape, own.purge, &own.plan) {
             info!(self.log, "goes by"; "shape" => shape, "purge" => purge, "plan" => &plan);
         }
-        acting.goes_by(Goes { shape, purge, plan, ..own }, now);
+        acting.set_versions(Versions { shape, purge, plan, ..own }, now);
     }
 }
 
@@ -141,7 +141,7 @@
     }
 
     fn acts_by(&self) -> u64 {
-        self.acting.borrow_mut().recorder().stamp_no()
+        self.acting.borrow_mut().recorder().stamp_sequence()
     }
 
     fn ended(&self, content: ContentIx, became: Became, id: u64, acted: Option<u64>, now: Moment) {
@@ -149,27 +149,27 @@
             Became::Fulfilled => Outcome::Fulfilled,
             Became::Throttled => Outcome::Throttled,
             Became::Abandoned => Outcome::Abandoned,
-            Became::Left => Outcome::Left,
+            Became::Left => Outcome::ClientLeft,
         };
         let (mut acting, content) = (self.acting.borrow_mut(), content.0 as usize);
         match acted {
-            Some(acted) => acting.ended_under(acted, content, outcome, id, now),
-            None => acting.ended(content, outcome, id, now),
+            Some(acted) => acting.download_ended_under(acted, content, outcome, id, now),
+            None => acting.download_ended(content, outcome, id, now),
         }
     }
 
     fn ends(&self) {
         self.ends.set(true);
         let now = self.clock.now();
-        self.acting.borrow_mut().recorder().end(now);
+        self.acting.borrow_mut().recorder().finish(now);
     }
 
     fn pulled(&self, node: &str, now: Moment) -> Option<Mark> {
         let mut acting = self.acting.borrow_mut();
-        acting.recorder().pulled(node, now);
+        acting.recorder().pull_sent(node, now);
         let ours = self.marked.iter().any(|prefix| node.starts_with(prefix.as_str()));
         ours.then(|| {
-            let (by, place) = (acting.who().member.clone(), acting.who().place.clone());
+            let (by, place) = (acting.identity().member.clone(), acting.identity().place.clone());
             Mark { by, place, stamp: acting.stamp().to_string() }
         })
     }
@@ -190,15 +190,15 @@
         self.0.acting.borrow_mut().recorder().has_more()
     }
 
-    async fn answered(&self, answer: ToAudited, asked: Moment) -> bool {
-        let wanted = self.0.acting.borrow_mut().answered(answer, asked);
+    async fn answered(&self, answer: KeeperMessage, asked: Moment) -> bool {
+        let wanted = self.0.acting.borrow_mut().on_answer(answer, asked);
         match wanted {
-            Some(Wanted::Restart(why)) => {
+            Some(KeeperRequest::Restart(why)) => {
                 warn!(self.0.log, "starts anew: the keeper asks for it"; "why" => why);
                 return false;
             }
             // Through the same door as the feed, under no number of its own.
-            Some(Wanted::Take(Bring::Listing { event })) => {
+            Some(KeeperRequest::Apply(Update::Membership { event })) => {
                 info!(self.0.log, "brought up by the keeper");
                 if let Ok(Line::Event(_, told)) = feed::read_line(event.as_bytes()) {
                     let _ = self.0.inbox.send(News::Told(told)).await;
@@ -209,6 +209,6 @@
             }
             _ => {}
         }
-        !(self.0.ends.get() && self.0.acting.borrow_mut().recorder().is_told())
+        !(self.0.ends.get() && self.0.acting.borrow_mut().recorder().is_fully_acknowledged())
     }
 }
--- a/crates/cli/tests/audit.rs
+++ b/crates/cli/tests/audit.rs
@@ -400,15 +400,17 @@
 fn records_that_do_not_hold_are_named_and_the_rest_is_read() {
     use harestage_audit::chain::Outcome;
     use harestage_audit::record::Recorder;
-    use harestage_audit::stamp::Goes;
+    use harestage_audit::stamp::Versions;
     use harestage_keeper::columns;
     let at = |ms: u64| harestage::time::Moment::at_micros(ms * 1_000);
-    let mut recorder = Recorder::begin("router-1", 1, vec!["clip".into()], Goes::default(), None, at(0));
+    let mut recorder = Recorder::new("router-1", 1, vec!["clip".into()], Versions::default(), None, at(0));
     for second in 0..20u64 {
-        (0..30).for_each(|n| recorder.ended(0, Outcome::Fulfilled, second * 30 + n, at(second * 1_000)));
-        recorder.beat(at(second * 1_000 + 1_000));
+        (0..30).for_each(|n| {
+            recorder.download_ended(0, Outcome::Fulfilled, second * 30 + n, at(second * 1_000))
+        });
+        recorder.tick(at(second * 1_000 + 1_000));
     }
-    let links = recorder.due();
+    let links = recorder.pending_links();
     let folder = std::env::temp_dir().join(format!("harestage-records-{}", std::process::id()));
     std::fs::create_dir_all(folder.join("files")).unwrap();
     let path = folder.join("files").join("audit-00000001.parquet");
@@ -432,7 +434,7 @@
     std::fs::write(folder.join("files").join("audit-00000003.parquet"), &whole[..whole.len() / 2]).unwrap();
     std::fs::write(folder.join("files").join("audit-00000004.parquet"), b"not one").unwrap();
     let mut later = links.clone();
-    later[0].form = 9;
+    later[0].format = 9;
     std::fs::write(folder.join("files").join("audit-00000005.parquet"), columns::write(&later).unwrap())
         .unwrap();
     let (code, said) = verify();
--- a/crates/copies/src/disk.rs
+++ b/crates/copies/src/disk.rs
@@ -1,7 +1,7 @@
 //! Copies on a real disk, or on one of the mind. What is put is kept after the next flush: bodies first, then the index, so
 //! that the index never names bytes that a power loss has taken without their sum showing it.
-use crate::record::{FORM, Marks, Record};
-use crate::shelf::{Key, Meta, Place, Shelf};
+use crate::index::{CopyIndex, CopyKey, CopyMetadata, Location};
+use crate::record::{Checkpoint, FORMAT_VERSION, Record};
 use bytes::Bytes;
 use harestage_segments::{Files, Log, LogError};
 use std::fmt;
@@ -18,11 +18,11 @@
 pub enum CopiesError {
     Bodies {
         file: String,
-        why: io::Error,
+        error: io::Error,
     },
     Index(LogError),
     /// Of a form that this program does not know.
-    Form(u8),
+    UnknownFormat(u8),
     /// An earlier write failed: what is on disk is not known, and nothing more is kept.
     Failed,
 }
@@ -30,9 +30,11 @@
 impl fmt::Display for CopiesError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Bodies { file, why } => write!(f, "{file}: {why}"),
+            Self::Bodies { file, error: why } => write!(f, "{file}: {why}"),
             Self::Index(why) => write!(f, "index: {why}"),
-            Self::Form(form) => write!(f, "index: of form {form}, and {FORM} is known here"),
+            Self::UnknownFormat(form) => {
+                write!(f, "index: of form {form}, and {FORMAT_VERSION} is known here")
+            }
             Self::Failed => write!(f, "an earlier write failed"),
         }
     }
@@ -42,34 +44,34 @@
 
 /// What a start has found.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Found {
+pub struct Recovered {
     pub copies: usize,
     /// Copies that the index names and whose bytes are not there.
     pub lost: usize,
-    pub marks: Marks,
+    pub checkpoint: Checkpoint,
 }
 
 /// Bytes that were written, and those of copies among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Written {
-    pub all: u64,
-    pub kept: u64,
+pub struct BytesWritten {
+    pub total: u64,
+    pub copies: u64,
 }
 
-pub struct Disk<F: Files> {
+pub struct DiskStore<F: Files> {
     bodies: F,
     index: Log<F>,
-    shelf: Shelf,
+    copies: CopyIndex,
     /// The file that grows, its length on disk, and what is to be appended to it.
     file: u64,
     length: u64,
     buffer: Vec<u8>,
     /// What the index is to be told once the buffer is synced.
     pending: Vec<Record>,
-    marks: Marks,
+    checkpoint: Checkpoint,
     since_snapshot: usize,
     failed: bool,
-    written: Written,
+    written: BytesWritten,
 }
 
 fn body_name(file: u64) -> String {
@@ -86,34 +88,34 @@
     u128::from_le_bytes(sum)
 }
 
-impl<F: Files> Disk<F> {
+impl<F: Files> DiskStore<F> {
     /// Opens what two folders hold. `room`: bytes of copies that are kept at most.
-    pub fn open(mut bodies: F, index: F, room: u64) -> Result<(Disk<F>, Found), CopiesError> {
+    pub fn open(mut bodies: F, index: F, room: u64) -> Result<(DiskStore<F>, Recovered), CopiesError> {
         let (index, recovered) = Log::open(index, SEGMENT).map_err(CopiesError::Index)?;
-        let (mut shelf, mut marks) = (Shelf::new(room), Marks::default());
+        let (mut shelf, mut marks) = (CopyIndex::new(room), Checkpoint::default());
         let mut take = |record: Record| match record {
-            Record::Put(meta, place) => shelf.enter(meta, place),
-            Record::Gone(key) => {
+            Record::Put(meta, place) => shelf.insert(meta, place),
+            Record::Removed(key) => {
                 shelf.remove(key);
             }
-            Record::Marks(its) => marks = its,
+            Record::Checkpoint(its) => marks = its,
         };
         if let Some(snapshot) = &recovered.snapshot {
             let mut rest = snapshot.bytes.as_slice();
             match rest.split_off_first() {
-                Some(&FORM) | None => {}
-                Some(&form) => return Err(CopiesError::Form(form)),
+                Some(&FORMAT_VERSION) | None => {}
+                Some(&form) => return Err(CopiesError::UnknownFormat(form)),
             }
-            std::iter::from_fn(|| Record::read(&mut rest)).for_each(&mut take);
+            std::iter::from_fn(|| Record::decode(&mut rest)).for_each(&mut take);
         }
         let records = recovered.records.len();
         for kept in &recovered.records {
             let mut rest = kept.bytes.as_slice();
-            std::iter::from_fn(|| Record::read(&mut rest)).for_each(&mut take);
+            std::iter::from_fn(|| Record::decode(&mut rest)).for_each(&mut take);
         }
         let of_bodies = |file: &str| {
             let file = file.to_string();
-            move |why| CopiesError::Bodies { file, why }
+            move |why| CopiesError::Bodies { file, error: why }
         };
         let mut newest = 0;
         let names = bodies.list().map_err(of_bodies("folder"))?;
@@ -124,55 +126,55 @@
             lengths.insert(number, bodies.length(name).map_err(of_bodies(name))?);
         }
         // Only the end of a file can be missing: what is named past it was never synced, or its file is gone.
-        let missing = |place: &Place| {
-            lengths.get(&place.file).copied().unwrap_or(0) < place.at + u64::from(place.length)
+        let missing = |place: &Location| {
+            lengths.get(&place.file).copied().unwrap_or(0) < place.offset + u64::from(place.length)
         };
-        let lost: Vec<Key> =
-            shelf.all().filter(|(_, place)| missing(place)).map(|(meta, _)| meta.key).collect();
+        let lost: Vec<CopyKey> =
+            shelf.in_eviction_order().filter(|(_, place)| missing(place)).map(|(meta, _)| meta.key).collect();
         for key in &lost {
             shelf.remove(*key);
         }
-        lengths.iter().for_each(|(file, bytes)| shelf.grew(*file, *bytes));
+        lengths.iter().for_each(|(file, bytes)| shelf.file_grew(*file, *bytes));
         let file = newest + 1;
         bodies.create(&body_name(file)).map_err(of_bodies(&body_name(file)))?;
         bodies.sync_folder().map_err(of_bodies("folder"))?;
-        let found = Found { copies: shelf.len(), lost: lost.len(), marks };
-        let mut disk = Disk {
+        let found = Recovered { copies: shelf.len(), lost: lost.len(), checkpoint: marks };
+        let mut disk = DiskStore {
             bodies,
             index,
-            shelf,
+            copies: shelf,
             file,
             length: 0,
             buffer: Vec::new(),
-            pending: lost.into_iter().map(Record::Gone).collect(),
-            marks,
+            pending: lost.into_iter().map(Record::Removed).collect(),
+            checkpoint: marks,
             since_snapshot: records,
             failed: false,
-            written: Written::default(),
+            written: BytesWritten::default(),
         };
         disk.flush()?;
         Ok((disk, found))
     }
 
-    pub fn shelf(&self) -> &Shelf {
-        &self.shelf
+    pub fn copies(&self) -> &CopyIndex {
+        &self.copies
     }
 
-    pub fn marks(&self) -> Marks {
-        self.marks
+    pub fn checkpoint(&self) -> Checkpoint {
+        self.checkpoint
     }
 
-    pub fn written(&self) -> Written {
+    pub fn written(&self) -> BytesWritten {
         self.written
     }
 
     /// Takes a copy in; it is kept after the next flush. False: there is no room for one of its rank.
-    pub fn put(&mut self, meta: Meta, body: &[u8]) -> Result<bool, CopiesError> {
+    pub fn put(&mut self, meta: CopyMetadata, body: &[u8]) -> Result<bool, CopiesError> {
         let Ok(length) = u32::try_from(body.len()) else { return Ok(false) };
-        let Some(going) = self.shelf.room_for(meta.key, meta.rank, length) else { return Ok(false) };
+        let Some(going) = self.copies.evictions_for(meta.key, meta.rank, length) else { return Ok(false) };
         going.into_iter().for_each(|key| self.remove(key));
         self.write(meta, body);
-        self.written.kept += u64::from(length);
+        self.written.copies += u64::from(length);
         if self.length + self.buffer.len() as u64 >= FILE_BYTES {
             self.flush()?;
             self.next_file()?;
@@ -180,43 +182,43 @@
         Ok(true)
     }
 
-    fn write(&mut self, meta: Meta, body: &[u8]) {
+    fn write(&mut self, meta: CopyMetadata, body: &[u8]) {
         let at = self.length + self.buffer.len() as u64;
-        let place = Place { file: self.file, at, length: body.len() as u32, sum: sum(body) };
+        let place = Location { file: self.file, offset: at, length: body.len() as u32, checksum: sum(body) };
         self.buffer.extend_from_slice(body);
-        self.shelf.grew(self.file, body.len() as u64);
-        self.shelf.enter(meta.clone(), place);
+        self.copies.file_grew(self.file, body.len() as u64);
+        self.copies.insert(meta.clone(), place);
         self.pending.push(Record::Put(meta, place));
     }
 
     /// It goes, and does not come back after the next flush.
-    pub fn remove(&mut self, key: Key) {
-        if self.shelf.remove(key) {
-            self.pending.push(Record::Gone(key));
+    pub fn remove(&mut self, key: CopyKey) {
+        if self.copies.remove(key) {
+            self.pending.push(Record::Removed(key));
         }
     }
 
-    pub fn mark(&mut self, marks: Marks) {
-        if marks != self.marks {
-            self.marks = marks;
-            self.pending.push(Record::Marks(marks));
+    pub fn set_checkpoint(&mut self, marks: Checkpoint) {
+        if marks != self.checkpoint {
+            self.checkpoint = marks;
+            self.pending.push(Record::Checkpoint(marks));
         }
     }
 
     /// The bytes of a copy, if they are those that were put. What is not is dropped.
-    pub fn read(&mut self, key: Key) -> Option<(Meta, Bytes)> {
-        let (meta, place) = self.shelf.get(key).map(|(meta, place)| (meta.clone(), *place))?;
-        let in_buffer = place.file == self.file && place.at >= self.length;
+    pub fn read_copy(&mut self, key: CopyKey) -> Option<(CopyMetadata, Bytes)> {
+        let (meta, place) = self.copies.get(key).map(|(meta, place)| (meta.clone(), *place))?;
+        let in_buffer = place.file == self.file && place.offset >= self.length;
         let body = match in_buffer {
             true => {
-                let from = (place.at - self.length) as usize;
+                let from = (place.offset - self.length) as usize;
                 self.buffer.get(from..from + place.length as usize).map(<[u8]>::to_vec)
             }
-            false => self.bodies.read_at(&body_name(place.file), place.at, place.length as usize).ok(),
+            false => self.bodies.read_at(&body_name(place.file), place.offset, place.length as usize).ok(),
         };
-        match body.filter(|body| sum(body) == place.sum) {
+        match body.filter(|body| sum(body) == place.checksum) {
             Some(body) => {
-                self.shelf.touch(key);
+                self.copies.touch(key);
                 Some((meta, Bytes::from(body)))
             }
             None => {
@@ -238,13 +240,13 @@
 
     fn flush_all(&mut self) -> Result<(), CopiesError> {
         let name = body_name(self.file);
-        let of_file = |why| CopiesError::Bodies { file: name.clone(), why };
+        let of_file = |why| CopiesError::Bodies { file: name.clone(), error: why };
         if !self.buffer.is_empty() {
             let buffer = std::mem::take(&mut self.buffer);
             self.bodies.append(&name, &buffer).map_err(of_file)?;
             self.bodies.sync(&name).map_err(of_file)?;
             self.length += buffer.len() as u64;
-            self.written.all += buffer.len() as u64;
+            self.written.total += buffer.len() as u64;
         }
         if self.pending.is_empty() {
             return Ok(());
@@ -252,14 +254,14 @@
         // Several to a record of the log: each has its own checksum there.
         for group in self.pending.chunks(64) {
             let mut bytes = Vec::new();
-            group.iter().for_each(|record| record.write(&mut bytes));
-            self.written.all += bytes.len() as u64;
+            group.iter().for_each(|record| record.encode(&mut bytes));
+            self.written.total += bytes.len() as u64;
             self.index.append(&bytes).map_err(CopiesError::Index)?;
         }
         self.since_snapshot += self.pending.len();
         self.pending.clear();
         self.index.sync().map_err(CopiesError::Index)?;
-        if self.since_snapshot > LEAST_STALE.max(self.shelf.len() * STALE) {
+        if self.since_snapshot > LEAST_STALE.max(self.copies.len() * STALE) {
             self.snapshot()?;
         }
         Ok(())
@@ -267,12 +269,12 @@
 
     /// The index written whole, in the order in which copies would go.
     fn snapshot(&mut self) -> Result<(), CopiesError> {
-        let mut bytes = vec![FORM];
-        Record::Marks(self.marks).write(&mut bytes);
-        for (meta, place) in self.shelf.all() {
-            Record::Put(meta.clone(), *place).write(&mut bytes);
+        let mut bytes = vec![FORMAT_VERSION];
+        Record::Checkpoint(self.checkpoint).encode(&mut bytes);
+        for (meta, place) in self.copies.in_eviction_order() {
+            Record::Put(meta.clone(), *place).encode(&mut bytes);
         }
-        self.written.all += bytes.len() as u64;
+        self.written.total += bytes.len() as u64;
         self.index.snapshot(&bytes).map_err(CopiesError::Index)?;
         self.since_snapshot = 0;
         Ok(())
@@ -283,28 +285,28 @@
         let name = body_name(self.file);
         let made = self.bodies.create(&name).and_then(|()| self.bodies.sync_folder());
         self.failed |= made.is_err();
-        made.map_err(|why| CopiesError::Bodies { file: name, why })
+        made.map_err(|why| CopiesError::Bodies { file: name, error: why })
     }
 
     /// One piece of tidying, if there is any: a file in which nothing lives goes, or what lives in the emptiest one is written
     /// anew. True: there may be more.
-    pub fn tidy(&mut self) -> Result<bool, CopiesError> {
-        if let Some(dead) = self.shelf.dead_files(self.file).into_iter().next() {
+    pub fn compact_step(&mut self) -> Result<bool, CopiesError> {
+        if let Some(dead) = self.copies.dead_files(self.file).into_iter().next() {
             // What the index said of it has to be gone from the index first.
             self.flush()?;
             let name = body_name(dead);
             match self.bodies.remove(&name) {
                 Err(why) if why.kind() != io::ErrorKind::NotFound => {
                     self.failed = true;
-                    return Err(CopiesError::Bodies { file: name, why });
+                    return Err(CopiesError::Bodies { file: name, error: why });
                 }
-                _ => self.shelf.forget_file(dead),
+                _ => self.copies.forget_file(dead),
             }
             return Ok(true);
         }
-        let Some(worst) = self.shelf.worst_file(self.file) else { return Ok(false) };
-        for key in self.shelf.in_file(worst) {
-            if let Some((meta, body)) = self.read(key) {
+        let Some(worst) = self.copies.file_to_rewrite(self.file) else { return Ok(false) };
+        for key in self.copies.keys_in_file(worst) {
+            if let Some((meta, body)) = self.read_copy(key) {
                 self.write(meta, &body);
             }
             if self.length + self.buffer.len() as u64 >= FILE_BYTES {
--- a/crates/copies/src/shelf.rs
+++ b/crates/copies/src/index.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// An object and a part of it.
-pub type Key = (u64, u32);
+pub type CopyKey = (u64, u32);
 
 /// What is known of a copy beside its bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Meta {
-    pub key: Key,
+pub struct CopyMetadata {
+    pub key: CopyKey,
     pub digest: Vec<u8>,
     /// When the archive gave it out, Unix microseconds.
     pub dated_us: u64,
@@ -18,17 +18,17 @@
 
 /// Where its bytes are, and their sum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     pub file: u64,
-    pub at: u64,
+    pub offset: u64,
     pub length: u32,
-    pub sum: u128,
+    pub checksum: u128,
 }
 
 #[derive(Clone, Debug)]
 struct Held {
-    meta: Meta,
-    place: Place,
+    meta: CopyMetadata,
+    place: Location,
     used: u64,
 }
 
@@ -40,24 +40,31 @@
 
 /// All of it.
 #[derive(Clone, Debug)]
-pub struct Shelf {
-    room: u64,
-    live: u64,
-    held: HashMap<Key, Held>,
-    order: BTreeMap<(u8, u64), Key>,
+pub struct CopyIndex {
+    capacity: u64,
+    live_bytes: u64,
+    held: HashMap<CopyKey, Held>,
+    order: BTreeMap<(u8, u64), CopyKey>,
     files: BTreeMap<u64, FileUse>,
     used: u64,
 }
 
 /// What a copy costs beside its bytes, on disk.
-pub const OVERHEAD: u64 = 128;
+pub const COPY_OVERHEAD: u64 = 128;
 /// Files may hold so much more than what lives in them before one is written anew.
 const SLACK: f64 = 0.35;
 
-impl Shelf {
+impl CopyIndex {
     /// `room` in bytes of copies that live.
-    pub fn new(room: u64) -> Shelf {
-        Shelf { room, live: 0, held: HashMap::new(), order: BTreeMap::new(), files: BTreeMap::new(), used: 0 }
+    pub fn new(room: u64) -> CopyIndex {
+        CopyIndex {
+            capacity: room,
+            live_bytes: 0,
+            held: HashMap::new(),
+            order: BTreeMap::new(),
+            files: BTreeMap::new(),
+            used: 0,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -68,20 +75,20 @@
         self.held.is_empty()
     }
 
-    pub fn live(&self) -> u64 {
-        self.live
+    pub fn live_bytes(&self) -> u64 {
+        self.live_bytes
     }
 
     /// A file has grown by so much.
-    pub fn grew(&mut self, file: u64, bytes: u64) {
+    pub fn file_grew(&mut self, file: u64, bytes: u64) {
         self.files.entry(file).or_default().written += bytes;
     }
 
     /// What has to go so that a copy of this rank and size fits; none: it does not, and nothing goes.
-    pub fn room_for(&self, key: Key, rank: u8, length: u32) -> Option<Vec<Key>> {
-        let size = u64::from(length) + OVERHEAD;
+    pub fn evictions_for(&self, key: CopyKey, rank: u8, length: u32) -> Option<Vec<CopyKey>> {
+        let size = u64::from(length) + COPY_OVERHEAD;
         let own = self.held.get(&key).map_or(0, |held| cost(&held.place));
-        let mut over = (self.live - own + size).saturating_sub(self.room);
+        let mut over = (self.live_bytes - own + size).saturating_sub(self.capacity);
         let mut going = Vec::new();
         for ((its, _), other) in &self.order {
             if over == 0 || *its > rank {
@@ -96,19 +103,19 @@
     }
 
     /// Takes a copy in, in place of any other of its key.
-    pub fn enter(&mut self, meta: Meta, place: Place) {
+    pub fn insert(&mut self, meta: CopyMetadata, place: Location) {
         self.remove(meta.key);
         self.used += 1;
-        self.live += cost(&place);
+        self.live_bytes += cost(&place);
         self.files.entry(place.file).or_default().live += u64::from(place.length);
         self.order.insert((meta.rank, self.used), meta.key);
         self.held.insert(meta.key, Held { meta, place, used: self.used });
     }
 
-    pub fn remove(&mut self, key: Key) -> bool {
+    pub fn remove(&mut self, key: CopyKey) -> bool {
         let Some(held) = self.held.remove(&key) else { return false };
         self.order.remove(&(held.meta.rank, held.used));
-        self.live -= cost(&held.place);
+        self.live_bytes -= cost(&held.place);
         if let Some(file) = self.files.get_mut(&held.place.file) {
             file.live = file.live.saturating_sub(u64::from(held.place.length));
         }
@@ -116,7 +123,7 @@
     }
 
     /// It was used: it goes later than others of its rank.
-    pub fn touch(&mut self, key: Key) {
+    pub fn touch(&mut self, key: CopyKey) {
         let Some(held) = self.held.get_mut(&key) else { return };
         self.order.remove(&(held.meta.rank, held.used));
         self.used += 1;
@@ -124,22 +131,22 @@
         self.order.insert((held.meta.rank, held.used), key);
     }
 
-    pub fn get(&self, key: Key) -> Option<(&Meta, &Place)> {
+    pub fn get(&self, key: CopyKey) -> Option<(&CopyMetadata, &Location)> {
         self.held.get(&key).map(|held| (&held.meta, &held.place))
     }
 
     /// All, those that go first leading.
-    pub fn all(&self) -> impl Iterator<Item = (&Meta, &Place)> {
+    pub fn in_eviction_order(&self) -> impl Iterator<Item = (&CopyMetadata, &Location)> {
         self.order.values().filter_map(|key| self.get(*key))
     }
 
     /// The file that is to be written anew, if there is one: where the least lives of what was written. `open` is the one
     /// that still grows.
-    pub fn worst_file(&self, open: u64) -> Option<u64> {
+    pub fn file_to_rewrite(&self, open: u64) -> Option<u64> {
         let written: u64 = self.files.values().map(|file| file.written).sum();
         let live: u64 = self.files.values().map(|file| file.live).sum();
         let slack = written.saturating_sub(live) as f64;
-        if slack <= self.room as f64 * SLACK {
+        if slack <= self.capacity as f64 * SLACK {
             return None;
         }
         let closed = self.files.iter().filter(|(number, file)| **number != open && file.written > 0);
@@ -148,8 +155,8 @@
     }
 
     /// Keys of copies in a file.
-    pub fn in_file(&self, file: u64) -> Vec<Key> {
-        let mut keys: Vec<Key> =
+    pub fn keys_in_file(&self, file: u64) -> Vec<CopyKey> {
+        let mut keys: Vec<CopyKey> =
             self.held.values().filter(|held| held.place.file == file).map(|held| held.meta.key).collect();
         keys.sort_unstable();
         keys
@@ -166,6 +173,6 @@
     }
 }
 
-fn cost(place: &Place) -> u64 {
-    u64::from(place.length) + OVERHEAD
+fn cost(place: &Location) -> u64 {
+    u64::from(place.length) + COPY_OVERHEAD
 }
--- a/crates/copies/src/record.rs
+++ b/crates/copies/src/record.rs
@@ -1,30 +1,30 @@
 //! The index's records, small and of one form: a start reads all of them, and nothing else.
-use crate::shelf::{Key, Meta, Place};
+use crate::index::{CopyKey, CopyMetadata, Location};
 
 /// The form of a snapshot; a later one is refused by its first byte.
-pub const FORM: u8 = 1;
+pub const FORMAT_VERSION: u8 = 1;
 
 /// What a hub remembers beside its copies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Marks {
+pub struct Checkpoint {
     /// All purges up to that number were applied to what the index names.
-    pub purges: u64,
+    pub applied_purge: u64,
     /// The latest that the wall clock was seen at, Unix milliseconds: one that is behind it has gone back.
-    pub seen_ms: u64,
+    pub latest_clock_ms: u64,
     /// What a fill and a fetch usually take, seconds; 0: not known.
-    pub lasted: f64,
-    pub fetched: f64,
+    pub fill_seconds: f64,
+    pub fetch_seconds: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    Put(Meta, Place),
-    Gone(Key),
-    Marks(Marks),
+    Put(CopyMetadata, Location),
+    Removed(CopyKey),
+    Checkpoint(Checkpoint),
 }
 
 impl Record {
-    pub fn write(&self, to: &mut Vec<u8>) {
+    pub fn encode(&self, to: &mut Vec<u8>) {
         match self {
             Record::Put(meta, place) => {
                 to.push(b'p');
@@ -34,28 +34,28 @@
                 to.extend(meta.group.unwrap_or(0).to_le_bytes());
                 to.push(meta.rank);
                 to.extend(place.file.to_le_bytes());
-                to.extend(place.at.to_le_bytes());
+                to.extend(place.offset.to_le_bytes());
                 to.extend(place.length.to_le_bytes());
-                to.extend(place.sum.to_le_bytes());
+                to.extend(place.checksum.to_le_bytes());
                 to.push(meta.digest.len().min(255) as u8);
                 to.extend(&meta.digest[..meta.digest.len().min(255)]);
             }
-            Record::Gone(gone) => {
+            Record::Removed(gone) => {
                 to.push(b'g');
                 key(*gone, to);
             }
-            Record::Marks(marks) => {
+            Record::Checkpoint(marks) => {
                 to.push(b'm');
-                to.extend(marks.purges.to_le_bytes());
-                to.extend(marks.seen_ms.to_le_bytes());
-                to.extend(marks.lasted.to_le_bytes());
-                to.extend(marks.fetched.to_le_bytes());
+                to.extend(marks.applied_purge.to_le_bytes());
+                to.extend(marks.latest_clock_ms.to_le_bytes());
+                to.extend(marks.fill_seconds.to_le_bytes());
+                to.extend(marks.fetch_seconds.to_le_bytes());
             }
         }
     }
 
     /// Takes one off the front; none where what stands there is no record.
-    pub fn read(from: &mut &[u8]) -> Option<Record> {
+    pub fn decode(from: &mut &[u8]) -> Option<Record> {
         match byte(from)? {
             b'p' => {
                 let key = read_key(from)?;
@@ -63,35 +63,35 @@
                 let has_group = byte(from)? == 1;
                 let group = u32::from_le_bytes(array(from)?);
                 let rank = byte(from)?;
-                let place = Place {
+                let place = Location {
                     file: u64::from_le_bytes(array(from)?),
-                    at: u64::from_le_bytes(array(from)?),
+                    offset: u64::from_le_bytes(array(from)?),
                     length: u32::from_le_bytes(array(from)?),
-                    sum: u128::from_le_bytes(array(from)?),
+                    checksum: u128::from_le_bytes(array(from)?),
                 };
                 let length = usize::from(byte(from)?);
                 let digest = from.split_off(..length)?.to_vec();
-                let meta = Meta { key, digest, dated_us, group: has_group.then_some(group), rank };
+                let meta = CopyMetadata { key, digest, dated_us, group: has_group.then_some(group), rank };
                 Some(Record::Put(meta, place))
             }
-            b'g' => Some(Record::Gone(read_key(from)?)),
-            b'm' => Some(Record::Marks(Marks {
-                purges: u64::from_le_bytes(array(from)?),
-                seen_ms: u64::from_le_bytes(array(from)?),
-                lasted: f64::from_le_bytes(array(from)?),
-                fetched: f64::from_le_bytes(array(from)?),
+            b'g' => Some(Record::Removed(read_key(from)?)),
+            b'm' => Some(Record::Checkpoint(Checkpoint {
+                applied_purge: u64::from_le_bytes(array(from)?),
+                latest_clock_ms: u64::from_le_bytes(array(from)?),
+                fill_seconds: f64::from_le_bytes(array(from)?),
+                fetch_seconds: f64::from_le_bytes(array(from)?),
             })),
             _ => None,
         }
     }
 }
 
-fn key((object, part): Key, to: &mut Vec<u8>) {
+fn key((object, part): CopyKey, to: &mut Vec<u8>) {
     to.extend(object.to_le_bytes());
     to.extend(part.to_le_bytes());
 }
 
-fn read_key(from: &mut &[u8]) -> Option<Key> {
+fn read_key(from: &mut &[u8]) -> Option<CopyKey> {
     Some((u64::from_le_bytes(array(from)?), u32::from_le_bytes(array(from)?)))
 }
 
--- a/crates/following/src/audit.rs
+++ b/crates/following/src/audit.rs
@@ -4,7 +4,7 @@
 use crate::subscribe;
 use async_io::Timer;
 use harestage::time::Moment;
-use harestage_audit::lines::{FromAudited, Report, ToAudited, line};
+use harestage_audit::messages::{KeeperMessage, ProcessMessage, Report, to_line};
 use harestage_sockets::leader::Leader;
 use harestage_sockets::lines::{Lines, within, write_text};
 use slog::{Logger, info, warn};
@@ -17,7 +17,7 @@
     /// There is more to send than one report takes.
     fn has_more(&self) -> bool;
     /// The answer to the report that went out at `asked`. False: it has to start anew, and nothing more is to be reported.
-    fn answered(&self, answer: ToAudited, asked: Moment) -> impl Future<Output = bool>;
+    fn answered(&self, answer: KeeperMessage, asked: Moment) -> impl Future<Output = bool>;
 }
 
 /// Reports for as long as it is polled; returns when the process has to start anew.
@@ -50,12 +50,12 @@
     // Where it breaks without a word of who speaks, the next one is tried.
     leader.missed();
     let (mut asked, mut report) = (audited.now(), audited.report());
-    let stream = subscribe(at, &line(&FromAudited::Audited(Box::new(report))), terms.connect).await?;
+    let stream = subscribe(at, &to_line(&ProcessMessage::Report(Box::new(report))), terms.connect).await?;
     let mut lines = Lines::new(&stream, terms.bytes);
     loop {
         let answer = within(terms.silence, "silent", lines.next()).await?;
         let answer = serde_json::from_slice(&answer).map_err(|why| format!("an unreadable line: {why}"))?;
-        if let ToAudited::Elsewhere { serves } = &answer {
+        if let KeeperMessage::NotLeader { leader_address: serves } = &answer {
             leader.elsewhere(serves.as_deref());
             return Err("this member does not speak".into());
         }
@@ -70,6 +70,6 @@
             Timer::after(terms.report_every).await;
         }
         (asked, report) = (audited.now(), audited.report());
-        write_text(&stream, &line(&FromAudited::Audited(Box::new(report))), terms.silence).await?;
+        write_text(&stream, &to_line(&ProcessMessage::Report(Box::new(report))), terms.silence).await?;
     }
 }
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -4,9 +4,10 @@
 //!
 //! Bytes from other members and moments come in; what is to be written, sent and done comes back as a [`Turn`]. Everything
 //! of a turn that leaves the process does so after its writes are synced.
-mod seat;
+mod replica;
 mod store;
 
-pub use seat::{
-    Agreed, ElsewhereError, LEASE, Member, Seat, SeatStatus, Start, StartError, TICK, Turn, member_id,
+pub use replica::{
+    CommittedEntry, LEASE, Member, NotLeaderError, Replica, ReplicaStatus, Start, StartError, StepOutput,
+    TICK, member_id,
 };
--- a/crates/group/src/seat.rs
+++ b/crates/group/src/replica.rs
@@ -41,9 +41,11 @@
     pub name: String,
     pub site: String,
     /// Where other members reach it.
-    pub at: String,
+    #[serde(rename = "at")]
+    pub address: String,
     /// Where the service itself listens.
-    pub serves: String,
+    #[serde(rename = "serves")]
+    pub service_address: String,
     /// Counts its disks: one that lost its disk comes back under the next number, as another member.
     #[serde(default)]
     pub incarnation: u64,
@@ -79,11 +81,11 @@
         record: usize,
     },
     /// The disk is another member's.
-    NotOurs {
-        is: u64,
+    WrongDisk {
+        found: u64,
         expected: u64,
     },
-    NoMember {
+    NotAMember {
         name: String,
     },
     Raft(String),
@@ -93,10 +95,10 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Unreadable { record } => write!(f, "record {record} can't be read"),
-            Self::NotOurs { is, expected } => {
+            Self::WrongDisk { found: is, expected } => {
                 write!(f, "the disk is that of member {is:016x}, and not of {expected:016x}")
             }
-            Self::NoMember { name } => write!(f, "{name} is not among the members"),
+            Self::NotAMember { name } => write!(f, "{name} is not among the members"),
             Self::Raft(why) => write!(f, "{why}"),
         }
     }
@@ -106,63 +108,67 @@
 
 /// This member does not lead, or may not speak now.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ElsewhereError {
+pub struct NotLeaderError {
     /// Who leads, as far as it is known.
     pub leader: Option<Member>,
 }
 
 /// Something the group has agreed on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Agreed {
+pub struct CommittedEntry {
     pub index: u64,
     pub data: Vec<u8>,
 }
 
 /// What a turn brings. What is in `write` goes to disk, in this order, and is synced before anything else is done.
 #[derive(Debug, Default)]
-pub struct Turn {
+pub struct StepOutput {
     pub write: Vec<Vec<u8>>,
     /// This stands for all records before it.
-    pub whole: Option<Vec<u8>>,
+    pub snapshot: Option<Vec<u8>>,
     pub send: Vec<(u64, Vec<u8>)>,
-    pub agreed: Vec<Agreed>,
+    pub committed: Vec<CommittedEntry>,
     /// The data was taken over whole from another member; what was agreed on before does not count any more.
     pub replaced: bool,
     /// It leads from now on, under this term, and everything that was agreed on before is in its data.
-    pub leads: Option<u64>,
+    pub became_leader: Option<u64>,
     /// It leads no more.
     pub stepped_down: bool,
     /// The list of members has changed.
-    pub members: bool,
+    pub members_changed: bool,
 }
 
-impl Turn {
+impl StepOutput {
     pub fn is_empty(&self) -> bool {
         self.write.is_empty()
-            && self.whole.is_none()
+            && self.snapshot.is_none()
             && self.send.is_empty()
-            && self.agreed.is_empty()
-            && !(self.replaced || self.stepped_down || self.members)
-            && self.leads.is_none()
+            && self.committed.is_empty()
+            && !(self.replaced || self.stepped_down || self.members_changed)
+            && self.became_leader.is_none()
     }
 }
 
 /// For `status`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SeatStatus {
+pub struct ReplicaStatus {
     pub name: String,
     pub term: u64,
-    pub leads: bool,
+    #[serde(rename = "leads")]
+    pub is_leader: bool,
     /// It leads, and most of the others have said so lately.
-    pub may_speak: bool,
+    #[serde(rename = "may_speak")]
+    pub holds_leader_lease: bool,
     pub leader: Option<String>,
-    pub agreed: u64,
+    #[serde(rename = "agreed")]
+    pub last_applied: u64,
     pub members: Vec<Member>,
     /// Members that a leader has heard of lately, by name.
-    pub heard: Vec<String>,
+    #[serde(rename = "heard")]
+    pub recently_heard: Vec<String>,
 }
 
-pub struct Seat {
+pub struct Replica {
     me: u64,
     disk: u64,
     name: String,
@@ -217,7 +223,7 @@
     Some((body.members.into_iter().map(|m| (m.id(), m)).collect(), data.to_vec()))
 }
 
-impl Seat {
+impl Replica {
     /// Takes a member up from its disk's records, or begins one. `disk` is a number drawn by chance, for a new disk.
     pub fn open(
         name: &str,
@@ -226,7 +232,7 @@
         start: Start,
         disk: u64,
         now: Moment,
-    ) -> Result<Seat, StartError> {
+    ) -> Result<Replica, StartError> {
         let me = member_id(name, incarnation);
         let store = Store::new();
         let (mut known, mut met) = (None, BTreeMap::new());
@@ -253,14 +259,14 @@
         }
         let mut write = Vec::new();
         match known {
-            Some((is, _)) if is != me => return Err(StartError::NotOurs { is, expected: me }),
+            Some((is, _)) if is != me => return Err(StartError::WrongDisk { found: is, expected: me }),
             Some(_) => {}
             None => {
                 write.push(Record::Who { id: me, disk }.write());
                 if let Start::Found { members: founders, data: first } = start {
                     members = founders.into_iter().map(|m| (m.id(), m)).collect();
                     if !members.contains_key(&me) {
-                        return Err(StartError::NoMember { name: name.into() });
+                        return Err(StartError::NotAMember { name: name.into() });
                     }
                     let conf =
                         ConfState { voters: members.keys().copied().collect(), ..ConfState::default() };
@@ -286,7 +292,7 @@
         };
         // Election times are drawn by Raft's own generator; nothing of the agreement depends on them.
         let node = RawNode::new(&config, store.clone(), &Logger::root(Discard, o!())).map_err(raft)?;
-        Ok(Seat {
+        Ok(Replica {
             me,
             disk: known.map_or(disk, |(_, disk)| disk),
             name: name.into(),
@@ -317,7 +323,7 @@
     }
 
     /// Another member says who it is. False: it is under the id of one whose disk was another, and lost its own.
-    pub fn meets(&mut self, id: u64, disk: u64) -> bool {
+    pub fn verify_disk(&mut self, id: u64, disk: u64) -> bool {
         match self.met.get(&id) {
             Some(known) => *known == disk,
             None => {
@@ -355,7 +361,7 @@
     }
 
     /// Bytes that another member sent.
-    pub fn step(&mut self, bytes: &[u8], now: Moment) {
+    pub fn on_message(&mut self, bytes: &[u8], now: Moment) {
         let Ok(message) = Message::parse_from_bytes(bytes) else { return };
         // What is meant for another incarnation of this member is not for this one.
         if message.to != self.me {
@@ -374,19 +380,19 @@
     }
 
     /// Its disk has lost what it said that it had: it may not go on under this id, since it would vote twice.
-    pub fn has_forgotten(&self) -> bool {
+    pub fn has_lost_log(&self) -> bool {
         self.forgot
     }
 
     /// A member could not be reached: Raft sends it less.
-    pub fn unreachable(&mut self, id: u64) {
+    pub fn report_unreachable(&mut self, id: u64) {
         if self.node.raft.state == StateRole::Leader {
             self.node.report_unreachable(id);
         }
     }
 
     /// Whether it leads and may tell anyone anything at this moment.
-    pub fn may_speak(&self, now: Moment) -> bool {
+    pub fn holds_leader_lease(&self, now: Moment) -> bool {
         self.leading.is_some() && now < self.lease_until
     }
 
@@ -394,18 +400,18 @@
         self.members.get(&self.node.raft.leader_id)
     }
 
-    pub fn elsewhere(&self) -> ElsewhereError {
+    pub fn not_leader(&self) -> NotLeaderError {
         let leader = self.leader().filter(|leader| leader.id() != self.me);
-        ElsewhereError { leader: leader.cloned() }
+        NotLeaderError { leader: leader.cloned() }
     }
 
     /// Wants something to be agreed on. It is done with when it comes back in a turn; a step down before that leaves it
     /// open whether it ever will.
-    pub fn propose(&mut self, data: Vec<u8>) -> Result<(), ElsewhereError> {
+    pub fn propose(&mut self, data: Vec<u8>) -> Result<(), NotLeaderError> {
         if self.leading.is_none() || self.pending >= MOST_PENDING {
-            return Err(self.elsewhere());
+            return Err(self.not_leader());
         }
-        self.node.propose(Vec::new(), data).map_err(|_| self.elsewhere())?;
+        self.node.propose(Vec::new(), data).map_err(|_| self.not_leader())?;
         self.pending += 1;
         Ok(())
     }
@@ -442,8 +448,8 @@
     }
 
     /// What has come of all that came in. Call it until it brings nothing more.
-    pub fn turn(&mut self, now: Moment) -> Turn {
-        let mut turn = Turn { write: std::mem::take(&mut self.write), ..Turn::default() };
+    pub fn step(&mut self, now: Moment) -> StepOutput {
+        let mut turn = StepOutput { write: std::mem::take(&mut self.write), ..StepOutput::default() };
         if self.node.has_ready() {
             self.ready(&mut turn, now);
         }
@@ -458,14 +464,14 @@
         let own = |term: u64| raft::Storage::term(&self.store, self.applied).is_ok_and(|at| at == term);
         if leads && self.leading.is_none() && own(self.node.raft.term) {
             self.leading = Some(self.node.raft.term);
-            turn.leads = self.leading;
+            turn.became_leader = self.leading;
             self.asked = now;
             self.node.read_index(now.micros().to_be_bytes().to_vec());
         }
         turn
     }
 
-    fn ready(&mut self, turn: &mut Turn, now: Moment) {
+    fn ready(&mut self, turn: &mut StepOutput, now: Moment) {
         let mut ready = self.node.ready();
         self.send(ready.take_messages(), turn);
         if !ready.snapshot().is_empty() {
@@ -496,7 +502,7 @@
         self.node.advance_apply();
     }
 
-    fn send(&self, messages: Vec<Message>, turn: &mut Turn) {
+    fn send(&self, messages: Vec<Message>, turn: &mut StepOutput) {
         let bytes = |message: Message| Some((message.to, message.write_to_bytes().ok()?));
         turn.send.extend(messages.into_iter().filter_map(bytes));
     }
@@ -509,7 +515,7 @@
         }
     }
 
-    fn take_over(&mut self, snapshot: Snapshot, turn: &mut Turn) {
+    fn take_over(&mut self, snapshot: Snapshot, turn: &mut StepOutput) {
         if self.store.restore(&snapshot).is_err() {
             return;
         }
@@ -518,10 +524,10 @@
         }
         self.applied = snapshot.get_metadata().index;
         turn.write.push(Record::Snapshot(Box::new(snapshot)).write());
-        (turn.replaced, turn.members) = (true, true);
+        (turn.replaced, turn.members_changed) = (true, true);
     }
 
-    fn apply(&mut self, entries: Vec<Entry>, turn: &mut Turn) {
+    fn apply(&mut self, entries: Vec<Entry>, turn: &mut StepOutput) {
         for entry in entries {
             self.applied = self.applied.max(entry.index);
             match entry.get_entry_type() {
@@ -530,14 +536,14 @@
                     let data = entry.get_data().to_vec();
                     self.pending = self.pending.saturating_sub(1);
                     self.data.push(data.clone());
-                    turn.agreed.push(Agreed { index: entry.index, data });
+                    turn.committed.push(CommittedEntry { index: entry.index, data });
                 }
                 _ => self.apply_change(&entry, turn),
             }
         }
     }
 
-    fn apply_change(&mut self, entry: &Entry, turn: &mut Turn) {
+    fn apply_change(&mut self, entry: &Entry, turn: &mut StepOutput) {
         let Ok(change) = ConfChange::parse_from_bytes(entry.get_data()) else { return };
         let Ok(conf) = self.node.apply_conf_change(&change) else { return };
         self.store.set_members(conf);
@@ -550,21 +556,21 @@
                 self.since_whole = WHOLE_AFTER;
             }
         }
-        turn.members = true;
+        turn.members_changed = true;
     }
 
     /// Whether the log has grown so much that it is worth writing whole.
-    pub fn wants_whole(&self) -> bool {
+    pub fn needs_compaction(&self) -> bool {
         self.since_whole >= WHOLE_AFTER
     }
 
     /// Writes the log whole, with what the service wants kept of its data. The turn that comes back is empty but for that.
-    pub fn write_whole(&mut self, data: Vec<Vec<u8>>) -> Turn {
+    pub fn compact(&mut self, data: Vec<Vec<u8>>) -> StepOutput {
         let term = raft::Storage::term(&self.store, self.applied).unwrap_or(0);
-        let Ok(state) = raft::Storage::initial_state(&self.store) else { return Turn::default() };
+        let Ok(state) = raft::Storage::initial_state(&self.store) else { return StepOutput::default() };
         let snapshot = snapshot_of(&self.members, &data, self.applied, term, state.conf_state);
         if self.store.compact(snapshot.clone()).is_err() {
-            return Turn::default();
+            return StepOutput::default();
         }
         self.data = data;
         self.since_whole = 0;
@@ -580,11 +586,11 @@
                 raft::Storage::entries(&self.store, first, last + 1, None, context).unwrap_or_default();
             records.extend(left.into_iter().map(|entry| Record::Entry(Box::new(entry)).write()));
         }
-        Turn { whole: Some(join(&records)), ..Turn::default() }
+        StepOutput { snapshot: Some(join(&records)), ..StepOutput::default() }
     }
 
     /// The records of a log that was written whole.
-    pub fn read_whole(bytes: &[u8]) -> Option<Vec<Vec<u8>>> {
+    pub fn decode_snapshot(bytes: &[u8]) -> Option<Vec<Vec<u8>>> {
         part(bytes)
     }
 
@@ -593,21 +599,26 @@
     }
 
     /// Whether it leads, may it speak or not.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.leading.is_some()
     }
 
-    pub fn status(&self, now: Moment) -> SeatStatus {
+    pub fn status(&self, now: Moment) -> ReplicaStatus {
         let lately = |id: &&u64| self.heard.get(*id).is_some_and(|at| now.since(*at) < Span::millis(2_000));
-        SeatStatus {
+        ReplicaStatus {
             name: self.name.clone(),
             term: self.term(),
-            leads: self.leads(),
-            may_speak: self.may_speak(now),
+            is_leader: self.is_leader(),
+            holds_leader_lease: self.holds_leader_lease(now),
             leader: self.leader().map(|m| m.name.clone()),
-            agreed: self.applied,
+            last_applied: self.applied,
             members: self.members.values().cloned().collect(),
-            heard: self.members.keys().filter(lately).map(|id| self.members[id].name.clone()).collect(),
+            recently_heard: self
+                .members
+                .keys()
+                .filter(lately)
+                .map(|id| self.members[id].name.clone())
+                .collect(),
         }
     }
 }
--- a/crates/group/tests/agree.rs
+++ b/crates/group/tests/agreement.rs
@@ -1,6 +1,6 @@
 //! Members on a network in virtual time that loses, doubles, delays and cuts, with disks that lose what was not synced.
 use harestage::time::{Moment, Span};
-use harestage_group::{Member, Seat, Start, TICK, member_id};
+use harestage_group::{Member, Replica, Start, TICK, member_id};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,8 +8,8 @@
 fn member(n: usize) -> Member {
     let name = format!("m{n}");
     Member {
-        at: format!("{name}:1"),
-        serves: format!("{name}:2"),
+        address: format!("{name}:1"),
+        service_address: format!("{name}:2"),
         site: format!("s{n}"),
         incarnation: 0,
         name,
@@ -24,7 +24,7 @@
 }
 
 struct Place {
-    seat: Option<Seat>,
+    seat: Option<Replica>,
     member: Member,
     /// What syncs have covered.
     disk: Vec<Vec<u8>>,
@@ -83,7 +83,7 @@
         let now = self.now;
         let place = &mut self.places[n];
         let (name, incarnation) = (place.member.name.clone(), place.member.incarnation);
-        let seat = Seat::open(&name, incarnation, &place.disk, start, place.disk_number, now);
+        let seat = Replica::open(&name, incarnation, &place.disk, start, place.disk_number, now);
         let seat = seat.unwrap_or_else(|why| panic!("{name}: {why}"));
         place.agreed = seat.data().to_vec();
         (place.seat, place.stopped) = (Some(seat), false);
@@ -99,22 +99,22 @@
         loop {
             let place = &mut self.places[n];
             let Some(seat) = place.seat.as_mut().filter(|_| !place.stopped) else { return };
-            let turn = seat.turn(now);
+            let turn = seat.step(now);
             if turn.is_empty() {
                 return;
             }
             place.disk.extend(turn.write);
-            if let Some(whole) = &turn.whole {
-                place.disk = Seat::read_whole(whole).unwrap();
+            if let Some(whole) = &turn.snapshot {
+                place.disk = Replica::decode_snapshot(whole).unwrap();
             }
             if turn.replaced {
                 place.agreed = seat.data().to_vec();
             } else {
-                place.agreed.extend(turn.agreed.into_iter().map(|agreed| agreed.data));
+                place.agreed.extend(turn.committed.into_iter().map(|agreed| agreed.data));
             }
-            if seat.wants_whole() {
-                let whole = seat.write_whole(seat.data().to_vec()).whole.unwrap();
-                place.disk = Seat::read_whole(&whole).unwrap();
+            if seat.needs_compaction() {
+                let whole = seat.compact(seat.data().to_vec()).snapshot.unwrap();
+                place.disk = Replica::decode_snapshot(&whole).unwrap();
             }
             let agreed = place.agreed.clone();
             self.same_order(&agreed);
@@ -158,12 +158,12 @@
                 // Both ends of a connection look whether the other is still who it was; some come by a third way.
                 let (other, known) = (self.places[to].member.id(), self.places[to].disk_number);
                 let sender = self.places[post.from].seat.as_mut();
-                let same = self.blind || sender.is_none_or(|seat| seat.meets(other, known));
+                let same = self.blind || sender.is_none_or(|seat| seat.verify_disk(other, known));
                 if let Some(seat) = &mut self.places[to].seat
                     && same
-                    && seat.meets(from, disk)
+                    && seat.verify_disk(from, disk)
                 {
-                    seat.step(&post.bytes, now);
+                    seat.on_message(&post.bytes, now);
                 }
                 self.turn(to);
             }
@@ -181,7 +181,8 @@
 
     /// Those that would tell others something now; one that is stopped tells nobody anything, and is asked when it wakes.
     fn speakers(&self) -> Vec<usize> {
-        let speaks = |p: &Place| !p.stopped && p.seat.as_ref().is_some_and(|s| s.may_speak(self.now));
+        let speaks =
+            |p: &Place| !p.stopped && p.seat.as_ref().is_some_and(|s| s.holds_leader_lease(self.now));
         (0..self.places.len()).filter(|n| speaks(&self.places[*n])).collect()
     }
 
@@ -337,7 +338,7 @@
     net.blind = true;
     net.run(Span::millis(500));
     assert!(
-        net.places[lost].seat.as_ref().unwrap().has_forgotten(),
+        net.places[lost].seat.as_ref().unwrap().has_lost_log(),
         "it knows what it is from what it is told"
     );
     net.blind = false;
@@ -373,8 +374,8 @@
     let before = net.places[speaker].agreed.clone();
     for n in [speaker, (speaker + 2) % 3] {
         let seat = net.places[n].seat.as_mut().unwrap();
-        let whole = seat.write_whole(seat.data().to_vec()).whole.unwrap();
-        net.places[n].disk = Seat::read_whole(&whole).unwrap();
+        let whole = seat.compact(seat.data().to_vec()).snapshot.unwrap();
+        net.places[n].disk = Replica::decode_snapshot(&whole).unwrap();
     }
     net.start(away, Start::Join);
     net.run(Span::millis(2_000));
--- a/crates/hub/src/desk/above.rs
+++ b/crates/hub/src/desk/above.rs
@@ -115,9 +115,9 @@
         }
         let rank = if fill.no_copy { 0 } else { fill.rank };
         let stage = self.start.stage();
-        if !self.copies.has_disk() || stage != StartStage::Alone {
+        if !self.copies.has_disk() || stage != StartStage::WithoutPurges {
             self.copies.put(key, copy.clone(), rank);
-            self.orders.extend(stage.keeps().then(|| self.copies.keep(key, &copy, rank)).flatten());
+            self.orders.extend(stage.stores_fetched().then(|| self.copies.keep(key, &copy, rank)).flatten());
         }
         let (too_old, served): (Vec<_>, Vec<_>) = std::mem::take(&mut fill.waiters)
             .into_iter()
@@ -191,7 +191,7 @@
                 let answer = Answer { id, word, remark, first_ms: 0.0, body: copy.body };
                 self.filled(key, answer, tag, false, now);
             }
-            None if !self.start.stage().fills() => self.turn_away(key, now),
+            None if !self.start.stage().allows_fills() => self.turn_away(key, now),
             None => self.advance(key, now),
         }
     }
--- a/crates/hub/src/desk/audited.rs
+++ b/crates/hub/src/desk/audited.rs
@@ -3,21 +3,21 @@
 use bytes::Bytes;
 use harestage::state::Remark;
 use harestage::time::Moment;
-use harestage_audit::acting::{Acting, OLD, Who};
 use harestage_audit::chain::Outcome;
-use harestage_audit::lines::Role;
-use harestage_audit::record::ContentNo;
-use harestage_audit::stamp::{Goes, Stamp};
+use harestage_audit::messages::Role;
+use harestage_audit::process::{AuditedProcess, OUTDATED, ProcessIdentity};
+use harestage_audit::record::ContentIndex;
+use harestage_audit::stamp::{Stamp, Versions};
 use harestage_wire::fields::Hex;
 use harestage_wire::node::{Asked, Given, Word};
 use harestage_wire::peer::Mark;
 use std::collections::HashMap;
 
 pub(super) struct Audited {
-    pub acting: Acting,
+    pub acting: AuditedProcess,
     /// Content types by their places in the record, and those of pulls that are not answered yet.
-    contents: HashMap<Bytes, ContentNo>,
-    asked: HashMap<(ConnNo, Hex), ContentNo>,
+    contents: HashMap<Bytes, ContentIndex>,
+    asked: HashMap<(ConnNo, Hex), ContentIndex>,
 }
 
 impl Audited {
@@ -34,14 +34,14 @@
         let Some(mark) = &asked.mark else { return true };
         // What can't be read as a stamp is the oldest there is.
         let stamp = mark.stamp.parse().unwrap_or(Stamp::default());
-        self.acting.takes(&mark.by, &mark.place, stamp, now)
+        self.acting.admit_pull(&mark.by, &mark.place, stamp, now)
     }
 
     fn goes_by(&mut self, shape: u64, purge: u64, term: u64, plan: String, now: Moment) {
-        let goes = self.acting.goes();
+        let goes = self.acting.versions();
         if (goes.shape, goes.purge, goes.term) != (shape, purge, term) || goes.plan != plan {
-            let goes = Goes { shape, purge, term, plan, ..goes.clone() };
-            self.acting.goes_by(goes, now);
+            let goes = Versions { shape, purge, term, plan, ..goes.clone() };
+            self.acting.set_versions(goes, now);
         }
     }
 
@@ -54,10 +54,10 @@
                     Word::Full => Outcome::Throttled,
                     Word::Lacks | Word::Failed | Word::TooLate => Outcome::Abandoned,
                 };
-                self.acting.ended(content, outcome, given.id.number(), now);
-                given.copy.iter().for_each(|copy| self.acting.recorder().gave(copy.dated_ms));
+                self.acting.download_ended(content, outcome, given.id.number(), now);
+                given.copy.iter().for_each(|copy| self.acting.recorder().copy_served(copy.dated_ms));
             }
-            Order::Pull { to, .. } => self.acting.recorder().pulled(&to.name, now),
+            Order::Pull { to, .. } => self.acting.recorder().pull_sent(&to.name, now),
             _ => {}
         }
     }
@@ -70,19 +70,19 @@
         names.sort();
         let contents = names.iter().map(|name| String::from_utf8_lossy(name).into_owned()).collect();
         let numbers = names.into_iter().enumerate().map(|(n, name)| (name, n)).collect();
-        let who = Who {
+        let who = ProcessIdentity {
             member: self.name.clone(),
             start,
             role: Role::Hub,
             site: self.sites.name().into(),
             place: self.name.clone(),
         };
-        let goes = Goes { build: build.into(), settings, ..Goes::default() };
-        let acting = Acting::begin(who, contents, goes, now);
+        let goes = Versions { build: build.into(), settings, ..Versions::default() };
+        let acting = AuditedProcess::new(who, contents, goes, now);
         self.audit = Some(Audited { acting, contents: numbers, asked: HashMap::new() });
     }
 
-    pub fn audit(&mut self) -> Option<&mut Acting> {
+    pub fn audit(&mut self) -> Option<&mut AuditedProcess> {
         self.audit.as_mut().map(|audit| &mut audit.acting)
     }
 
@@ -100,7 +100,7 @@
         let takes = self.audit.as_mut().is_none_or(|audit| audit.takes(conn, asked, now));
         if !takes {
             let (word, remark, first_ms) = (Word::Full, Remark::SourceRefused, 0.0);
-            let (copy, body, come_ms, why) = (None, Bytes::new(), None, Some(OLD));
+            let (copy, body, come_ms, why) = (None, Bytes::new(), None, Some(OUTDATED));
             let given = Given { id: asked.id, word, remark, first_ms, copy, body, come_ms, why };
             self.orders.push(Order::Answer { conn, given });
         }
@@ -109,7 +109,7 @@
 
     pub(super) fn mark(&self) -> Option<Mark> {
         let audit = &self.audit.as_ref()?.acting;
-        let (by, place) = (audit.who().member.clone(), audit.who().place.clone());
+        let (by, place) = (audit.identity().member.clone(), audit.identity().place.clone());
         Some(Mark { by, place, stamp: audit.stamp().to_string() })
     }
 }
--- a/crates/hub/src/desk/below.rs
+++ b/crates/hub/src/desk/below.rs
@@ -45,7 +45,7 @@
             }
             return;
         }
-        let gives = self.start.stage().gives_copies();
+        let gives = self.start.stage().serves_copies();
         if gives && self.copies.on_disk(key, oldest, now) && !self.fills.has(key) && !asked.only_held {
             return self.fill_from_disk(conn, key, asked, oldest, now);
         }
@@ -120,7 +120,7 @@
             let after = self.start.come_again(chance);
             return self.refuse_until(conn, asked.id, asked.way.is_some().then_some(after));
         }
-        if self.sources.unknowing && self.start.stage() != StartStage::Alone
+        if self.sources.unknowing && self.start.stage() != StartStage::WithoutPurges
             || !self.fills.may_wait(conn, asked.id)
         {
             return self.refuse(conn, asked.id, Word::Full, Remark::NoPlace);
--- a/crates/hub/src/desk/copies.rs
+++ b/crates/hub/src/desk/copies.rs
@@ -2,8 +2,8 @@
 use super::{Desk, Order};
 use crate::store::{self, Copy, Named, Store};
 use harestage::time::{Moment, Span};
-use harestage_copies::record::Marks;
-use harestage_copies::shelf::Meta;
+use harestage_copies::index::CopyMetadata;
+use harestage_copies::record::Checkpoint;
 use harestage_purge::scope::Checked;
 use harestage_shape::knots::Key;
 use std::collections::HashMap;
@@ -15,9 +15,9 @@
 
 /// What its disk holds.
 struct OnDisk {
-    kept: HashMap<Key, Meta>,
+    kept: HashMap<Key, CopyMetadata>,
     /// What was remembered beside the copies last.
-    marks: Marks,
+    marks: Checkpoint,
 }
 
 pub(super) struct Copies {
@@ -34,8 +34,8 @@
     }
 
     /// It has a disk, which held these. How many.
-    pub fn have_disk(&mut self, metas: Vec<Meta>, marks: Marks) -> usize {
-        let kept: HashMap<Key, Meta> = metas.into_iter().map(|meta| (meta.key, meta)).collect();
+    pub fn have_disk(&mut self, metas: Vec<CopyMetadata>, marks: Checkpoint) -> usize {
+        let kept: HashMap<Key, CopyMetadata> = metas.into_iter().map(|meta| (meta.key, meta)).collect();
         let copies = kept.len();
         self.disk = Some(OnDisk { kept, marks });
         copies
@@ -45,7 +45,7 @@
         self.disk.is_some()
     }
 
-    fn meta(&self, key: Key) -> Option<&Meta> {
+    fn meta(&self, key: Key) -> Option<&CopyMetadata> {
         self.disk.as_ref()?.kept.get(&key)
     }
 
@@ -102,8 +102,8 @@
     pub fn keep(&mut self, key: Key, copy: &Copy, rank: u8) -> Option<Order> {
         let disk = self.disk.as_mut().filter(|_| rank > 0)?;
         let (digest, dated_us, group) = (copy.digest.to_vec(), copy.dated.micros(), copy.group);
-        let meta = Meta { key, digest, dated_us, group, rank };
-        let has = |kept: &Meta| kept.digest == meta.digest && kept.dated_us >= meta.dated_us;
+        let meta = CopyMetadata { key, digest, dated_us, group, rank };
+        let has = |kept: &CopyMetadata| kept.digest == meta.digest && kept.dated_us >= meta.dated_us;
         if disk.kept.get(&key).is_some_and(has) {
             return None;
         }
@@ -125,7 +125,7 @@
     }
 
     /// What is purged goes from the disk, too.
-    fn unkeep(&mut self, at: Moment, covered: impl Fn(&Meta) -> bool) -> Option<Order> {
+    fn unkeep(&mut self, at: Moment, covered: impl Fn(&CopyMetadata) -> bool) -> Option<Order> {
         let kept = &mut self.disk.as_mut()?.kept;
         let gone = kept.values().filter(|meta| meta.dated_us <= at.micros() && covered(meta));
         let mut keys: Vec<Key> = gone.map(|meta| meta.key).collect();
@@ -135,9 +135,10 @@
     }
 
     /// Writes down what is to be remembered beside the copies, where that is due.
-    pub fn remember(&mut self, marks: Marks) -> Option<Order> {
+    pub fn remember(&mut self, marks: Checkpoint) -> Option<Order> {
         let disk = self.disk.as_mut()?;
-        let due = marks.purges != disk.marks.purges || marks.seen_ms > disk.marks.seen_ms + MARKS_EVERY_MS;
+        let due = marks.applied_purge != disk.marks.applied_purge
+            || marks.latest_clock_ms > disk.marks.latest_clock_ms + MARKS_EVERY_MS;
         if !due {
             return None;
         }
@@ -159,7 +160,12 @@
     /// Writes down up to where purges are applied, and how long fills and fetches take, for its next start.
     pub(super) fn remember(&mut self, now: Moment) {
         let (lasted, fetched) = self.gauges.usual();
-        let marks = Marks { purges: self.has_purges, seen_ms: now.micros() / 1_000, lasted, fetched };
+        let marks = Checkpoint {
+            applied_purge: self.has_purges,
+            latest_clock_ms: now.micros() / 1_000,
+            fill_seconds: lasted,
+            fetch_seconds: fetched,
+        };
         self.orders.extend(self.copies.remember(marks));
     }
 }
--- a/crates/hub/src/desk/messages.rs
+++ b/crates/hub/src/desk/messages.rs
@@ -2,9 +2,9 @@
 use crate::store::{Copy, Named};
 use bytes::Bytes;
 use harestage::time::{Moment, Span};
-use harestage_audit::acting::Wanted;
-use harestage_copies::record::Marks;
-use harestage_copies::shelf::Meta;
+use harestage_audit::process::KeeperRequest;
+use harestage_copies::index::CopyMetadata;
+use harestage_copies::record::Checkpoint;
 use harestage_purge::scope::Checked;
 use harestage_restart::stage;
 use harestage_shape::form::ShapeForm;
@@ -100,7 +100,7 @@
     /// All purges up to that number are applied.
     HasPurges(u64),
     /// The keeper of the audit wants something of it.
-    Wanted(Box<Wanted>),
+    Wanted(Box<KeeperRequest>),
     /// A copy from its disk; none: it can't be had, or is not what it was.
     Read {
         key: Key,
@@ -150,20 +150,20 @@
     /// The keeper of the audit wants it to start anew.
     StartAnew(String),
     /// Its start has come to another stage.
-    Started(stage::Turn),
+    Started(stage::StageChange),
     /// A copy is wanted from its disk, is to be kept there, and some are to go from there.
     Read {
         key: Key,
     },
     Keep {
-        meta: Meta,
+        meta: CopyMetadata,
         body: Bytes,
     },
     Unkeep {
         keys: Vec<Key>,
     },
     /// What is to be remembered beside the copies.
-    Mark(Marks),
+    Mark(Checkpoint),
 }
 
 /// A pull as the wire's request needs it.
--- a/crates/hub/src/desk/mod.rs
+++ b/crates/hub/src/desk/mod.rs
@@ -30,7 +30,7 @@
 use fills::Fills;
 use gauges::Gauges;
 use harestage::time::{Moment, Span};
-use harestage_restart::stage::Fact;
+use harestage_restart::stage::StartEvent;
 use harestage_shape::tree::Versions;
 use rationing::{Chance, Rationing};
 use sites::Sites;
@@ -151,7 +151,7 @@
             News::Fenced(fenced) => self.fence(fenced, now),
             News::KnowsPurges => {
                 self.sources.unknowing = false;
-                self.start.hear(Fact::PurgesKnown);
+                self.start.hear(StartEvent::PurgesKnown);
             }
             News::Seen { ask, leaving, unseen } => self.seen(ask, leaving, &unseen, now),
             News::Named { addressed, own } => self.circles.knots.known_as(&addressed, &own),
@@ -163,7 +163,7 @@
             Bell::Beat => {
                 self.bells.set(now + BEAT, Bell::Beat);
                 self.sources.beat(now);
-                self.audit.iter_mut().for_each(|audit| audit.acting.beat(now));
+                self.audit.iter_mut().for_each(|audit| audit.acting.tick(now));
                 self.start_beats(now);
                 self.ration_beats(now);
                 self.circles_beat(now);
--- a/crates/hub/src/desk/starting.rs
+++ b/crates/hub/src/desk/starting.rs
@@ -1,10 +1,10 @@
 //! How the start of a hub goes that was away: what it may give out, fetch and keep by now.
 use super::{Desk, Order};
 use harestage::time::{Moment, Span};
-use harestage_copies::record::Marks;
-use harestage_copies::shelf::Meta;
-use harestage_restart::pace::{Bears, Pace as Climb};
-use harestage_restart::stage::{Fact, Stage as StartStage, Start, Turn};
+use harestage_copies::index::CopyMetadata;
+use harestage_copies::record::Checkpoint;
+use harestage_restart::ramp::{ArchiveCapacity, FetchRamp as Climb};
+use harestage_restart::stage::{Stage as StartStage, StageChange, Start, StartEvent};
 
 /// Without a disk a start is over at once.
 pub(super) struct Starting {
@@ -17,19 +17,19 @@
 
 impl Starting {
     pub fn over(now: Moment) -> Starting {
-        Starting { start: Start::over(now), climb: Climb::begin(now), tokens: 0.0, filled: now }
+        Starting { start: Start::completed(now), climb: Climb::new(now), tokens: 0.0, filled: now }
     }
 
     /// With what its disk has held; `fetched` is how long a fetch usually took.
     fn begin(&mut self, copies: bool, fetched: f64, now: Moment) {
-        self.climb = Climb::begin(now);
-        self.climb.usually(fetched);
-        self.start = Start::begin(now);
-        self.start.hear(Fact::Read { copies });
+        self.climb = Climb::new(now);
+        self.climb.set_usual_fetch_time(fetched);
+        self.start = Start::new(now);
+        self.start.on_event(StartEvent::IndexRead { copies });
     }
 
-    pub fn hear(&mut self, fact: Fact) {
-        self.start.hear(fact);
+    pub fn hear(&mut self, fact: StartEvent) {
+        self.start.on_event(fact);
     }
 
     pub fn stage(&self) -> StartStage {
@@ -39,8 +39,8 @@
     /// Whether a fill may be begun for something of this worth, where the best is worth that.
     pub fn may_begin(&self, worth: f64, best: f64) -> bool {
         match self.start.stage() {
-            StartStage::Worthy => self.climb.worthy(worth, best),
-            stage => stage.fills(),
+            StartStage::BestFills => self.climb.admits(worth, best),
+            stage => stage.allows_fills(),
         }
     }
 
@@ -55,49 +55,49 @@
         let lets = self.tokens >= 1.0;
         match lets {
             true => self.tokens -= 1.0,
-            false => self.climb.holds_back(),
+            false => self.climb.on_fetch_withheld(),
         }
         lets
     }
 
     pub fn fetch_failed(&mut self, now: Moment) {
-        self.climb.failed(now);
+        self.climb.on_failure(now);
     }
 
     pub fn fetch_took(&mut self, seconds: f64, now: Moment) {
-        self.climb.answered(seconds, now);
+        self.climb.on_answer(seconds, now);
     }
 
     /// When whoever can't be served yet is to come again; `chance` spreads them.
     pub fn come_again(&self, chance: f64) -> Span {
-        self.climb.come_again(chance)
+        self.climb.retry_after(chance)
     }
 
-    fn beat(&mut self, now: Moment) -> Option<Turn> {
-        self.climb.beat(now);
-        self.start.hear(match self.climb.bears() {
-            Bears::All => Fact::BearsAll,
-            Bears::Some => Fact::BearsSome,
-            Bears::None => Fact::BearsNone,
+    fn beat(&mut self, now: Moment) -> Option<StageChange> {
+        self.climb.tick(now);
+        self.start.on_event(match self.climb.archive_capacity() {
+            ArchiveCapacity::Full => StartEvent::ArchiveAdmitsAll,
+            ArchiveCapacity::Partial => StartEvent::ArchiveAdmitsSome,
+            ArchiveCapacity::None => StartEvent::ArchiveAdmitsNone,
         });
-        self.start.beat(now)
+        self.start.tick(now)
     }
 }
 
 impl Desk {
     /// What its disk has held through the time that it was away. Nothing of it counts before the purges that may cover it
     /// are known; `no_purges` says that nobody tells of any.
-    pub fn has_kept(&mut self, metas: Vec<Meta>, marks: Marks, no_purges: bool, now: Moment) {
+    pub fn has_kept(&mut self, metas: Vec<CopyMetadata>, marks: Checkpoint, no_purges: bool, now: Moment) {
         let copies = self.copies.have_disk(metas, marks);
-        self.start.begin(copies > 0, marks.fetched, now);
+        self.start.begin(copies > 0, marks.fetch_seconds, now);
         if no_purges {
-            self.start.hear(Fact::NoPurges);
+            self.start.hear(StartEvent::PurgesNotFollowed);
         }
     }
 
     /// Staff holds its start where it is, or lets it go on.
     pub fn hold_start(&mut self, held: bool) {
-        self.start.hear(if held { Fact::Held } else { Fact::Released });
+        self.start.hear(if held { StartEvent::Held } else { StartEvent::Released });
     }
 
     /// Where its start is, and why it waits.
--- a/crates/hub/src/desk/versions.rs
+++ b/crates/hub/src/desk/versions.rs
@@ -2,9 +2,9 @@
 use super::fills::Stage;
 use super::{Desk, Order};
 use harestage::time::Moment;
-use harestage_audit::acting::Wanted;
-use harestage_audit::lines::Bring;
-use harestage_restart::stage::Fact;
+use harestage_audit::messages::Update;
+use harestage_audit::process::KeeperRequest;
+use harestage_restart::stage::StartEvent;
 use harestage_shape::form::ShapeForm;
 use harestage_shape::tree::{PlaceIx, Shape};
 
@@ -20,34 +20,37 @@
             Ok(shape) => shape,
             Err(wrong) => {
                 let why = wrong.first().map(ToString::to_string).unwrap_or_default();
-                return self.audit.iter_mut().for_each(|audit| audit.acting.refuses(form.version, &why));
+                return self
+                    .audit
+                    .iter_mut()
+                    .for_each(|audit| audit.acting.reject_version(form.version, &why));
             }
         };
         let (archive, tops) = (shape.archive(), shape.tops().len());
         self.archive.share.known(archive.capacity * archive.stops_at, tops, self.alone);
         self.versions.enter(shape, now);
-        self.start.hear(Fact::Shape);
+        self.start.hear(StartEvent::ShapeKnown);
         // What rests may have another way now.
         let resting = self.fills.each(|fill| matches!(fill.stage, Stage::Resting).then_some(()));
         resting.into_iter().for_each(|(key, ())| self.advance(key, now));
     }
 
-    pub(super) fn wanted(&mut self, wanted: Wanted, now: Moment) {
+    pub(super) fn wanted(&mut self, wanted: KeeperRequest, now: Moment) {
         match wanted {
-            Wanted::Restart(why) => self.orders.push(Order::StartAnew(why)),
-            Wanted::Take(bring) => self.brought(bring, now),
+            KeeperRequest::Restart(why) => self.orders.push(Order::StartAnew(why)),
+            KeeperRequest::Apply(bring) => self.brought(bring, now),
         }
     }
 
     /// A version that came by the keeper, since the service could not be heard.
-    fn brought(&mut self, bring: Bring, now: Moment) {
+    fn brought(&mut self, bring: Update, now: Moment) {
         match bring {
-            Bring::Whole { shape, plans } => {
+            Update::Full { shape, plans } => {
                 let version = shape.version;
                 self.told(&shape, now);
                 self.handed(version, plans, now);
             }
-            Bring::Difference { from, to, ties } => {
+            Update::Difference { from, to, ties } => {
                 let Some(own) = self.versions.newest().filter(|own| own.version() == from) else { return };
                 let mut form = own.form();
                 form.version = to;
@@ -56,7 +59,7 @@
                 }
                 self.told(&form, now);
             }
-            Bring::Listing { .. } | Bring::Restart { .. } => {}
+            Update::Membership { .. } | Update::Restart { .. } => {}
         }
     }
 
--- a/crates/hub/src/net/follow.rs
+++ b/crates/hub/src/net/follow.rs
@@ -3,7 +3,7 @@
 use crate::desk::News;
 use async_channel::Sender;
 use harestage::time::Moment;
-use harestage_audit::lines as audit;
+use harestage_audit::messages as audit;
 use harestage_following::audit::Audited;
 use harestage_following::control::{Heard, Member};
 use harestage_following::purges;
@@ -71,8 +71,8 @@
         self.shared.desk.borrow_mut().audit().is_some_and(|audit| audit.recorder().has_more())
     }
 
-    async fn answered(&self, answer: audit::ToAudited, asked: Moment) -> bool {
-        let wanted = self.shared.desk.borrow_mut().audit().and_then(|audit| audit.answered(answer, asked));
+    async fn answered(&self, answer: audit::KeeperMessage, asked: Moment) -> bool {
+        let wanted = self.shared.desk.borrow_mut().audit().and_then(|audit| audit.on_answer(answer, asked));
         if let Some(wanted) = wanted {
             let _ = self.inbox.send(News::Wanted(Box::new(wanted))).await;
         }
--- a/crates/hub/src/net/mod.rs
+++ b/crates/hub/src/net/mod.rs
@@ -96,14 +96,14 @@
     desk.is_at(&start.site, clock.now());
     // Copies that outlived the last start need what was purged meanwhile; a hub without any needs none of it.
     let past = match &shelf {
-        Some(opened) if opened.found.copies > 0 => Past::Applied(opened.found.marks.purges),
+        Some(opened) if opened.found.copies > 0 => Past::Applied(opened.found.checkpoint.applied_purge),
         _ => Past::Cold,
     };
     let shelf = shelf.map(|opened| {
         let now = clock.now();
-        desk.has_kept(opened.metas, opened.found.marks, start.purges.is_empty(), now);
+        desk.has_kept(opened.metas, opened.found.checkpoint, start.purges.is_empty(), now);
         info!(log, "copies on disk"; "copies" => opened.found.copies, "lost" => opened.found.lost,
-            "purges" => opened.found.marks.purges, "took_ms" => opened.took_ms);
+            "purges" => opened.found.checkpoint.applied_purge, "took_ms" => opened.took_ms);
         opened.shelf
     });
     if !start.keepers.is_empty() {
@@ -190,10 +190,10 @@
     match stage {
         Stage::Reading => "reading",
         Stage::AwaitsPurges => "awaits_purges",
-        Stage::Alone => "alone",
+        Stage::WithoutPurges => "alone",
         Stage::AwaitsShape => "awaits_shape",
-        Stage::FromCopies => "from_copies",
-        Stage::Worthy => "worthy",
+        Stage::CopiesOnly => "from_copies",
+        Stage::BestFills => "worthy",
         Stage::All => "all",
     }
 }
@@ -207,8 +207,9 @@
         Timer::after(LEAVES_AFTER / 8).await;
     }
     let now = shared.clock.now();
-    shared.desk.borrow_mut().audit().into_iter().for_each(|audit| audit.recorder().end(now));
-    let told = || shared.desk.borrow_mut().audit().is_none_or(|audit| audit.recorder().is_told());
+    shared.desk.borrow_mut().audit().into_iter().for_each(|audit| audit.recorder().finish(now));
+    let told =
+        || shared.desk.borrow_mut().audit().is_none_or(|audit| audit.recorder().is_fully_acknowledged());
     while !told() && begun.elapsed() < LEAVES_WITHIN * 2 {
         Timer::after(LEAVES_AFTER / 8).await;
     }
@@ -290,7 +291,7 @@
                 }
                 Order::Started(turn) => {
                     let (from, to) = (word(turn.from), word(turn.to));
-                    info!(log, "start"; "from" => from, "to" => to, "lasted_ms" => turn.lasted_ms, "why" => turn.why);
+                    info!(log, "start"; "from" => from, "to" => to, "lasted_ms" => turn.lasted_ms, "why" => turn.reason);
                 }
                 Order::StartAnew(why) => {
                     warn!(log, "starts anew: the keeper asks for it"; "why" => why);
--- a/crates/hub/src/net/shelf.rs
+++ b/crates/hub/src/net/shelf.rs
@@ -6,9 +6,9 @@
 use async_channel::Sender;
 use bytes::Bytes;
 use harestage::time::Moment;
-use harestage_copies::disk::{Disk, Found};
-use harestage_copies::record::Marks;
-use harestage_copies::shelf::{Key, Meta};
+use harestage_copies::disk::{DiskStore, Recovered};
+use harestage_copies::index::{CopyKey, CopyMetadata};
+use harestage_copies::record::Checkpoint;
 use harestage_segments::Folder;
 use slog::{Logger, info, warn};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
@@ -24,8 +24,8 @@
 const TELLS_EVERY: Duration = Duration::from_millis(1_000);
 
 enum Do {
-    Keep(Meta, Bytes),
-    Read(Key),
+    Keep(CopyMetadata, Bytes),
+    Read(CopyKey),
     Wake,
     Close,
 }
@@ -33,8 +33,8 @@
 /// What may not be left out, whatever the queue holds.
 #[derive(Default)]
 struct Owed {
-    gone: Vec<Key>,
-    marks: Option<Marks>,
+    gone: Vec<CopyKey>,
+    marks: Option<Checkpoint>,
 }
 
 /// The desk's end of it.
@@ -48,8 +48,8 @@
 
 pub(crate) struct Opened {
     pub shelf: Shelf,
-    pub metas: Vec<Meta>,
-    pub found: Found,
+    pub metas: Vec<CopyMetadata>,
+    pub found: Recovered,
     pub took_ms: u64,
 }
 
@@ -58,9 +58,9 @@
     let named = |why: String| format!("{}: {why}", storage.folder.display());
     let begun = Instant::now();
     let within = |name| Folder::open_within(&storage.folder, name).map_err(|why| named(why.to_string()));
-    let disk = Disk::open(within("bodies")?, within("index")?, storage.bytes);
+    let disk = DiskStore::open(within("bodies")?, within("index")?, storage.bytes);
     let (disk, found) = disk.map_err(|why| named(why.to_string()))?;
-    let metas = disk.shelf().all().map(|(meta, _)| meta.clone()).collect();
+    let metas = disk.copies().in_eviction_order().map(|(meta, _)| meta.clone()).collect();
     let (queue, work) = sync_channel(WAITING);
     let owed = Arc::new(Mutex::new(Owed::default()));
     let (owing, telling) = (owed.clone(), inbox.clone());
@@ -76,23 +76,23 @@
 
 impl Shelf {
     /// Left out where too much waits already.
-    pub fn keep(&self, meta: Meta, body: Bytes) {
+    pub fn keep(&self, meta: CopyMetadata, body: Bytes) {
         let _ = self.queue.try_send(Do::Keep(meta, body));
     }
 
     /// Its bytes come as news; none where they can't be had.
-    pub fn read(&self, key: Key) {
+    pub fn read(&self, key: CopyKey) {
         if self.queue.try_send(Do::Read(key)).is_err() {
             let _ = self.inbox.try_send(News::Read { key, copy: None });
         }
     }
 
-    pub fn unkeep(&self, keys: Vec<Key>) {
+    pub fn unkeep(&self, keys: Vec<CopyKey>) {
         held(&self.owed).gone.extend(keys);
         let _ = self.queue.try_send(Do::Wake);
     }
 
-    pub fn mark(&self, marks: Marks) {
+    pub fn mark(&self, marks: Checkpoint) {
         held(&self.owed).marks = Some(marks);
     }
 
@@ -104,7 +104,13 @@
     }
 }
 
-fn run(mut disk: Disk<Folder>, work: &Receiver<Do>, owed: &Mutex<Owed>, inbox: &Sender<News>, log: &Logger) {
+fn run(
+    mut disk: DiskStore<Folder>,
+    work: &Receiver<Do>,
+    owed: &Mutex<Owed>,
+    inbox: &Sender<News>,
+    log: &Logger,
+) {
     let (mut flushed, mut told, mut tidies, mut failed) = (Instant::now(), Instant::now(), false, false);
     let mut before = disk.written();
     loop {
@@ -112,11 +118,11 @@
         // What goes, goes before anything else is put or read.
         let Owed { gone, marks } = std::mem::take(&mut *held(owed));
         gone.into_iter().for_each(|key| disk.remove(key));
-        marks.into_iter().for_each(|marks| disk.mark(marks));
+        marks.into_iter().for_each(|marks| disk.set_checkpoint(marks));
         let done = match next {
             Ok(Do::Keep(meta, body)) => disk.put(meta, &body).map(drop),
             Ok(Do::Read(key)) => {
-                let copy = disk.read(key).map(|(meta, body)| copy_of(meta, body));
+                let copy = disk.read_copy(key).map(|(meta, body)| copy_of(meta, body));
                 let _ = inbox.send_blocking(News::Read { key, copy });
                 Ok(())
             }
@@ -134,7 +140,7 @@
             }
             flushed = Instant::now();
             disk.flush()?;
-            tidies = disk.tidy()?;
+            tidies = disk.compact_step()?;
             Ok(())
         });
         if let Err(why) = done
@@ -145,12 +151,12 @@
         }
         if told.elapsed() >= TELLS_EVERY && disk.written() != before {
             (told, before) = (Instant::now(), disk.written());
-            info!(log, "copies kept"; "copies" => disk.shelf().len(), "written" => before.all, "kept" => before.kept);
+            info!(log, "copies kept"; "copies" => disk.copies().len(), "written" => before.total, "kept" => before.copies);
         }
     }
 }
 
-fn copy_of(meta: Meta, body: Bytes) -> Copy {
+fn copy_of(meta: CopyMetadata, body: Bytes) -> Copy {
     let (digest, dated) = (Bytes::from(meta.digest), Moment::at_micros(meta.dated_us));
     Copy { digest, dated, group: meta.group, body }
 }
--- a/crates/hub/src/start.rs
+++ b/crates/hub/src/start.rs
@@ -214,7 +214,7 @@
             purges: addresses("purges", &self.purges, "purge_services", &self.purge_services)?,
             keepers: addresses("keepers", &None, "keepers", &self.keepers)?,
             build: env!("CARGO_PKG_VERSION").into(),
-            settings: harestage_audit::stamp::settings_of(&serde_json::to_vec(&self).unwrap_or_default()),
+            settings: harestage_audit::stamp::settings_digest(&serde_json::to_vec(&self).unwrap_or_default()),
             site: self.site.clone(),
             feed: self.feed.as_deref().map(|text| address("feed", text)).transpose()?,
             contents: contents.collect(),
