--- a/crates/hub/tests/audited.rs
+++ b/crates/hub/tests/audited.rs
@@ -3,10 +3,10 @@
 use bytes::Bytes;
 use harestage::state::Remark;
 use harestage::time::{Moment, Span};
-use harestage_audit::acting::Wanted;
 use harestage_audit::chain::{Body, Link};
-use harestage_audit::lines::{Bring, Refusals, ToAudited};
-use harestage_audit::stamp::{Goes, Stamp};
+use harestage_audit::messages::{AdmissionRules, KeeperMessage, Update};
+use harestage_audit::process::KeeperRequest;
+use harestage_audit::stamp::{Stamp, Versions};
 use harestage_hub::desk::{Bounds, Desk, Keeping, News, Order};
 use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
 use harestage_shape::parts::Part;
@@ -57,7 +57,7 @@
 }
 
 fn stamp(shape: u64) -> Stamp {
-    Goes { shape, ..Goes::default() }.stamp()
+    Versions { shape, ..Versions::default() }.stamp()
 }
 
 fn asked(no: u64, by: &str, shape: u64) -> News {
@@ -85,10 +85,17 @@
 
 fn refuse(desk: &mut Desk, shut: &[(&str, f64)]) {
     let shut = shut.iter().map(|(name, share)| (name.to_string(), *share)).collect();
-    let refuse = Some(Refusals { shut, shape: 5, purge: 0 });
-    let answer =
-        ToAudited::Ack { term: 1, start: 9, upto: 0, lease_ms: 3_000, shut: None, bring: None, refuse };
-    assert_eq!(desk.audit().unwrap().answered(answer, at(10)), None);
+    let refuse = Some(AdmissionRules { excluded: shut, min_shape: 5, min_purge: 0 });
+    let answer = KeeperMessage::Ack {
+        term: 1,
+        start: 9,
+        upto: 0,
+        lease_ms: 3_000,
+        excluded: None,
+        update: None,
+        admission: refuse,
+    };
+    assert_eq!(desk.audit().unwrap().on_answer(answer, at(10)), None);
 }
 
 /// The word that a pull got at once, and its reason; none where it runs.
@@ -142,41 +149,45 @@
     };
     desk.step(at(40), std::iter::once(News::Answered { pull, answer, copy: Some(copy) }));
     desk.step(at(2_000), std::iter::empty());
-    let links: Vec<Link> = desk.audit().unwrap().recorder().due();
+    let links: Vec<Link> = desk.audit().unwrap().recorder().pending_links();
     let spans = links.iter().filter_map(|link| match &link.body {
-        Body::Span(span) => Some(span.as_ref()),
+        Body::Interval(span) => Some(span.as_ref()),
         _ => None,
     });
     let spans: Vec<_> = spans.collect();
-    assert_eq!(spans.iter().map(|span| span.many()).sum::<u64>(), 2);
-    let answered: Vec<_> = spans.iter().flat_map(|span| &span.answered).collect();
-    let of = |by: &str| answered.iter().find(|a| a.by == by).map(|a| (a.stamp.shape, a.taken, a.refused));
+    assert_eq!(spans.iter().map(|span| span.download_count()).sum::<u64>(), 2);
+    let answered: Vec<_> = spans.iter().flat_map(|span| &span.received).collect();
+    let of =
+        |by: &str| answered.iter().find(|a| a.puller == by).map(|a| (a.stamp.shape, a.accepted, a.refused));
     assert_eq!((of("r-1"), of("r-2")), (Some((4, 0, 1)), Some((5, 1, 0))));
     assert_eq!(spans.iter().map(|span| span.oldest_ms).max(), Some(700));
     assert!(spans.iter().all(|span| span.stamp.shape == 5));
-    assert!(links.iter().all(Link::holds));
+    assert!(links.iter().all(Link::is_intact));
 }
 
 #[test]
 fn a_version_that_the_keeper_brings_is_taken_and_one_that_can_not_be_is_told() {
     let mut desk = desk();
     let whole = |form: ShapeForm| {
-        News::Wanted(Box::new(Wanted::Take(Bring::Whole { shape: Box::new(form), plans: Vec::new() })))
+        News::Wanted(Box::new(KeeperRequest::Apply(Update::Full {
+            shape: Box::new(form),
+            plans: Vec::new(),
+        })))
     };
     desk.step(at(50), std::iter::once(whole(shape(6))));
     assert_eq!(desk.version(), 6);
-    let difference = Bring::Difference { from: 6, to: 7, ties: vec![("a".into(), vec!["archive".into()])] };
-    desk.step(at(60), std::iter::once(News::Wanted(Box::new(Wanted::Take(difference)))));
+    let difference = Update::Difference { from: 6, to: 7, ties: vec![("a".into(), vec!["archive".into()])] };
+    desk.step(at(60), std::iter::once(News::Wanted(Box::new(KeeperRequest::Apply(difference)))));
     assert_eq!(desk.version(), 7);
     let mut wrong = shape(8);
     wrong.hubs[0].up = vec!["mars".into()];
     desk.step(at(70), std::iter::once(whole(wrong)));
     let report = desk.audit().unwrap().report(at(70));
-    assert!(report.refuses.is_some_and(|(version, why)| version == 8 && why.contains("mars")));
+    assert!(report.rejected.is_some_and(|(version, why)| version == 8 && why.contains("mars")));
     assert_eq!(desk.version(), 7);
     desk.step(at(80), std::iter::once(whole(shape(9))));
-    assert_eq!((desk.version(), desk.audit().unwrap().report(at(80)).refuses), (9, None));
-    let asked = News::Wanted(Box::new(Wanted::Restart("it helps".into())));
+    assert_eq!((desk.version(), desk.audit().unwrap().report(at(80)).rejected), (9, None));
+    let asked = News::Wanted(Box::new(KeeperRequest::Restart("it helps".into())));
     let orders = desk.step(at(90), std::iter::once(asked));
     assert!(orders.contains(&Order::StartAnew("it helps".into())));
 }
--- a/crates/hub/tests/keeping.rs
+++ b/crates/hub/tests/keeping.rs
@@ -2,8 +2,8 @@
 use bytes::Bytes;
 use harestage::state::Remark;
 use harestage::time::{Moment, Span};
-use harestage_copies::record::Marks;
-use harestage_copies::shelf::Meta;
+use harestage_copies::index::CopyMetadata;
+use harestage_copies::record::Checkpoint;
 use harestage_hub::desk::{Bounds, Desk, Keeping, News, Order};
 use harestage_hub::store::Copy;
 use harestage_purge::scope::Scope;
@@ -64,14 +64,19 @@
         if !no_purges {
             desk.waits_for_purges();
         }
-        let meta = |object: u64| Meta {
+        let meta = |object: u64| CopyMetadata {
             key: (object, 0),
             digest: b"old".to_vec(),
             dated_us: at(0).micros() - 10_000_000,
             group: Some(object as u32 % 3),
             rank: 1,
         };
-        let marks = Marks { purges: 5, seen_ms: DAY - 1_000, lasted: 0.01, fetched: 0.01 };
+        let marks = Checkpoint {
+            applied_purge: 5,
+            latest_clock_ms: DAY - 1_000,
+            fill_seconds: 0.01,
+            fetch_seconds: 0.01,
+        };
         desk.has_kept((1..10).map(meta).collect(), marks, no_purges, at(0));
         Bed { desk, ms: 0, no: 0, orders: Vec::new() }
     }
@@ -178,9 +183,9 @@
         .flatten()
         .collect();
     assert_eq!(unkept, [2, 3, 1, 4, 7], "what goes from the disk");
-    assert!(bed.orders.iter().any(|order| matches!(order, Order::Mark(marks) if marks.purges == 9)));
+    assert!(bed.orders.iter().any(|order| matches!(order, Order::Mark(marks) if marks.applied_purge == 9)));
     bed.run(200);
-    assert_eq!(bed.desk.start().stage(), Stage::FromCopies);
+    assert_eq!(bed.desk.start().stage(), Stage::CopiesOnly);
     let orders = bed.ask(5, "clip", None);
     assert!(reads(&orders) && word(&orders).is_none());
     assert_eq!(word(&bed.disk_gives(5)), Some(Word::Good));
@@ -212,7 +217,7 @@
     let mut bed = Bed::new(true);
     bed.ready();
     bed.run(4_000);
-    assert!(bed.desk.start().stage().fills());
+    assert!(bed.desk.start().stage().allows_fills());
     // No older than a minute is wanted, and by this clock it is ten seconds old: but which clock is right is not known.
     let orders = bed.ask(5, "page", None);
     assert!(!reads(&orders));
@@ -234,7 +239,7 @@
     let mut bed = Bed::new(false);
     bed.ready();
     bed.run(9_000);
-    assert_eq!(bed.desk.start().stage(), Stage::Alone);
+    assert_eq!(bed.desk.start().stage(), Stage::WithoutPurges);
     for _ in 0..2 {
         let mut orders = bed.ask(5, "clip", None);
         assert!(!reads(&orders));
--- a/crates/keeper/src/columns.rs
+++ b/crates/keeper/src/columns.rs
@@ -4,7 +4,7 @@
 //! A file that can't be read is named, and the others still are; so is a row whose words are not those of its hash, or that
 //! is of a later form.
 use bytes::Bytes;
-use harestage_audit::chain::{Body, FORM, Link};
+use harestage_audit::chain::{Body, FORMAT_VERSION, Link};
 use parquet::basic::{Compression, ZstdLevel};
 use parquet::column::writer::ColumnWriter;
 use parquet::data_type::ByteArray;
@@ -74,12 +74,12 @@
         downloads: 0,
     };
     match &link.body {
-        Body::Began { goes, .. } => of("began", goes.stamp()),
-        Body::Switched { goes } => of("switched", goes.stamp()),
-        Body::Span(span) => Row {
+        Body::Began { versions: goes, .. } => of("began", goes.stamp()),
+        Body::Switched { versions: goes } => of("switched", goes.stamp()),
+        Body::Interval(span) => Row {
             from: span.from as i64,
             to: span.to as i64,
-            downloads: span.many() as i64,
+            downloads: span.download_count() as i64,
             ..of("span", span.stamp)
         },
         Body::Ended => of("ended", Default::default()),
@@ -101,7 +101,7 @@
         let Some(mut writer) = group.next_column().map_err(told)? else { break };
         let written = match writer.untyped() {
             ColumnWriter::Int32ColumnWriter(to) => {
-                let values: Vec<i32> = links.iter().map(|link| link.form as i32).collect();
+                let values: Vec<i32> = links.iter().map(|link| link.format as i32).collect();
                 to.write_batch(&values, None, None)
             }
             ColumnWriter::Int64ColumnWriter(to) => {
@@ -123,7 +123,7 @@
                     5 => text(row.kind),
                     6 => text(&row.stamp),
                     12 => body(link),
-                    13 => text(&link.before),
+                    13 => text(&link.previous_hash),
                     _ => text(&link.hash),
                 };
                 to.write_batch(&links.iter().zip(&rows).map(value).collect::<Vec<ByteArray>>(), None, None)
@@ -171,18 +171,18 @@
     let text = |at: usize| row.get_string(at).cloned().map_err(told);
     let number = |at: usize| row.get_long(at).map(|n| n as u64).map_err(told);
     let form = row.get_int(0).map_err(told)? as u32;
-    if form != FORM {
-        return Err(format!("of form {form}, and {FORM} is known here"));
+    if form != FORMAT_VERSION {
+        return Err(format!("of form {form}, and {FORMAT_VERSION} is known here"));
     }
     let body: Body =
         serde_json::from_str(&text(12)?).map_err(|why| format!("its words can't be read: {why}"))?;
     let link = Link {
-        form,
+        format: form,
         member: text(1)?,
         start: number(2)?,
         number: number(3)?,
         at_ms: number(4)?,
-        before: text(13)?,
+        previous_hash: text(13)?,
         hash: text(14)?,
         body,
     };
@@ -191,7 +191,7 @@
     if columns != (own.kind.to_string(), own.stamp, own.from, own.to, own.downloads) {
         return Err("its columns are not those of its words".into());
     }
-    if !link.holds() {
+    if !link.is_intact() {
         return Err("its words are not those of its hash".into());
     }
     Ok(link)
--- a/crates/keeper/src/serve.rs
+++ b/crates/keeper/src/serve.rs
@@ -7,9 +7,9 @@
 use event_listener::Event;
 use harestage::time::Moment;
 use harestage_audit::chain::Link;
-use harestage_audit::keep::{Effect, Keep, Record};
-use harestage_audit::lines::{Answer, Call, FromAudited, Report, ToAudited};
-use harestage_audit::straggle::Decision;
+use harestage_audit::keeper::{Effect, KeeperState, Record};
+use harestage_audit::lagging::Decision;
+use harestage_audit::messages::{KeeperMessage, OperatorRequest, OperatorResponse, ProcessMessage, Report};
 use harestage_following::control::{Heard, Member};
 use harestage_following::{Line, control, purges, subscribe};
 use harestage_purge::follow::Act;
@@ -141,23 +141,23 @@
 }
 
 impl Hosted for Links {
-    type State = Keep;
+    type State = KeeperState;
     type Effect = Effect;
 
     const CALLED: &'static str = "keeper";
     const BROKEN: &'static str = "the disk takes nothing more, or is not this member's";
     const LONGEST_LINE: usize = LONGEST_LINE;
 
-    fn open(host: &Service, data: &[Vec<u8>]) -> Result<(Keep, Vec<Effect>), String> {
+    fn open(host: &Service, data: &[Vec<u8>]) -> Result<(KeeperState, Vec<Effect>), String> {
         let (records, now) = (records(data)?, host.now());
-        let (mut keep, effects) = Keep::open(&records, now);
+        let (mut keep, effects) = KeeperState::open(&records, now);
         if let Some(form) = host.hosted.version.borrow().as_ref() {
-            keep.version(form, now);
+            keep.shape_published(form, now);
         }
-        keep.purges(host.hosted.purges.get(), now);
+        keep.purges_published(host.hosted.purges.get(), now);
         // What this disk has of earlier times: chains go on where they stood.
         let held = std::mem::take(&mut *host.hosted.held.borrow_mut());
-        keep.recall(&held, now);
+        keep.restore_links(&held, now);
         info!(host.log(), "takes up the service"; "term" => keep.term(), "links" => held.len());
         Ok((keep, effects))
     }
@@ -173,19 +173,19 @@
         let Effect::Decided(decision) = effect else { return };
         let words = serde_json::to_string(&decision).unwrap_or_default();
         match &decision {
-            Decision::Shut { member, .. } => {
+            Decision::Excluded { member, .. } => {
                 warn!(host.log(), "shut out"; "member" => member, "said" => words)
             }
-            Decision::Eased { member, share } => {
+            Decision::ShareRaised { member, share } => {
                 info!(host.log(), "let in by a share"; "member" => member, "share" => share.0);
             }
-            Decision::Freed { member } => info!(host.log(), "let in again"; "member" => member),
+            Decision::Readmitted { member } => info!(host.log(), "let in again"; "member" => member),
             Decision::Withdrawn { shape, .. } => {
                 warn!(host.log(), "version withdrawn"; "shape" => shape, "said" => words);
             }
         }
         let now = host.now();
-        host.while_leading(|keep| keep.enter(&decision, now));
+        host.while_leading(|keep| keep.apply_decision(&decision, now));
     }
 
     fn ready(host: &Service) {
@@ -274,7 +274,7 @@
     while !service.council.is_broken() && !service.hosted.broken.get() {
         Timer::after(BEAT).await;
         let now = service.now();
-        let effects = service.with(|keep| keep.beat(now)).unwrap_or_default();
+        let effects = service.with(|keep| keep.tick(now)).unwrap_or_default();
         for effect in &effects {
             if let Effect::Decided(Decision::Withdrawn { shape, .. }) = effect {
                 withdrawn = Some(*shape);
@@ -286,7 +286,7 @@
         // Asked for once the group has agreed on it.
         if service.is_settled()
             && let Some(shape) = withdrawn.take()
-            && let Some(before) = service.with(|keep| keep.before(shape)).flatten()
+            && let Some(before) = service.with(|keep| keep.previous_version(shape)).flatten()
         {
             spawner.spawn(take_back(service.clone(), shape, before));
         }
@@ -297,7 +297,7 @@
             Err(why) => drop(breaks(service, &why.to_string())),
         }
         if service.is_settled() {
-            service.council.tidy(|data| match service.while_leading(|keep| keep.whole()) {
+            service.council.tidy(|data| match service.while_leading(|keep| keep.snapshot()) {
                 Some(whole) => whole.iter().map(bytes).collect(),
                 None => data,
             });
@@ -361,7 +361,7 @@
     async fn hear(&self, heard: Heard) {
         if let Heard::Version { shape, .. } = heard {
             let now = self.now();
-            self.0.while_leading(|keep| keep.version(&shape, now));
+            self.0.while_leading(|keep| keep.shape_published(&shape, now));
             *self.0.hosted.version.borrow_mut() = Some(shape);
         }
     }
@@ -373,7 +373,7 @@
     async fn apply(&mut self, _: Vec<Act>, has: u64, _: bool) {
         if has > self.0.hosted.purges.replace(has) {
             let now = self.0.now();
-            self.0.while_leading(|keep| keep.purges(has, now));
+            self.0.while_leading(|keep| keep.purges_published(has, now));
         }
     }
 }
@@ -381,9 +381,9 @@
 async fn serve(service: &Service, lines: &mut Lines<'_>, first: Vec<u8>) -> Result<(), String> {
     let (mut next, stream) = (first, lines.stream());
     loop {
-        if let Ok(FromAudited::Audited(report)) = serde_json::from_slice(&next) {
+        if let Ok(ProcessMessage::Report(report)) = serde_json::from_slice(&next) {
             let answer = audited(service, &report).await?;
-            let elsewhere = matches!(answer, ToAudited::Elsewhere { .. });
+            let elsewhere = matches!(answer, KeeperMessage::NotLeader { .. });
             say(stream, &answer).await?;
             if elsewhere {
                 return Ok(());
@@ -395,22 +395,25 @@
         if let Some(answer) = service.of_group(&next) {
             return say(stream, &answer).await;
         }
-        let answer = match serde_json::from_slice::<Call>(&next) {
+        let answer = match serde_json::from_slice::<OperatorRequest>(&next) {
             Ok(call) => {
                 let now = service.now();
-                service.or_elsewhere(|keep| keep.call(&call, now), |serves| Answer::Elsewhere { serves })
+                service.or_elsewhere(
+                    |keep| keep.answer_operator(&call, now),
+                    |serves| OperatorResponse::NotLeader { leader_address: serves },
+                )
             }
-            Err(why) => Answer::Refused(format!("the call can't be read: {why}")),
+            Err(why) => OperatorResponse::Refused(format!("the call can't be read: {why}")),
         };
         return say(stream, &answer).await;
     }
 }
 
 /// A report is answered once all that is new in it is safe.
-async fn audited(service: &Service, report: &Report) -> Result<ToAudited, String> {
-    let elsewhere = |serves| ToAudited::Elsewhere { serves };
+async fn audited(service: &Service, report: &Report) -> Result<KeeperMessage, String> {
+    let elsewhere = |serves| KeeperMessage::NotLeader { leader_address: serves };
     let now = service.now();
-    let Some(new) = service.with(|keep| keep.hear(report, now)) else {
+    let Some(new) = service.with(|keep| keep.on_report(report, now)) else {
         return Ok(elsewhere(service.council.elsewhere()));
     };
     if !new.is_empty() {
@@ -418,5 +421,5 @@
         service.hosted.safe().await?;
     }
     let now = service.now();
-    Ok(service.or_elsewhere(|keep| keep.answer(report, now), elsewhere))
+    Ok(service.or_elsewhere(|keep| keep.answer_report(report, now), elsewhere))
 }
--- a/crates/keeper/tests/stores.rs
+++ b/crates/keeper/tests/stores.rs
@@ -2,7 +2,7 @@
 use harestage::time::Moment;
 use harestage_audit::chain::{Link, Outcome};
 use harestage_audit::record::Recorder;
-use harestage_audit::stamp::Goes;
+use harestage_audit::stamp::Versions;
 use harestage_keeper::columns;
 use harestage_keeper::store::Store;
 use std::collections::BTreeSet;
@@ -27,15 +27,15 @@
 
 fn links(member: &str, many: u64) -> Vec<Link> {
     let at = |ms: u64| Moment::at_micros(ms * 1_000);
-    let goes = Goes { build: "1".into(), shape: 4, purge: 2, ..Goes::default() };
-    let mut recorder = Recorder::begin(member, 1, vec!["clip".into(), "page".into()], goes, None, at(0));
+    let goes = Versions { build: "1".into(), shape: 4, purge: 2, ..Versions::default() };
+    let mut recorder = Recorder::new(member, 1, vec!["clip".into(), "page".into()], goes, None, at(0));
     let mut links = Vec::new();
     for second in 0..many {
         (0..7).for_each(|n| {
-            recorder.ended(n % 2, Outcome::Fulfilled, second * 7 + n as u64, at(second * 1_000))
+            recorder.download_ended(n % 2, Outcome::Fulfilled, second * 7 + n as u64, at(second * 1_000))
         });
-        recorder.beat(at(second * 1_000 + 1_000));
-        links.extend(recorder.due());
+        recorder.tick(at(second * 1_000 + 1_000));
+        links.extend(recorder.pending_links());
         recorder.acknowledged(1, u64::MAX);
     }
     // The first of them says that it began.
@@ -91,8 +91,8 @@
 /// A crash after the file has its name and before the log is shortened: the links are in both, and count once.
 #[test]
 fn links_that_are_in_the_log_and_in_a_file_count_once() {
-    use harestage_audit::file::{File, Taken};
-    use harestage_audit::owes::Owed;
+    use harestage_audit::history::{History, LinkOutcome};
+    use harestage_audit::obligations::Obligations;
     let scratch = Scratch::new("both");
     let all = links("router-1", 12);
     let (mut store, _) = Store::open(&scratch.0).unwrap();
@@ -103,8 +103,11 @@
     std::fs::write(path, columns::write(&all).unwrap()).unwrap();
     let (_, held) = Store::open(&scratch.0).unwrap();
     assert_eq!(held.len(), 24);
-    let (mut file, owed) = (File::default(), Owed::default());
-    let taken = held.iter().filter(|link| file.take(link, &owed, Moment::at_micros(1)) == Taken::New).count();
+    let (mut file, owed) = (History::default(), Obligations::default());
+    let taken = held
+        .iter()
+        .filter(|link| file.add_link(link, &owed, Moment::at_micros(1)) == LinkOutcome::New)
+        .count();
     assert_eq!((taken, file.summary().links, file.summary().gaps.len()), (12, 12, 0));
 }
 
--- a/crates/measure/src/audit.rs
+++ b/crates/measure/src/audit.rs
@@ -6,11 +6,11 @@
 use crate::three::Three;
 use harestage::time::Moment;
 use harestage_audit::chain::{Body, Link, Outcome};
-use harestage_audit::file::{File, Taken};
-use harestage_audit::lines::{Bring, FromAudited, Report, Role, ToAudited, line};
-use harestage_audit::owes::{Owed, SHAPE};
+use harestage_audit::history::{History, LinkOutcome};
+use harestage_audit::messages::{KeeperMessage, ProcessMessage, Report, Role, Update, to_line};
+use harestage_audit::obligations::{Obligations, SHAPE_GRACE};
 use harestage_audit::record::Recorder;
-use harestage_audit::stamp::{Goes, Stamp};
+use harestage_audit::stamp::{Stamp, Versions};
 use harestage_fleet::Fleet;
 use harestage_fleet::scenario::{ProcessForm, Runs, WayForm};
 use harestage_fleet::timeline::Entry;
@@ -271,15 +271,15 @@
         Moment::at_micros(unix.as_micros() as u64)
     };
     let member = format!("many-{n}");
-    let goes = |shape: u64| Goes { build: "many".into(), shape, ..Goes::default() };
-    let mut recorder = Recorder::begin(&member, 1, vec!["clip".into()], goes(1), None, now());
-    (0..200u64).for_each(|id| recorder.ended(0, Outcome::Fulfilled, id, now()));
+    let goes = |shape: u64| Versions { build: "many".into(), shape, ..Versions::default() };
+    let mut recorder = Recorder::new(&member, 1, vec!["clip".into()], goes(1), None, now());
+    (0..200u64).for_each(|id| recorder.download_ended(0, Outcome::Fulfilled, id, now()));
     let stream = TcpStream::connect_timeout(&keeper, Duration::from_secs(2)).map_err(told)?;
     stream.set_read_timeout(Some(Duration::from_secs(10))).map_err(told)?;
     let mut lines = BufReader::new(stream.try_clone().map_err(told)?);
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_secs(25) {
-        recorder.beat(now());
+        recorder.tick(now());
         let report = Report {
             member: member.clone(),
             start: 1,
@@ -287,23 +287,23 @@
             site: format!("br-{}", ["east", "west", "north"][n % 3]),
             now_ms: now().micros() / 1_000,
             stamp: recorder.stamp(),
-            links: recorder.due(),
-            refuses: None,
+            links: recorder.pending_links(),
+            rejected: None,
         };
-        (&stream).write_all(&line(&FromAudited::Audited(Box::new(report)))).map_err(told)?;
+        (&stream).write_all(&to_line(&ProcessMessage::Report(Box::new(report)))).map_err(told)?;
         let mut answer = String::new();
         lines.read_line(&mut answer).map_err(told)?;
-        let ToAudited::Ack { start, upto, bring, .. } =
+        let KeeperMessage::Ack { start, upto, update: bring, .. } =
             serde_json::from_str(&answer).map_err(|why| why.to_string())?
         else {
             return Err("the keeper does not speak".into());
         };
         recorder.acknowledged(start, upto);
-        if let Some(Bring::Listing { event }) = bring {
+        if let Some(Update::Membership { event }) = bring {
             let event: Value = serde_json::from_str(&event).map_err(|why| why.to_string())?;
-            recorder.goes_by(goes(event["version"].as_u64().unwrap_or(1)), now());
+            recorder.set_versions(goes(event["version"].as_u64().unwrap_or(1)), now());
         }
-        if recorder.goes().shape > 1 && recorder.is_told() {
+        if recorder.versions().shape > 1 && recorder.is_fully_acknowledged() {
             return Ok(());
         }
         std::thread::sleep(Duration::from_millis(200));
@@ -342,7 +342,7 @@
     figures.set("liars_found", audited.liars_found as f64);
     figures.set("liars_missed", 2.0 - audited.liars_found as f64);
     let past = |played: &Played| -> f64 {
-        let bound = played.due_ms + SHAPE.forbidden.as_micros() as f64 / 1e3;
+        let bound = played.due_ms + SHAPE_GRACE.forbidden_after.as_micros() as f64 / 1e3;
         let acts = played.entries.iter().filter(|e| e.says == "acts" && e.at_ms > bound + 250.0);
         let old = |e: &&Entry| {
             e.text("stamp").parse::<Stamp>().is_ok_and(|stamp| stamp.shape > 0 && stamp.shape < played.due)
@@ -380,8 +380,8 @@
 fn told(links: &[Link]) -> Many {
     let mut told = BTreeMap::new();
     for link in links.iter().filter(|link| link.member.starts_with("router-")) {
-        if let Body::Span(span) = &link.body {
-            *told.entry((link.member.clone(), span.stamp)).or_insert(0) += span.many();
+        if let Body::Interval(span) = &link.body {
+            *told.entry((link.member.clone(), span.stamp)).or_insert(0) += span.download_count();
         }
     }
     told
@@ -390,9 +390,9 @@
 fn fulfilled(links: &[Link]) -> Many {
     let mut many = BTreeMap::new();
     for link in links.iter().filter(|link| link.member.starts_with("router-")) {
-        if let Body::Span(span) = &link.body {
+        if let Body::Interval(span) = &link.body {
             let good = span.downloads.iter().filter(|count| count.outcome == Outcome::Fulfilled);
-            *many.entry((link.member.clone(), span.stamp)).or_insert(0) += good.map(|c| c.many).sum::<u64>();
+            *many.entry((link.member.clone(), span.stamp)).or_insert(0) += good.map(|c| c.count).sum::<u64>();
         }
     }
     many
@@ -402,31 +402,37 @@
 fn costs(figures: &mut Figures) {
     const DOWNLOADS: u64 = 1_000_000;
     let at = |n: u64| Moment::at_micros(1_000_000 + n * 1_000);
-    let goes = Goes { build: "1".into(), shape: 3, ..Goes::default() };
+    let goes = Versions { build: "1".into(), shape: 3, ..Versions::default() };
     let contents: Vec<String> = ["clip", "page", "filing"].map(String::from).to_vec();
-    let mut recorder = Recorder::begin("router-1", 1, contents, goes, None, at(0));
+    let mut recorder = Recorder::new("router-1", 1, contents, goes, None, at(0));
     let (mut links, mut spent) = (Vec::new(), Duration::ZERO);
     let mut hashed = 0x9e37_79b9_7f4a_7c15u64;
     for batch in 0..DOWNLOADS / 1_000 {
         let begun = Instant::now();
         for n in batch * 1_000..(batch + 1) * 1_000 {
             hashed = hashed.wrapping_mul(0xbf58_476d_1ce4_e5b9).wrapping_add(n);
-            recorder.pulled("s-0", at(n));
-            recorder.ended_under(recorder.stamp_no(), (n % 3) as usize, Outcome::Fulfilled, hashed, at(n));
+            recorder.pull_sent("s-0", at(n));
+            recorder.download_ended_under(
+                recorder.stamp_sequence(),
+                (n % 3) as usize,
+                Outcome::Fulfilled,
+                hashed,
+                at(n),
+            );
         }
-        recorder.beat(at((batch + 1) * 1_000));
+        recorder.tick(at((batch + 1) * 1_000));
         spent += begun.elapsed();
-        links.extend(recorder.due());
+        links.extend(recorder.pending_links());
         recorder.acknowledged(1, u64::MAX);
     }
     figures.set("record_ns", spent.as_secs_f64() * 1e9 / DOWNLOADS as f64);
-    let json: usize = links.iter().map(|link| line(link).len()).sum();
+    let json: usize = links.iter().map(|link| to_line(link).len()).sum();
     let parquet = columns::write(&links).map_or(f64::NAN, |bytes| bytes.len() as f64);
     figures.set("bytes_per_million", parquet);
     figures.set("json_bytes_per_million", json as f64);
     let begun = Instant::now();
-    let (mut file, owed) = (File::default(), Owed::default());
-    links.iter().for_each(|link| assert_eq!(file.take(link, &owed, at(DOWNLOADS)), Taken::New));
+    let (mut file, owed) = (History::default(), Obligations::default());
+    links.iter().for_each(|link| assert_eq!(file.add_link(link, &owed, at(DOWNLOADS)), LinkOutcome::New));
     figures.set("links_per_s", links.len() as f64 / begun.elapsed().as_secs_f64());
     let mark = [",by=router-west-1", ",for=br-west", ",goes=0123456789abcdef.82.17"].concat();
     figures.set("mark_bytes", mark.len() as f64);
@@ -435,21 +441,23 @@
 /// Records that are altered in every way that a row can be, each in a file of its own among good ones.
 fn tampering(figures: &mut Figures) {
     let at = |ms: u64| Moment::at_micros(1_000_000 + ms * 1_000);
-    let mut recorder = Recorder::begin("router-1", 1, vec!["clip".into()], Goes::default(), None, at(0));
+    let mut recorder = Recorder::new("router-1", 1, vec!["clip".into()], Versions::default(), None, at(0));
     for second in 0..30u64 {
-        (0..40).for_each(|n| recorder.ended(0, Outcome::Fulfilled, second * 40 + n, at(second * 1_000)));
-        recorder.beat(at(second * 1_000 + 1_000));
+        (0..40).for_each(|n| {
+            recorder.download_ended(0, Outcome::Fulfilled, second * 40 + n, at(second * 1_000))
+        });
+        recorder.tick(at(second * 1_000 + 1_000));
     }
-    let links = recorder.due();
+    let links = recorder.pending_links();
     type Change = fn(&mut Link);
     let changes: [Change; 5] = [
         |link| link.at_ms += 1,
         |link| link.number += 1,
         |link| link.start += 1,
-        |link| link.before = "0".repeat(64),
+        |link| link.previous_hash = "0".repeat(64),
         |link| {
-            if let Body::Span(span) = &mut link.body {
-                span.downloads[0].many += 1;
+            if let Body::Interval(span) = &mut link.body {
+                span.downloads[0].count += 1;
             } else {
                 link.member = "router-2".into();
             }
@@ -470,11 +478,18 @@
     for n in 0..links.len() - 1 {
         let mut altered = links.clone();
         let old = &links[n];
-        altered[n] =
-            Link::new(&old.member, old.start, old.number, &old.before, old.at_ms + 1, old.body.clone());
-        let (mut file, owed) = (File::default(), Owed::default());
-        let refused =
-            altered.iter().any(|link| matches!(file.take(link, &owed, at(60_000)), Taken::Refused(_)));
+        altered[n] = Link::new(
+            &old.member,
+            old.start,
+            old.number,
+            &old.previous_hash,
+            old.at_ms + 1,
+            old.body.clone(),
+        );
+        let (mut file, owed) = (History::default(), Obligations::default());
+        let refused = altered
+            .iter()
+            .any(|link| matches!(file.add_link(link, &owed, at(60_000)), LinkOutcome::Rejected(_)));
         tampered += 1;
         found += usize::from(refused);
     }
--- a/crates/measure/src/capacity/slopes.rs
+++ b/crates/measure/src/capacity/slopes.rs
@@ -6,11 +6,11 @@
 use harestage::door::{Content, Event, Order, ServiceProfile};
 use harestage::state::*;
 use harestage::time::{Moment, Span};
-use harestage_audit::acting::{Acting, Who};
 use harestage_audit::chain::Outcome;
-use harestage_audit::keep::Keep;
-use harestage_audit::lines::{FromAudited, Role as Audited, line as audit_line};
-use harestage_audit::stamp::Goes;
+use harestage_audit::keeper::KeeperState;
+use harestage_audit::messages::{ProcessMessage, Role as Audited, to_line as audit_line};
+use harestage_audit::process::{AuditedProcess, ProcessIdentity};
+use harestage_audit::stamp::Versions;
 use harestage_branch::board::{Board, Saying};
 use harestage_keeper::store::Store;
 use harestage_purge::follow::{Act, Follower};
@@ -296,31 +296,31 @@
     ])
 }
 
-fn goes(purge: u64) -> Goes {
-    Goes { build: "0.1.0".into(), settings: 7, shape: 1, purge, term: 1, ..Goes::default() }
+fn goes(purge: u64) -> Versions {
+    Versions { build: "0.1.0".into(), settings: 7, shape: 1, purge, term: 1, ..Versions::default() }
 }
 
-fn acting(n: usize, now: Moment) -> Acting {
-    let who = Who {
+fn acting(n: usize, now: Moment) -> AuditedProcess {
+    let who = ProcessIdentity {
         member: format!("router-{n}"),
         start: 1,
         role: Audited::Router,
         site: format!("br-{n}"),
         place: format!("br-{n}"),
     };
-    Acting::begin(who, vec!["clip".into()], goes(0), now)
+    AuditedProcess::new(who, vec!["clip".into()], goes(0), now)
 }
 
 /// Downloads that end, with purges that come among them, each at its place.
-fn count(acting: &mut Acting, downloads: u64, purges: u64, has: u64, id: &mut u64, now: Moment) {
+fn count(acting: &mut AuditedProcess, downloads: u64, purges: u64, has: u64, id: &mut u64, now: Moment) {
     let mut applied = 0;
     for n in 1..=downloads {
         *id += 1;
         while applied < purges && n * purges >= (applied + 1) * downloads {
             applied += 1;
-            acting.goes_by(goes(has + applied), now);
+            acting.set_versions(goes(has + applied), now);
         }
-        acting.ended(0, Outcome::Fulfilled, mixed(*id), now);
+        acting.download_ended(0, Outcome::Fulfilled, mixed(*id), now);
     }
 }
 
@@ -342,12 +342,12 @@
             let due = purges * step * REPORTS_EVERY.as_micros() / 1_000_000;
             count(&mut acting, upto - id, due - last_purge, last_purge, &mut id, now);
             last_purge = due;
-            acting.beat(now);
+            acting.tick(now);
             let report = acting.report(now);
             links += report.links.len();
             waits = waits.max(report.links.len());
             let upto = report.links.last().map(|link| link.number);
-            bytes += audit_line(&FromAudited::Audited(Box::new(report))).len();
+            bytes += audit_line(&ProcessMessage::Report(Box::new(report))).len();
             upto.into_iter().for_each(|upto| acting.recorder().acknowledged(1, upto));
         }
         found.insert(format!("bytes_a_second_{label}"), bytes as f64 / SECONDS as f64);
@@ -366,8 +366,8 @@
     const DOWNLOADS: u64 = REQUESTS_A_ROUTER / 5;
     let scratch = crate::rig::Scratch::new();
     let (mut store, _) = Store::open(&scratch.file("store")).expect("a store");
-    let (mut keep, _) = Keep::open(&[], BEGIN);
-    let mut routers: Vec<Acting> = (0..routers).map(|n| acting(n, BEGIN)).collect();
+    let (mut keep, _) = KeeperState::open(&[], BEGIN);
+    let mut routers: Vec<AuditedProcess> = (0..routers).map(|n| acting(n, BEGIN)).collect();
     let (mut reports, mut links, mut kept_bytes, mut in_bytes) = (0u64, 0u64, 0u64, 0u64);
     let (mut hear, mut disk) = (std::time::Duration::ZERO, std::time::Duration::ZERO);
     let (mut id, mut purge) = (0u64, 0u64);
@@ -378,16 +378,16 @@
         let mut sent = Vec::new();
         for acting in &mut routers {
             count(acting, DOWNLOADS, due - purge, purge, &mut id, now);
-            acting.beat(now);
-            sent.push(audit_line(&FromAudited::Audited(Box::new(acting.report(now)))));
+            acting.tick(now);
+            sent.push(audit_line(&ProcessMessage::Report(Box::new(acting.report(now)))));
         }
         purge = due;
         for (text, acting) in sent.iter().zip(&mut routers) {
             in_bytes += text.len() as u64;
             let begun = Busy::now();
-            let Ok(FromAudited::Audited(report)) = serde_json::from_slice(text) else { continue };
-            keep.purges(due, now);
-            let new = keep.hear(&report, now);
+            let Ok(ProcessMessage::Report(report)) = serde_json::from_slice(text) else { continue };
+            keep.purges_published(due, now);
+            let new = keep.on_report(&report, now);
             hear += begun.elapsed();
             let begun = Busy::now();
             store.append(&new).expect("it is kept");
@@ -395,14 +395,14 @@
             kept_bytes +=
                 new.iter().map(|link| serde_json::to_vec(link).unwrap_or_default().len() as u64).sum::<u64>();
             let begun = Busy::now();
-            let answer = keep.answer(&report, now);
+            let answer = keep.answer_report(&report, now);
             black_box(audit_line(&answer));
             hear += begun.elapsed();
             (reports, links) = (reports + 1, links + new.len() as u64);
-            acting.answered(answer, now);
+            acting.on_answer(answer, now);
         }
         let begun = Busy::now();
-        drop(keep.beat(now));
+        drop(keep.tick(now));
         hear += begun.elapsed();
         let begun = Busy::now();
         store.sync().expect("it is kept");
--- a/crates/measure/src/purge.rs
+++ b/crates/measure/src/purge.rs
@@ -7,7 +7,7 @@
 use harestage_purge::lines::{Answer, Call, line};
 use harestage_purge::scope::{Facts, Scope};
 use harestage_purger::Purger;
-use harestage_segments::faulty::Disk;
+use harestage_segments::simulated::SimulatedDisk;
 use harestage_segments::{Folder, Log};
 use harestage_shape::form::ShapeForm;
 use harestage_standins::{Archive, ArchiveScript, Caller, Fault, Link, pull};
@@ -171,7 +171,9 @@
     let (mut tried, mut lost) = (0u64, 0u64);
     let steps = if quick { 120 } else { 600 };
     for dies_at in 4..steps {
-        let Ok((mut log, _)) = Log::open(Disk::new().dying(dies_at), 700) else { continue };
+        let Ok((mut log, _)) = Log::open(SimulatedDisk::new().losing_power_after(dies_at), 700) else {
+            continue;
+        };
         let mut kept = 0;
         for n in 0..400 {
             if log.append(&record(n)).is_err() {
@@ -183,7 +185,7 @@
             }
         }
         let found = Log::open(log.into_files().after_crash(dies_at), 700);
-        let came_back = found.map(|(log, _)| log.kept()).unwrap_or(0);
+        let came_back = found.map(|(log, _)| log.last_synced()).unwrap_or(0);
         tried += 1;
         lost += u64::from(came_back < kept);
     }
--- a/crates/restart/src/lib.rs
+++ b/crates/restart/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`trust`]: what each kind of process trusts of what it finds, in one table from which the page's is printed.
 //! - [`stage`]: a start as named stages, each with the reason why it waits and a bound on that.
-//! - [`pace`]: how fast a hub that starts may fetch, and what for, by what the archive proves to bear.
-pub mod pace;
+//! - [`ramp`]: how fast a hub that starts may fetch, and what for, by what the archive proves to bear.
+pub mod ramp;
 pub mod stage;
 pub mod trust;
--- a/crates/restart/src/pace.rs
+++ b/crates/restart/src/ramp.rs
@@ -6,7 +6,7 @@
 use harestage::time::{Moment, Span};
 
 /// The share of its part that a hub begins with.
-pub const FIRST: f64 = 0.1;
+pub const INITIAL_SHARE: f64 = 0.1;
 /// By which it grows in a second of good answers, and to which it shrinks at a bad one.
 const GROWS: f64 = 1.6;
 const SHRINKS: f64 = 0.5;
@@ -22,58 +22,58 @@
 
 /// What the archive has proved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bears {
+pub enum ArchiveCapacity {
     None,
-    Some,
-    All,
+    Partial,
+    Full,
 }
 
 #[derive(Clone)]
-pub struct Pace {
+pub struct FetchRamp {
     share: f64,
     quickest: Option<f64>,
     times: Ring,
-    failed: Ring,
+    failures: Ring,
     next: Moment,
-    bears: Bears,
+    archive_capacity: ArchiveCapacity,
     /// Something was held back since the last step.
     held_back: bool,
 }
 
-impl Pace {
-    pub fn begin(now: Moment) -> Pace {
+impl FetchRamp {
+    pub fn new(now: Moment) -> FetchRamp {
         let ring = || Ring::new(Span::millis(250), 4);
-        Pace {
-            share: FIRST,
+        FetchRamp {
+            share: INITIAL_SHARE,
             quickest: None,
             times: ring(),
-            failed: ring(),
+            failures: ring(),
             next: now + STEP,
-            bears: Bears::Some,
+            archive_capacity: ArchiveCapacity::Partial,
             held_back: false,
         }
     }
 
     /// What a fetch usually took before; it is only compared with.
-    pub fn usually(&mut self, seconds: f64) {
+    pub fn set_usual_fetch_time(&mut self, seconds: f64) {
         if seconds > 0.0 {
             self.quickest = Some(seconds);
         }
     }
 
     /// A fetch was answered well.
-    pub fn answered(&mut self, seconds: f64, now: Moment) {
+    pub fn on_answer(&mut self, seconds: f64, now: Moment) {
         self.times.add(now, seconds);
         self.quickest = Some(self.quickest.map_or(seconds, |quickest| quickest.min(seconds)));
     }
 
     /// A fetch was refused, or got no answer.
-    pub fn failed(&mut self, now: Moment) {
-        self.failed.add(now, 1.0);
+    pub fn on_failure(&mut self, now: Moment) {
+        self.failures.add(now, 1.0);
     }
 
     /// More was wanted than the share lets.
-    pub fn holds_back(&mut self) {
+    pub fn on_fetch_withheld(&mut self) {
         self.held_back = true;
     }
 
@@ -82,39 +82,41 @@
         self.share
     }
 
-    pub fn bears(&self) -> Bears {
-        self.bears
+    pub fn archive_capacity(&self) -> ArchiveCapacity {
+        self.archive_capacity
     }
 
     /// To be called some times a second.
-    pub fn beat(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Moment) {
         if now < self.next {
             return;
         }
         self.next = now + STEP;
-        let (answers, failed) = (self.times.count(now), self.failed.count(now));
+        let (answers, failed) = (self.times.count(now), self.failures.count(now));
         let mean = self.times.mean(now).unwrap_or(0.0);
         let slow = mean > (self.quickest.unwrap_or(0.0) * SLOW).max(QUICK * SLOW);
         if failed > answers * 0.2 && failed >= 1.0 || slow && answers >= LEAST {
-            self.share = (self.share * SHRINKS).max(FIRST * 0.5);
-            self.bears = if failed > answers { Bears::None } else { Bears::Some };
+            self.share = (self.share * SHRINKS).max(INITIAL_SHARE * 0.5);
+            self.archive_capacity =
+                if failed > answers { ArchiveCapacity::None } else { ArchiveCapacity::Partial };
         } else if std::mem::take(&mut self.held_back) && answers < LEAST {
             // More is wanted, and too little was answered to prove anything.
         } else {
             // All that was wanted was answered, or enough of it to prove that more is borne.
             self.share = (self.share * GROWS.sqrt()).min(1.0);
-            self.bears = if self.share >= 1.0 { Bears::All } else { Bears::Some };
+            self.archive_capacity =
+                if self.share >= 1.0 { ArchiveCapacity::Full } else { ArchiveCapacity::Partial };
         }
     }
 
     /// Whether a fill of this worth is begun now. `best`: the worth of the best content type.
-    pub fn worthy(&self, worth: f64, best: f64) -> bool {
+    pub fn admits(&self, worth: f64, best: f64) -> bool {
         self.share >= ALL_WORTH || worth >= best * (1.0 - self.share / ALL_WORTH)
     }
 
     /// When somebody who is turned away may come again: spread over the time that the rest of the way up is expected to
     /// take. `chance` is drawn evenly from 0 to 1.
-    pub fn come_again(&self, chance: f64) -> Span {
+    pub fn retry_after(&self, chance: f64) -> Span {
         let steps = (1.0 / self.share).ln().max(0.0) / GROWS.ln();
         let seconds = 0.4 + steps * chance;
         Span::of_seconds(seconds.min(10.0))
--- a/crates/restart/src/trust.rs
+++ b/crates/restart/src/trust.rs
@@ -5,7 +5,7 @@
 /// Kinds of processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Who {
+pub enum ProcessKind {
     /// A member of the control service, of the service of purges, or of the keeper.
     Service,
     Hub,
@@ -13,12 +13,13 @@
     Router,
 }
 
-pub const EVERYBODY: [Who; 4] = [Who::Service, Who::Hub, Who::Feed, Who::Router];
+pub const PROCESS_KINDS: [ProcessKind; 4] =
+    [ProcessKind::Service, ProcessKind::Hub, ProcessKind::Feed, ProcessKind::Router];
 
 /// What may be found at a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Thing {
+pub enum StoredItem {
     Log,
     Copies,
     Name,
@@ -32,24 +33,24 @@
     Paces,
 }
 
-pub const EVERYTHING: [Thing; 11] = [
-    Thing::Log,
-    Thing::Copies,
-    Thing::Name,
-    Thing::StartNumber,
-    Thing::LastShape,
-    Thing::SitePlan,
-    Thing::Leases,
-    Thing::ShutOuts,
-    Thing::WallClock,
-    Thing::ColdAge,
-    Thing::Paces,
+pub const STORED_ITEMS: [StoredItem; 11] = [
+    StoredItem::Log,
+    StoredItem::Copies,
+    StoredItem::Name,
+    StoredItem::StartNumber,
+    StoredItem::LastShape,
+    StoredItem::SitePlan,
+    StoredItem::Leases,
+    StoredItem::ShutOuts,
+    StoredItem::WallClock,
+    StoredItem::ColdAge,
+    StoredItem::Paces,
 ];
 
 /// Whose word it takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum By {
+pub enum Authority {
     /// Most members of its group.
     Majority,
     Purges,
@@ -61,120 +62,161 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Trust {
-    AtOnce,
-    Once(By),
+    #[serde(rename = "at_once")]
+    Immediately,
+    #[serde(rename = "once")]
+    ConfirmedBy(Authority),
     Never,
     /// It keeps none.
-    None,
+    #[serde(rename = "none")]
+    NotKept,
 }
 
 /// A line of the table.
 #[derive(Clone, Copy, Debug)]
 pub struct Rule {
-    pub who: Who,
-    pub thing: Thing,
+    pub process: ProcessKind,
+    pub item: StoredItem,
     pub trust: Trust,
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
-const fn rule(who: Who, thing: Thing, trust: Trust, why: &'static str) -> Rule {
-    Rule { who, thing, trust, why }
+const fn rule(who: ProcessKind, thing: StoredItem, trust: Trust, why: &'static str) -> Rule {
+    Rule { process: who, item: thing, trust, reason: why }
 }
 
 /// All of it. What is not named is not kept.
 pub const TABLE: &[Rule] = &[
     rule(
-        Who::Service,
-        Thing::Log,
-        Trust::Once(By::Majority),
+        ProcessKind::Service,
+        StoredItem::Log,
+        Trust::ConfirmedBy(Authority::Majority),
         "others may have agreed on more, and another may lead",
     ),
     rule(
-        Who::Service,
-        Thing::Name,
-        Trust::Once(By::Majority),
+        ProcessKind::Service,
+        StoredItem::Name,
+        Trust::ConfirmedBy(Authority::Majority),
         "a member that lost its disk comes back only as a new one",
     ),
-    rule(Who::Service, Thing::LastShape, Trust::Once(By::Majority), "it is in the log"),
-    rule(Who::Service, Thing::SitePlan, Trust::Never, "plans are made anew from the shape"),
-    rule(Who::Service, Thing::Leases, Trust::Never, "a right to speak is shorter than any start"),
     rule(
-        Who::Service,
-        Thing::ShutOuts,
-        Trust::Once(By::Majority),
+        ProcessKind::Service,
+        StoredItem::LastShape,
+        Trust::ConfirmedBy(Authority::Majority),
+        "it is in the log",
+    ),
+    rule(ProcessKind::Service, StoredItem::SitePlan, Trust::Never, "plans are made anew from the shape"),
+    rule(
+        ProcessKind::Service,
+        StoredItem::Leases,
+        Trust::Never,
+        "a right to speak is shorter than any start",
+    ),
+    rule(
+        ProcessKind::Service,
+        StoredItem::ShutOuts,
+        Trust::ConfirmedBy(Authority::Majority),
         "they are in the keeper's log, and end by themselves",
     ),
-    rule(Who::Service, Thing::WallClock, Trust::AtOnce, "it numbers by terms; its times only bound"),
     rule(
-        Who::Hub,
-        Thing::Log,
-        Trust::AtOnce,
+        ProcessKind::Service,
+        StoredItem::WallClock,
+        Trust::Immediately,
+        "it numbers by terms; its times only bound",
+    ),
+    rule(
+        ProcessKind::Hub,
+        StoredItem::Log,
+        Trust::Immediately,
         "the index of its copies, by its checksums; what is torn is dropped",
     ),
-    rule(Who::Hub, Thing::Copies, Trust::Once(By::Purges), "what was purged meanwhile must not go out"),
-    rule(Who::Hub, Thing::Name, Trust::AtOnce, "it stands in its file"),
-    rule(Who::Hub, Thing::StartNumber, Trust::Never, "each start has one that no other had"),
     rule(
-        Who::Hub,
-        Thing::LastShape,
-        Trust::Once(By::Control),
+        ProcessKind::Hub,
+        StoredItem::Copies,
+        Trust::ConfirmedBy(Authority::Purges),
+        "what was purged meanwhile must not go out",
+    ),
+    rule(ProcessKind::Hub, StoredItem::Name, Trust::Immediately, "it stands in its file"),
+    rule(ProcessKind::Hub, StoredItem::StartNumber, Trust::Never, "each start has one that no other had"),
+    rule(
+        ProcessKind::Hub,
+        StoredItem::LastShape,
+        Trust::ConfirmedBy(Authority::Control),
         "the one in its file, if any, until a service speaks",
     ),
-    rule(Who::Hub, Thing::Leases, Trust::Never, "its part of the archive's gate begins at the floor"),
     rule(
-        Who::Hub,
-        Thing::WallClock,
-        Trust::Once(By::Archive),
+        ProcessKind::Hub,
+        StoredItem::Leases,
+        Trust::Never,
+        "its part of the archive's gate begins at the floor",
+    ),
+    rule(
+        ProcessKind::Hub,
+        StoredItem::WallClock,
+        Trust::ConfirmedBy(Authority::Archive),
         "until then no copy on disk counts as fresh by its age",
     ),
-    rule(Who::Hub, Thing::ColdAge, Trust::Never, "it starts cold, whatever it holds"),
-    rule(Who::Hub, Thing::Paces, Trust::AtOnce, "what a fill usually takes; it is only compared with"),
-    rule(Who::Feed, Thing::Name, Trust::AtOnce, "it stands in its file"),
-    rule(Who::Feed, Thing::StartNumber, Trust::Never, "each start has one that no other had"),
-    rule(Who::Router, Thing::Name, Trust::AtOnce, "it stands in its file"),
-    rule(Who::Router, Thing::StartNumber, Trust::Never, "each start has one that no other had"),
-    rule(Who::Router, Thing::Leases, Trust::Never, "the first lasts until the keeper's first answer"),
-    rule(Who::Router, Thing::Paces, Trust::Never, "routers begin again from nothing"),
+    rule(ProcessKind::Hub, StoredItem::ColdAge, Trust::Never, "it starts cold, whatever it holds"),
+    rule(
+        ProcessKind::Hub,
+        StoredItem::Paces,
+        Trust::Immediately,
+        "what a fill usually takes; it is only compared with",
+    ),
+    rule(ProcessKind::Feed, StoredItem::Name, Trust::Immediately, "it stands in its file"),
+    rule(ProcessKind::Feed, StoredItem::StartNumber, Trust::Never, "each start has one that no other had"),
+    rule(ProcessKind::Router, StoredItem::Name, Trust::Immediately, "it stands in its file"),
+    rule(ProcessKind::Router, StoredItem::StartNumber, Trust::Never, "each start has one that no other had"),
+    rule(
+        ProcessKind::Router,
+        StoredItem::Leases,
+        Trust::Never,
+        "the first lasts until the keeper's first answer",
+    ),
+    rule(ProcessKind::Router, StoredItem::Paces, Trust::Never, "routers begin again from nothing"),
 ];
 
 /// What `who` trusts of it.
-pub fn trust(who: Who, thing: Thing) -> Trust {
-    TABLE.iter().find(|rule| rule.who == who && rule.thing == thing).map_or(Trust::None, |rule| rule.trust)
+pub fn trust(who: ProcessKind, thing: StoredItem) -> Trust {
+    TABLE
+        .iter()
+        .find(|rule| rule.process == who && rule.item == thing)
+        .map_or(Trust::NotKept, |rule| rule.trust)
 }
 
 /// The table as the page has it.
 pub fn markdown() -> String {
     let mut text = String::from("| process | what it finds | trusted | since |\n| --- | --- | --- | --- |\n");
     for rule in TABLE {
-        let who = match rule.who {
-            Who::Service => "service member",
-            Who::Hub => "hub",
-            Who::Feed => "branch feed",
-            Who::Router => "router",
+        let who = match rule.process {
+            ProcessKind::Service => "service member",
+            ProcessKind::Hub => "hub",
+            ProcessKind::Feed => "branch feed",
+            ProcessKind::Router => "router",
         };
-        let thing = match rule.thing {
-            Thing::Log => "log",
-            Thing::Copies => "copies",
-            Thing::Name => "own name",
-            Thing::StartNumber => "start number",
-            Thing::LastShape => "last shape",
-            Thing::SitePlan => "site plans",
-            Thing::Leases => "leases",
-            Thing::ShutOuts => "shut-outs",
-            Thing::WallClock => "wall clock",
-            Thing::ColdAge => "cold age",
-            Thing::Paces => "usual times",
+        let thing = match rule.item {
+            StoredItem::Log => "log",
+            StoredItem::Copies => "copies",
+            StoredItem::Name => "own name",
+            StoredItem::StartNumber => "start number",
+            StoredItem::LastShape => "last shape",
+            StoredItem::SitePlan => "site plans",
+            StoredItem::Leases => "leases",
+            StoredItem::ShutOuts => "shut-outs",
+            StoredItem::WallClock => "wall clock",
+            StoredItem::ColdAge => "cold age",
+            StoredItem::Paces => "usual times",
         };
         let trust = match rule.trust {
-            Trust::AtOnce => "at once",
-            Trust::Once(By::Majority) => "once most members agree",
-            Trust::Once(By::Purges) => "once the service of purges has told all",
-            Trust::Once(By::Control) => "until the control service tells another",
-            Trust::Once(By::Archive) => "once a fetch has shown the archive's time",
+            Trust::Immediately => "at once",
+            Trust::ConfirmedBy(Authority::Majority) => "once most members agree",
+            Trust::ConfirmedBy(Authority::Purges) => "once the service of purges has told all",
+            Trust::ConfirmedBy(Authority::Control) => "until the control service tells another",
+            Trust::ConfirmedBy(Authority::Archive) => "once a fetch has shown the archive's time",
             Trust::Never => "never",
-            Trust::None => "not kept",
+            Trust::NotKept => "not kept",
         };
-        text += &format!("| {who} | {thing} | {trust} | {} |\n", rule.why);
+        text += &format!("| {who} | {thing} | {trust} | {} |\n", rule.reason);
     }
     text
 }
--- a/crates/seats/src/disk.rs
+++ b/crates/seats/src/disk.rs
@@ -1,5 +1,5 @@
 //! A member's records on the log of `harestage_segments`, and what a service kept there before it was a group.
-use harestage_group::{Seat, StartError};
+use harestage_group::{Replica, StartError};
 use harestage_segments::{Folder, Log, LogError};
 use std::fmt;
 use std::io;
@@ -77,7 +77,7 @@
         return Ok(Opened { log, records: Vec::new(), old: Some(data), was_old });
     }
     let mut all = match snapshot {
-        Some(whole) => Seat::read_whole(whole).ok_or_else(|| CouncilError::Old {
+        Some(whole) => Replica::decode_snapshot(whole).ok_or_else(|| CouncilError::Old {
             path: path.into(),
             why: "the snapshot can't be read".into(),
         })?,
--- a/crates/seats/src/lib.rs
+++ b/crates/seats/src/lib.rs
@@ -18,7 +18,7 @@
 use event_listener::Event;
 use futures_lite::future::or;
 use harestage::time::Moment;
-use harestage_group::{Agreed, ElsewhereError, Member, Seat, SeatStatus, Start, Turn};
+use harestage_group::{CommittedEntry, Member, NotLeaderError, Replica, ReplicaStatus, Start, StepOutput};
 use harestage_segments::{Folder, Log};
 use harestage_sockets::Spawner;
 use harestage_sockets::clock::Clock;
@@ -54,8 +54,8 @@
         let member = Member {
             name: name.into(),
             site: String::new(),
-            at: String::new(),
-            serves: String::new(),
+            address: String::new(),
+            service_address: String::new(),
             incarnation: 0,
         };
         CouncilStart { name: name.into(), incarnation: 0, listen: None, founders: vec![member] }
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 pub enum News {
     /// Something was agreed on, whoever wanted it.
-    Agreed(Agreed),
+    Agreed(CommittedEntry),
     /// All that was agreed on was taken over whole: see [`Council::data`].
     Replaced,
     /// This member leads from now on, and has all that was agreed on before.
@@ -80,7 +80,7 @@
 const MOST_CALLERS: usize = 16;
 
 pub struct Council {
-    seat: RefCell<Seat>,
+    seat: RefCell<Replica>,
     disk: RefCell<Log<Folder>>,
     posts: RefCell<BTreeMap<u64, Rc<Post>>>,
     news: RefCell<VecDeque<News>>,
@@ -115,7 +115,7 @@
         };
         let number = rand::random();
         let (name, incarnation) = (&start.name, start.incarnation);
-        let seat = Seat::open(name, incarnation, &opened.records, begin, number, clock.now())
+        let seat = Replica::open(name, incarnation, &opened.records, begin, number, clock.now())
             .map_err(|why| CouncilError::Start { path: folder.into(), why })?;
         let council = Council {
             seat: RefCell::new(seat),
@@ -134,8 +134,8 @@
         if opened.was_old {
             // The old form must not be read again beside the new one.
             let data = council.data();
-            let turn = council.seat.borrow_mut().turn(clock.now());
-            let whole = council.seat.borrow_mut().write_whole(data);
+            let turn = council.seat.borrow_mut().step(clock.now());
+            let whole = council.seat.borrow_mut().compact(data);
             drop(turn);
             council.keep(&whole).map_err(|why| CouncilError::Log { path: folder.into(), why })?;
         }
@@ -193,7 +193,7 @@
             if self.broken.get() {
                 return;
             }
-            let turn = self.seat.borrow_mut().turn(self.clock.now());
+            let turn = self.seat.borrow_mut().step(self.clock.now());
             if turn.is_empty() {
                 break;
             }
@@ -203,7 +203,7 @@
             }
             self.dispatch(turn);
         }
-        if self.seat.borrow().has_forgotten() {
+        if self.seat.borrow().has_lost_log() {
             error!(self.log, "this disk has lost what it had: the member has to come back as a new one");
             self.end();
         }
@@ -216,7 +216,7 @@
     }
 
     /// On disk when it returns well.
-    fn keep(&self, turn: &Turn) -> Result<(), harestage_segments::LogError> {
+    fn keep(&self, turn: &StepOutput) -> Result<(), harestage_segments::LogError> {
         let mut disk = self.disk.borrow_mut();
         for record in &turn.write {
             disk.append(record)?;
@@ -224,13 +224,13 @@
         if !turn.write.is_empty() {
             disk.sync()?;
         }
-        if let Some(whole) = &turn.whole {
+        if let Some(whole) = &turn.snapshot {
             disk.snapshot(whole)?;
         }
         Ok(())
     }
 
-    fn dispatch(&self, turn: Turn) {
+    fn dispatch(&self, turn: StepOutput) {
         for (to, bytes) in turn.send {
             if let Some(post) = self.posts.borrow().get(&to) {
                 post.push(bytes);
@@ -244,12 +244,12 @@
         if turn.replaced {
             news.push_back(News::Replaced);
         }
-        news.extend(turn.agreed.into_iter().map(News::Agreed));
-        if let Some(term) = turn.leads {
+        news.extend(turn.committed.into_iter().map(News::Agreed));
+        if let Some(term) = turn.became_leader {
             info!(self.log, "leads"; "group_term" => term);
             news.push_back(News::Leads);
         }
-        if turn.members {
+        if turn.members_changed {
             let names: Vec<String> = self.seat.borrow().members().map(|m| m.name.clone()).collect();
             info!(self.log, "members"; "names" => names.join(" "));
             self.changed.notify(usize::MAX);
@@ -257,7 +257,7 @@
     }
 
     fn say_whether_it_speaks(&self, now: Moment) {
-        let (speaks, leads) = (self.seat.borrow().may_speak(now), self.seat.borrow().leads());
+        let (speaks, leads) = (self.seat.borrow().holds_leader_lease(now), self.seat.borrow().is_leader());
         if speaks != self.spoke.replace(speaks) {
             match speaks {
                 true => info!(self.log, "speaks"),
@@ -269,9 +269,9 @@
 
     /// Wants something to be agreed on; it comes back as news. Several go to disk with one sync: [`Council::pump`] follows
     /// the last of them.
-    pub fn want(&self, data: Vec<u8>) -> Result<(), ElsewhereError> {
+    pub fn want(&self, data: Vec<u8>) -> Result<(), NotLeaderError> {
         if self.broken.get() {
-            return Err(ElsewhereError { leader: None });
+            return Err(NotLeaderError { leader: None });
         }
         self.seat.borrow_mut().propose(data)
     }
@@ -288,7 +288,7 @@
 
     /// Whether this member may tell anyone anything now.
     pub fn may_speak(&self) -> bool {
-        !self.broken.get() && self.seat.borrow().may_speak(self.clock.now())
+        !self.broken.get() && self.seat.borrow().holds_leader_lease(self.clock.now())
     }
 
     pub fn is_broken(&self) -> bool {
@@ -297,20 +297,20 @@
 
     /// Where the member that leads serves, as far as it is known and another one.
     pub fn elsewhere(&self) -> Option<String> {
-        self.seat.borrow().elsewhere().leader.map(|leader| leader.serves)
+        self.seat.borrow().not_leader().leader.map(|leader| leader.service_address)
     }
 
-    pub fn status(&self) -> SeatStatus {
+    pub fn status(&self) -> ReplicaStatus {
         self.seat.borrow().status(self.clock.now())
     }
 
     /// Writes the log whole where it has grown, with what `shorten` leaves of the data.
     pub fn tidy(&self, shorten: impl FnOnce(Vec<Vec<u8>>) -> Vec<Vec<u8>>) {
-        if self.broken.get() || !self.seat.borrow().wants_whole() {
+        if self.broken.get() || !self.seat.borrow().needs_compaction() {
             return;
         }
         let data = shorten(self.data());
-        let turn = self.seat.borrow_mut().write_whole(data);
+        let turn = self.seat.borrow_mut().compact(data);
         if let Err(why) = self.keep(&turn) {
             error!(self.log, "log not written"; "why" => %why);
             self.end();
@@ -338,7 +338,7 @@
         let other = |member: &Member| net::Other {
             id: member.id(),
             name: member.name.clone(),
-            at: member.at.clone(),
+            at: member.address.clone(),
         };
         let others: Vec<net::Other> = seat.members().filter(|m| m.id() != seat.id()).map(other).collect();
         if seat.members().next().is_some() {
@@ -364,7 +364,7 @@
     /// Where others reach this member, as they know it; else where it listens.
     fn own_place(&self) -> String {
         let seat = self.seat.borrow();
-        let listed = seat.member(seat.id()).map(|member| member.at.clone());
+        let listed = seat.member(seat.id()).map(|member| member.address.clone());
         listed.or(self.listen.map(|at| at.to_string())).unwrap_or_default()
     }
 
--- a/crates/seats/src/net.rs
+++ b/crates/seats/src/net.rs
@@ -122,7 +122,7 @@
         write_text(stream, b"NOT ME\n", STALL).await?;
         return Err("meant for another member".into());
     }
-    let met = council.seat.borrow_mut().meets(from, disk);
+    let met = council.seat.borrow_mut().verify_disk(from, disk);
     council.pump();
     if !met {
         write_text(stream, b"NOT YOU\n", STALL).await?;
@@ -136,7 +136,7 @@
             continue;
         }
         let now = council.clock.now();
-        council.seat.borrow_mut().step(&frame, now);
+        council.seat.borrow_mut().on_message(&frame, now);
         council.pump();
         council.hand_out(hear);
         if council.is_broken() {
@@ -205,7 +205,7 @@
         if !std::mem::replace(&mut down, true) {
             info!(council.log, "member not reached"; "member" => &other.name, "why" => why, "name" => &council.name);
         }
-        council.seat.borrow_mut().unreachable(other.id);
+        council.seat.borrow_mut().report_unreachable(other.id);
         post.clear();
         Timer::after(PAUSE).await;
     }
@@ -238,7 +238,7 @@
     }
     let number = answer.strip_prefix("DISK ").and_then(|n| u64::from_str_radix(n.trim_end(), 16).ok());
     let number = number.ok_or_else(|| "another member is there".to_string())?;
-    let met = council.seat.borrow_mut().meets(other.id, number);
+    let met = council.seat.borrow_mut().verify_disk(other.id, number);
     council.pump();
     if !met {
         return Err(format!("{} is on another disk than before", other.name).into());
--- a/crates/segments/src/files.rs
+++ b/crates/segments/src/files.rs
@@ -37,7 +37,7 @@
 /// For rigs that take the power away: from now on a folder that this process opens has a second one, which gets what each
 /// sync covers, so that after a kill the first can be laid anew from it. A file `disk-state` in it with `full` or
 /// `failing` makes all that writes fail. Nothing sets it in service.
-pub fn keep_synced_copy(folder: &Path) -> io::Result<()> {
+pub fn mirror_synced_files(folder: &Path) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let _ = SYNCED_COPY.set(folder.into());
     Ok(())
--- a/crates/segments/src/lib.rs
+++ b/crates/segments/src/lib.rs
@@ -9,9 +9,9 @@
 //!
 //! The log does its work through [`Files`], so that tests can bring about every crash, a full disk and failed syncs.
 //! [`Folder`] is the real one.
-pub mod faulty;
 mod files;
 mod log;
+pub mod simulated;
 
-pub use files::{Files, Folder, keep_synced_copy};
-pub use log::{Kept, Log, LogError, Recovered};
+pub use files::{Files, Folder, mirror_synced_files};
+pub use log::{Log, LogError, LogRecord, Recovered};
--- a/crates/segments/src/log.rs
+++ b/crates/segments/src/log.rs
@@ -20,7 +20,7 @@
 pub enum LogError {
     Io {
         file: String,
-        why: io::Error,
+        error: io::Error,
     },
     /// What follows the damage may build on what was there.
     Damaged {
@@ -28,7 +28,7 @@
         at: usize,
     },
     /// A form that this program does not know.
-    Unknown {
+    UnknownFormat {
         file: String,
     },
     /// A segment is missing before this one.
@@ -46,9 +46,9 @@
 impl fmt::Display for LogError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Io { file, why } => write!(f, "{file}: {why}"),
+            Self::Io { file, error: why } => write!(f, "{file}: {why}"),
             Self::Damaged { file, at } => write!(f, "{file}: damaged at byte {at}"),
-            Self::Unknown { file } => write!(f, "{file}: of a form that is not known here"),
+            Self::UnknownFormat { file } => write!(f, "{file}: of a form that is not known here"),
             Self::Gap { file, expected } => write!(f, "{file}: record {expected} is missing before it"),
             Self::TooLong { bytes } => write!(f, "a record of {bytes} bytes"),
             Self::Failed => write!(f, "an earlier write failed; the log has to be opened anew"),
@@ -59,7 +59,7 @@
 impl std::error::Error for LogError {}
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct LogRecord {
     pub number: u64,
     pub bytes: Vec<u8>,
 }
@@ -68,11 +68,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// It stands for all records up to its number.
-    pub snapshot: Option<Kept>,
+    pub snapshot: Option<LogRecord>,
     /// Those after it.
-    pub records: Vec<Kept>,
+    pub records: Vec<LogRecord>,
     /// Bytes of a last record that was cut off.
-    pub cut: usize,
+    pub truncated_bytes: usize,
 }
 
 pub struct Log<F> {
@@ -82,7 +82,7 @@
     segment: String,
     first: u64,
     length: usize,
-    next: u64,
+    next_number: u64,
     /// All before it are kept.
     synced: u64,
     buffer: Vec<u8>,
@@ -98,7 +98,7 @@
 }
 
 fn io_of(file: &str) -> impl Fn(io::Error) -> LogError + '_ {
-    move |why| LogError::Io { file: file.into(), why }
+    move |why| LogError::Io { file: file.into(), error: why }
 }
 
 impl<F: Files> Log<F> {
@@ -144,22 +144,22 @@
             segment: String::new(),
             first: next,
             length: 0,
-            next,
+            next_number: next,
             synced: next,
             buffer: Vec::new(),
             failed: false,
         };
         // Always a new one: what a crash left behind in the last is not written on.
         log.begin_segment()?;
-        Ok((log, Recovered { snapshot, records, cut }))
+        Ok((log, Recovered { snapshot, records, truncated_bytes: cut }))
     }
 
     fn begin_segment(&mut self) -> Result<(), LogError> {
-        let name = segment_name(self.next);
+        let name = segment_name(self.next_number);
         let done = self.make_segment(&name);
         self.failed |= done.is_err();
         done.map_err(io_of(&name))?;
-        (self.segment, self.first, self.length) = (name, self.next, HEADER);
+        (self.segment, self.first, self.length) = (name, self.next_number, HEADER);
         Ok(())
     }
 
@@ -167,7 +167,7 @@
         self.files.create(name)?;
         // One of this name holds no record: it was begun by an opening after which nothing was appended.
         self.files.truncate(name, 0)?;
-        self.files.append(name, &header(self.next))?;
+        self.files.append(name, &header(self.next_number))?;
         self.files.sync(name)?;
         self.files.sync_folder()
     }
@@ -180,8 +180,8 @@
         if bytes.len() > LONGEST {
             return Err(LogError::TooLong { bytes: bytes.len() });
         }
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         self.buffer.extend((bytes.len() as u32).to_be_bytes());
         self.buffer.extend(checksum(number, bytes).to_be_bytes());
         self.buffer.extend(number.to_be_bytes());
@@ -196,16 +196,16 @@
             return Err(LogError::Failed);
         }
         if self.buffer.is_empty() {
-            return Ok(self.next - 1);
+            return Ok(self.next_number - 1);
         }
         let buffer = std::mem::take(&mut self.buffer);
         let wrote = self.files.append(&self.segment, &buffer).and_then(|()| self.files.sync(&self.segment));
         if let Err(why) = wrote {
             self.failed = true;
-            return Err(LogError::Io { file: self.segment.clone(), why });
+            return Err(LogError::Io { file: self.segment.clone(), error: why });
         }
         self.length += buffer.len();
-        self.synced = self.next;
+        self.synced = self.next_number;
         if self.length >= self.segment_bytes {
             self.begin_segment()?;
         }
@@ -252,12 +252,12 @@
     }
 
     /// The number that the next record gets.
-    pub fn next(&self) -> u64 {
-        self.next
+    pub fn next_number(&self) -> u64 {
+        self.next_number
     }
 
     /// The last number that is kept.
-    pub fn kept(&self) -> u64 {
+    pub fn last_synced(&self) -> u64 {
         self.synced - 1
     }
 
@@ -289,18 +289,18 @@
 
 /// The newest snapshot. It got its name only when it was on disk whole, and what it covers may be gone: one that can't
 /// be read is damage.
-fn newest_snapshot<F: Files>(files: &F, names: &[String]) -> Result<Option<Kept>, LogError> {
+fn newest_snapshot<F: Files>(files: &F, names: &[String]) -> Result<Option<LogRecord>, LogError> {
     let is_snapshot = |name: &&String| name.starts_with("snap-") && !name.ends_with(".new");
     let Some(name) = names.iter().rev().find(is_snapshot) else { return Ok(None) };
     let bytes = files.read(name).map_err(io_of(name))?;
     if bytes.starts_with(&SNAPSHOT[..7]) && !bytes.starts_with(SNAPSHOT) {
-        return Err(LogError::Unknown { file: name.clone() });
+        return Err(LogError::UnknownFormat { file: name.clone() });
     }
     let head =
         number_at(&bytes, 8).zip(short_at(&bytes, SNAPSHOT_HEAD)).filter(|_| bytes.starts_with(SNAPSHOT));
     let body = bytes.get(SNAPSHOT_HEAD + 4..).unwrap_or_default();
     match head.filter(|(upto, sum)| checksum(*upto, body) == *sum) {
-        Some((number, _)) => Ok(Some(Kept { number, bytes: body.to_vec() })),
+        Some((number, _)) => Ok(Some(LogRecord { number, bytes: body.to_vec() })),
         None => Err(LogError::Damaged { file: name.clone(), at: 0 }),
     }
 }
@@ -308,13 +308,13 @@
 struct ReadSegment {
     /// None: the header is not whole.
     first: Option<u64>,
-    records: Vec<Kept>,
+    records: Vec<LogRecord>,
     good: usize,
 }
 
 fn read_segment(name: &str, bytes: &[u8], last: bool) -> Result<ReadSegment, LogError> {
     if bytes.len() >= HEADER && bytes.starts_with(&SEGMENT[..7]) && !bytes.starts_with(SEGMENT) {
-        return Err(LogError::Unknown { file: name.into() });
+        return Err(LogError::UnknownFormat { file: name.into() });
     }
     let whole = number_at(bytes, 8).filter(|first| bytes.starts_with(&header(*first)));
     let Some(first) = whole else {
@@ -336,13 +336,13 @@
     Ok(ReadSegment { first: Some(first), records, good: at })
 }
 
-fn read_record(bytes: &[u8], at: usize, number: u64) -> Option<Kept> {
+fn read_record(bytes: &[u8], at: usize, number: u64) -> Option<LogRecord> {
     let length = short_at(bytes, at)? as usize;
     let sum = short_at(bytes, at + 4)?;
     let found = number_at(bytes, at + 8)?;
     let body = bytes.get(at + RECORD..(at + RECORD).checked_add(length)?)?;
     (length <= LONGEST && found == number && checksum(number, body) == sum)
-        .then(|| Kept { number, bytes: body.to_vec() })
+        .then(|| LogRecord { number, bytes: body.to_vec() })
 }
 
 /// Whether a whole record of a later number follows somewhere. Records of one write may come to disk in any order, so
--- a/crates/segments/src/faulty.rs
+++ b/crates/segments/src/simulated.rs
@@ -14,7 +14,7 @@
 
 /// A disk of the mind.
 #[derive(Clone, Default)]
-pub struct Disk {
+pub struct SimulatedDisk {
     files: BTreeMap<String, File>,
     /// Names as they would be after a crash.
     named: BTreeMap<String, String>,
@@ -31,10 +31,15 @@
     sync_fails_at: u64,
 }
 
-impl Disk {
+impl SimulatedDisk {
     /// One that never fails.
-    pub fn new() -> Disk {
-        Disk { dies_at: u64::MAX, room: usize::MAX, sync_fails_at: u64::MAX, ..Disk::default() }
+    pub fn new() -> SimulatedDisk {
+        SimulatedDisk {
+            dies_at: u64::MAX,
+            room: usize::MAX,
+            sync_fails_at: u64::MAX,
+            ..SimulatedDisk::default()
+        }
     }
 
     fn step(&mut self) -> io::Result<()> {
@@ -52,29 +57,29 @@
     }
 
     /// It dies after so many steps, counted from now.
-    pub fn dying(self, after: u64) -> Disk {
-        Disk { dies_at: after, steps: 0, ..self }
+    pub fn losing_power_after(self, after: u64) -> SimulatedDisk {
+        SimulatedDisk { dies_at: after, steps: 0, ..self }
     }
 
     /// Its sync fails at that step, counted from its beginning.
-    pub fn failing_sync(self, at: u64) -> Disk {
-        Disk { sync_fails_at: at, ..self }
+    pub fn failing_sync_at(self, at: u64) -> SimulatedDisk {
+        SimulatedDisk { sync_fails_at: at, ..self }
     }
 
     /// It takes so many bytes more.
-    pub fn with_room(self, room: usize) -> Disk {
-        Disk { room, ..self }
+    pub fn with_free_bytes(self, room: usize) -> SimulatedDisk {
+        SimulatedDisk { room, ..self }
     }
 
     /// Turns bits of a byte over.
-    pub fn flip(&mut self, name: &str, at: usize, bits: u8) -> io::Result<()> {
+    pub fn flip_bits(&mut self, name: &str, at: usize, bits: u8) -> io::Result<()> {
         let file = self.file(name)?;
         file.now.get_mut(at).map(|byte| *byte ^= bits).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
 
     /// What the next program finds: synced bytes, and of the others as much as chance keeps.
-    pub fn after_crash(&self, seed: u64) -> Disk {
-        let mut next = Disk::new();
+    pub fn after_crash(&self, seed: u64) -> SimulatedDisk {
+        let mut next = SimulatedDisk::new();
         let chance = |what: &str| {
             let mut hasher = DefaultHasher::new();
             (seed, what).hash(&mut hasher);
@@ -109,7 +114,7 @@
     }
 }
 
-impl Files for Disk {
+impl Files for SimulatedDisk {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.names.keys().cloned().collect())
     }
--- a/crates/segments/tests/crashes.rs
+++ b/crates/segments/tests/crashes.rs
@@ -1,7 +1,7 @@
 //! A disk that loses what was not synced, in any way that a disk may; and a log that is cut off after every one of its
 //! steps. What was told to be kept comes back, in order, with no gap and nothing else.
-use harestage_segments::faulty::Disk;
-use harestage_segments::{Files, Folder, Kept, Log, LogError, Recovered};
+use harestage_segments::simulated::SimulatedDisk;
+use harestage_segments::{Files, Folder, Log, LogError, LogRecord, Recovered};
 use std::io;
 
 fn record(number: u64) -> Vec<u8> {
@@ -10,7 +10,7 @@
 
 /// Appends in groups, with snapshots now and then, until the disk fails. Gives the disk back, the last number that was
 /// told to be kept, and the last that was taken in.
-fn work(disk: Disk, records: u64) -> (Option<Disk>, u64, u64) {
+fn work(disk: SimulatedDisk, records: u64) -> (Option<SimulatedDisk>, u64, u64) {
     let Ok((mut log, found)) = Log::open(disk, 600) else { return (None, 0, 0) };
     let mut kept = found.records.last().map_or(found.snapshot.map_or(0, |s| s.number), |r| r.number);
     let mut taken = kept;
@@ -41,7 +41,7 @@
         assert_eq!(snapshot.bytes, snapshot.number.to_be_bytes(), "{told}");
         snapshot.number
     });
-    for (at, Kept { number, bytes }) in found.records.iter().enumerate() {
+    for (at, LogRecord { number, bytes }) in found.records.iter().enumerate() {
         assert_eq!((*number, bytes), (covered + 1 + at as u64, &record(*number)), "{told}");
     }
     let last = covered + found.records.len() as u64;
@@ -51,18 +51,18 @@
 
 #[test]
 fn what_was_kept_comes_back_after_a_crash_at_every_step() {
-    let whole = work(Disk::new(), 120).0.unwrap().steps();
+    let whole = work(SimulatedDisk::new(), 120).0.unwrap().steps();
     let mut tried = 0;
     for dies_at in 1..=whole {
         for seed in 0..8 {
-            let (disk, kept, taken) = work(Disk::new().dying(dies_at), 120);
+            let (disk, kept, taken) = work(SimulatedDisk::new().losing_power_after(dies_at), 120);
             let Some(disk) = disk else { continue };
             let told = format!("died at {dies_at}, seed {seed}");
             let (log, found) =
                 Log::open(disk.after_crash(seed), 600).unwrap_or_else(|why| panic!("{told}: {why}"));
             let last = check(&found, kept, taken, &told);
             // And it goes on from there, with another crash soon after.
-            let again = log.into_files().dying(9 + seed * 3);
+            let again = log.into_files().losing_power_after(9 + seed * 3);
             let (disk, kept, taken) = work(again, 120);
             if let Some(disk) = disk {
                 let after = disk.after_crash(seed + 1);
@@ -78,24 +78,24 @@
 #[test]
 fn a_full_disk_and_a_failed_sync_end_the_log_and_lose_nothing_kept() {
     for room in (20..3_000).step_by(37) {
-        let (disk, kept, taken) = work(Disk::new().with_room(room), 120);
+        let (disk, kept, taken) = work(SimulatedDisk::new().with_free_bytes(room), 120);
         let Some(disk) = disk else { continue };
-        let freed = disk.clone().with_room(usize::MAX);
+        let freed = disk.clone().with_free_bytes(usize::MAX);
         let (_, found) = Log::open(freed, 600).unwrap_or_else(|why| panic!("room {room}: {why}"));
         check(&found, kept, taken, &format!("room {room}"));
     }
     for sync_fails_at in 1..60 {
-        let (disk, kept, taken) = work(Disk::new().failing_sync(sync_fails_at), 40);
+        let (disk, kept, taken) = work(SimulatedDisk::new().failing_sync_at(sync_fails_at), 40);
         let Some(disk) = disk else { continue };
         for seed in 0..4 {
             let (_, found) = Log::open(disk.after_crash(seed), 600).unwrap();
             check(&found, kept, taken, &format!("sync {sync_fails_at}"));
         }
     }
-    let (log, _) = Log::open(Disk::new(), 600).unwrap();
+    let (log, _) = Log::open(SimulatedDisk::new(), 600).unwrap();
     let opened = log.into_files().steps();
     // The write of the record comes first, and then its sync.
-    let (mut log, _) = Log::open(Disk::new().failing_sync(opened + 2), 600).unwrap();
+    let (mut log, _) = Log::open(SimulatedDisk::new().failing_sync_at(opened + 2), 600).unwrap();
     log.append(b"one").unwrap();
     assert!(log.sync().is_err());
     assert!(matches!(log.append(b"two"), Err(LogError::Failed)), "nothing is known of the disk any more");
@@ -104,7 +104,7 @@
 /// Every single byte of the last segment may be the last that came to disk.
 #[test]
 fn a_log_cut_at_any_byte_is_the_records_before_it() {
-    let (mut log, _) = Log::open(Disk::new(), 1 << 20).unwrap();
+    let (mut log, _) = Log::open(SimulatedDisk::new(), 1 << 20).unwrap();
     for n in 1..=12 {
         log.append(&record(n)).unwrap();
     }
@@ -122,14 +122,14 @@
 
 #[test]
 fn damage_in_the_middle_is_told_and_not_passed_over() {
-    let (mut log, _) = Log::open(Disk::new(), 300).unwrap();
+    let (mut log, _) = Log::open(SimulatedDisk::new(), 300).unwrap();
     for n in 1..=40 {
         log.append(&record(n)).unwrap();
         log.sync().unwrap();
     }
     let disk = log.into_files();
     let mut damaged = disk.clone();
-    damaged.flip("log-0000000000000001", HEADER_AND_SOME, 1).unwrap();
+    damaged.flip_bits("log-0000000000000001", HEADER_AND_SOME, 1).unwrap();
     let told = Log::open(damaged, 300).err().unwrap().to_string();
     assert!(told.starts_with("log-0000000000000001: damaged at byte "), "{told}");
     let mut lost = disk.clone();
@@ -137,8 +137,8 @@
     lost.remove(&names[1]).unwrap();
     assert!(matches!(Log::open(lost, 300), Err(LogError::Gap { .. })));
     let mut newer = disk.clone();
-    newer.flip(&names[0], 7, b'1' ^ b'9').unwrap();
-    assert!(matches!(Log::open(newer, 300), Err(LogError::Unknown { .. })));
+    newer.flip_bits(&names[0], 7, b'1' ^ b'9').unwrap();
+    assert!(matches!(Log::open(newer, 300), Err(LogError::UnknownFormat { .. })));
 }
 
 const HEADER_AND_SOME: usize = 20 + 20;
@@ -159,7 +159,7 @@
     assert_eq!(Folder::open(&path).err().unwrap().kind(), io::ErrorKind::WouldBlock);
     drop(log);
     let (log, found) = Log::open(Folder::open(&path).unwrap(), 400).unwrap();
-    assert_eq!((check(&found, 30, 30, "folder"), log.next()), (30, 31));
+    assert_eq!((check(&found, 30, 30, "folder"), log.next_number()), (30, 31));
     assert_eq!(found.snapshot.unwrap().number, 20);
     drop(log);
     std::fs::remove_dir_all(&path).unwrap();
--- a/crates/segments/tests/synced_copies.rs
+++ b/crates/segments/tests/synced_copies.rs
@@ -1,5 +1,5 @@
 //! The second folder of a rig that takes the power away: at every moment it holds what syncs have covered.
-use harestage_segments::{Folder, Log, keep_synced_copy};
+use harestage_segments::{Folder, Log, mirror_synced_files};
 use std::path::{Path, PathBuf};
 
 fn scratch(name: &str) -> PathBuf {
@@ -22,7 +22,7 @@
 fn a_copy_is_replaced_whole_and_never_written_over() {
     let outer = scratch("whole");
     let (real, kept, aside) = (outer.join("disk"), outer.join("kept"), outer.join("aside"));
-    keep_synced_copy(&kept).expect("a second folder");
+    mirror_synced_files(&kept).expect("a second folder");
     let (mut log, _) = Log::open(Folder::open(&real).expect("a folder"), 1 << 20).expect("a log");
     log.append(b"the first").expect("room");
     log.sync().expect("a disk");
