--- a/crates/audit/src/keep.rs
+++ b/crates/audit/src/keep.rs
@@ -9,9 +9,9 @@
 use crate::stamp::Stamp;
 use crate::straggle::{Decision, Members, Way};
 use harestage::time::{Moment, Span};
+use harestage_shape::config::ShapeConfig;
 use harestage_shape::feed;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::tree::{Place, Shape};
+use harestage_shape::topology::{Node, Shape};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -101,7 +101,7 @@
     }
 
     /// A version of the shape is in service.
-    pub fn version(&mut self, form: &ShapeForm, now: Moment) {
+    pub fn version(&mut self, form: &ShapeConfig, now: Moment) {
         let Ok(shape) = Shape::of(form) else { return };
         self.owed.published(Kind::Shape, form.version, now);
         self.file.version(form.version, may_pull_from(form));
@@ -168,18 +168,18 @@
         }
         match report.role {
             Role::Router => {
-                let event = feed::event(1, None, None, due, &report.site);
+                let event = feed::version_event(1, None, None, due, &report.site);
                 Some(Bring::Listing { event: String::from_utf8_lossy(&event).trim_end().into() })
             }
             Role::Feed => {
-                let shape = Box::new(feed::for_branch(due, &report.site)?);
+                let shape = Box::new(feed::config_for_branch(due, &report.site)?);
                 Some(Bring::Whole { shape, plans: Vec::new() })
             }
             Role::Hub => {
                 let own = self.shapes.get(&report.stamp.shape).filter(|_| way == Way::Difference);
                 let difference = own.and_then(|own| difference(own, due));
                 Some(difference.unwrap_or_else(|| Bring::Whole {
-                    shape: Box::new(feed::for_hubs(due)),
+                    shape: Box::new(feed::config_for_hubs(due)),
                     plans: Vec::new(),
                 }))
             }
@@ -216,7 +216,7 @@
     }
 
     /// The newest version before that one: what is gone back to when it is withdrawn.
-    pub fn before(&self, shape: u64) -> Option<ShapeForm> {
+    pub fn before(&self, shape: u64) -> Option<ShapeConfig> {
         self.shapes.range(..shape).next_back().map(|(_, shape)| shape.form())
     }
 
@@ -286,15 +286,15 @@
     }
     let differs = due.hubs().filter_map(|(_, hub)| {
         let at = own.find(&hub.name)?;
-        let was = own.place(at).and_then(Place::hub)?;
+        let was = own.place(at).and_then(Node::hub)?;
         (was.up != hub.up).then(|| (hub.name.clone(), hub.up.clone()))
     });
     Some(Bring::Difference { from: own.version(), to: due.version(), ties: differs.collect() })
 }
 
 /// For each branch, the hubs that its routers may pull from: those that it is tied to, and those that stand as its caches.
-fn may_pull_from(form: &ShapeForm) -> BTreeMap<String, BTreeSet<String>> {
-    let of_branch = |branch: &harestage_shape::form::BranchForm| {
+fn may_pull_from(form: &ShapeConfig) -> BTreeMap<String, BTreeSet<String>> {
+    let of_branch = |branch: &harestage_shape::config::BranchConfig| {
         let as_cache = |address: &String| branch.caches.iter().any(|cache| cache.address == *address);
         let caches = form.hubs.iter().filter(|hub| as_cache(&hub.address)).map(|hub| hub.name.clone());
         (branch.name.clone(), branch.hubs.iter().cloned().chain(caches).collect())
--- a/crates/audit/src/lines.rs
+++ b/crates/audit/src/lines.rs
@@ -3,8 +3,8 @@
 use crate::file::{Explained, Finding, Spell, Summary};
 use crate::stamp::Stamp;
 use crate::straggle::{MemberStatus, Share};
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines::Planned;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::messages::FallbackPlan;
 use serde::{Deserialize, Serialize};
 
 /// What kind of process it is.
@@ -42,7 +42,7 @@
     /// Ties of single places, for whoever has the version `from`.
     Difference { from: u64, to: u64, ties: Vec<(String, Vec<String>)> },
     /// The whole version as hubs and branches' feeds take it.
-    Whole { shape: Box<ShapeForm>, plans: Vec<Planned> },
+    Whole { shape: Box<ShapeConfig>, plans: Vec<FallbackPlan> },
     /// The whole list as routers take it: an event of the platform's feed, whose number says nothing.
     Listing { event: String },
     /// Nothing else has helped.
--- a/crates/branch/src/board.rs
+++ b/crates/branch/src/board.rs
@@ -8,13 +8,13 @@
 //! ([`Had`]), whichever feed of the service told it.
 use harestage::time::{Moment, Span};
 use harestage_purge::scope::Checked;
+use harestage_shape::config::ShapeConfig;
 use harestage_shape::feed;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines::Planned;
-use harestage_shape::tree::{PlaceIx, Shape};
-use harestage_sites::sight::Sighting;
-use harestage_sites::standby::{Standby, Turn};
-use harestage_sites::watch::SILENCE;
+use harestage_shape::messages::FallbackPlan;
+use harestage_shape::topology::{NodeIndex, Shape};
+use harestage_sites::failure_detector::SILENCE_THRESHOLD;
+use harestage_sites::fallback::{FallbackChange, FallbackMode};
+use harestage_sites::liveness::SiteObservation;
 use harestage_wire::feed::Had;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -55,10 +55,10 @@
     pub fn line(&self, number: u64, branch: &str) -> Vec<u8> {
         match self {
             Saying::Ties { long_before, before, now } => {
-                feed::event(number, long_before.as_deref(), before.as_deref(), now, branch)
+                feed::version_event(number, long_before.as_deref(), before.as_deref(), now, branch)
             }
-            Saying::Purge { object, group, at_ms } => feed::purge(number, *object, *group, *at_ms),
-            Saying::Marks { purges, at_ms, plan } => feed::marks(number, *purges, *at_ms, plan),
+            Saying::Purge { object, group, at_ms } => feed::purge_event(number, *object, *group, *at_ms),
+            Saying::Marks { purges, at_ms, plan } => feed::markers_event(number, *purges, *at_ms, plan),
         }
     }
 }
@@ -97,7 +97,7 @@
     /// Groups that the archive knows, from 0 on: what can't be told otherwise is told of each of them.
     groups: u32,
     version: Option<Shape>,
-    standby: Standby,
+    standby: FallbackMode,
     shown: VecDeque<Rc<Shape>>,
     /// In the order of their numbers, so that the oldest go first and what follows a number is found at once.
     live: VecDeque<Live>,
@@ -125,7 +125,7 @@
             branch: branch.into(),
             groups,
             version: None,
-            standby: Standby::new(now),
+            standby: FallbackMode::new(now),
             shown: VecDeque::new(),
             live: VecDeque::new(),
             purged_groups: BTreeMap::new(),
@@ -143,7 +143,12 @@
 
     /// The version in service, with the plans for this branch. One that does not hold, or does not name the branch, is
     /// passed over whole.
-    pub fn told(&mut self, form: &ShapeForm, plans: Vec<Planned>, now: Moment) -> Option<Turn> {
+    pub fn told(
+        &mut self,
+        form: &ShapeConfig,
+        plans: Vec<FallbackPlan>,
+        now: Moment,
+    ) -> Option<FallbackChange> {
         let turn = self.service_spoke(now);
         let shape = match &self.version {
             Some(version) if form.version <= version.version() => return turn,
@@ -161,7 +166,7 @@
     }
 
     /// The control service has said something, whatever it was.
-    pub fn service_spoke(&mut self, now: Moment) -> Option<Turn> {
+    pub fn service_spoke(&mut self, now: Moment) -> Option<FallbackChange> {
         let turn = self.standby.service_spoke(now);
         if turn.is_some() {
             self.show();
@@ -175,9 +180,9 @@
         let Some(own) = shape.find(hub).and_then(|at| shape.place(at)?.hub()) else { return };
         let site = own.site.clone();
         let others = shape.sites().into_iter().filter(|other| *other != site);
-        let sightings = others.map(|other| Sighting {
+        let sightings = others.map(|other| SiteObservation {
             site: other.into(),
-            unanswered: if unseen.iter().any(|name| name == other) { SILENCE } else { 0 },
+            unanswered: if unseen.iter().any(|name| name == other) { SILENCE_THRESHOLD } else { 0 },
             known: true,
             slowness: 1.0,
             leaving,
@@ -187,7 +192,7 @@
     }
 
     /// To be called some times a second.
-    pub fn beat(&mut self, now: Moment) -> Option<Turn> {
+    pub fn beat(&mut self, now: Moment) -> Option<FallbackChange> {
         let oldest_ms = (now.micros().saturating_sub(LIVES.as_micros())) / 1_000;
         // Clocks of members that gave numbers differ: one that is old behind one that is not stays a while longer.
         while self.live.front().is_some_and(|live| live.at_ms < oldest_ms) {
@@ -204,11 +209,11 @@
 
     /// The ties as they are to be shown: the version's, or while no service speaks those of the plan for what is lost; and
     /// where nobody made one, those that are left.
-    fn ties(&self, shape: &Shape) -> Option<Vec<PlaceIx>> {
+    fn ties(&self, shape: &Shape) -> Option<Vec<NodeIndex>> {
         if self.standby.without().is_empty() {
             return None;
         }
-        let lost = |at: &PlaceIx| {
+        let lost = |at: &NodeIndex| {
             let hub = shape.place(*at).and_then(|place| place.hub());
             hub.is_some_and(|hub| self.standby.without().contains(&hub.site))
         };
--- a/crates/branch/src/net.rs
+++ b/crates/branch/src/net.rs
@@ -15,10 +15,10 @@
 use harestage_following::{Line, control, looks, purges};
 use harestage_purge::follow::Act;
 use harestage_purge::lines::Past;
-use harestage_shape::control::Report;
+use harestage_shape::control::HubReport;
 use harestage_shape::feed;
-use harestage_shape::lines;
-use harestage_sites::standby::Turn;
+use harestage_shape::messages;
+use harestage_sites::fallback::FallbackChange;
 use harestage_sockets::accept::{Open, accept};
 use harestage_sockets::clock::Clock;
 use harestage_sockets::lines::{Lines, within, write_text};
@@ -176,11 +176,11 @@
 }
 
 impl Shared {
-    fn say(&self, turn: Option<Turn>) {
+    fn say(&self, turn: Option<FallbackChange>) {
         match turn {
             None => {}
-            Some(Turn::Back) => info!(self.log, "goes by its version again"),
-            Some(Turn::Without { lost, planned }) => {
+            Some(FallbackChange::Back) => info!(self.log, "goes by its version again"),
+            Some(FallbackChange::Without { lost, planned }) => {
                 let lost = lost.into_iter().collect::<Vec<_>>().join(" ");
                 warn!(self.log, "goes without a site, with no service"; "lost" => lost, "planned" => planned);
             }
@@ -230,7 +230,7 @@
 
 impl Member for Hears {
     fn hello(&self) -> String {
-        lines::subscribe_branch(self.version(), &self.0.name, self.0.board.borrow().branch())
+        messages::subscribe_branch_line(self.version(), &self.0.name, self.0.board.borrow().branch())
     }
 
     fn version(&self) -> u64 {
@@ -242,8 +242,8 @@
     }
 
     /// It bears no witness, and asks for no part: only what it goes by is of use.
-    fn report(&self) -> Report {
-        Report { version: self.version(), ..Report::default() }
+    fn report(&self) -> HubReport {
+        HubReport { version: self.version(), ..HubReport::default() }
     }
 
     async fn hear(&self, heard: Heard) {
@@ -398,11 +398,11 @@
     lines.most = LONGEST_WORD;
     while shared.board.borrow().waits_for().is_some() {
         // A router that waits hears that the feed is there.
-        write_text(stream, &feed::beat(last), STALL).await?;
+        write_text(stream, &feed::heartbeat(last), STALL).await?;
         shared.until_news(FEED_BEAT).await;
     }
     last += 1;
-    write_text(stream, &feed::hears_words(last), STALL).await?;
+    write_text(stream, &feed::accepts_reports_event(last), STALL).await?;
     let had = had(shared, &mut lines).await?;
     let list = {
         let board = shared.board.borrow();
@@ -492,7 +492,7 @@
         // Before it is written: an answer may come before the write has returned.
         let sent = calling.caller.borrow_mut().was_sent(was, marks.into_iter(), shared.clock.now());
         sent.map_err(|why| why.to_string())?;
-        let text = if text.is_empty() { feed::beat(last) } else { text };
+        let text = if text.is_empty() { feed::heartbeat(last) } else { text };
         write_text(stream, &text, STALL).await?;
         let sent = calling.caller.borrow_mut().was_sent(place, std::iter::empty(), shared.clock.now());
         sent.map_err(|why| why.to_string())?;
--- a/crates/branch/tests/boards.rs
+++ b/crates/branch/tests/boards.rs
@@ -6,8 +6,8 @@
 use harestage_branch::board::{Board, Saying, Took};
 use harestage_branch::start::FeedFile;
 use harestage_purge::scope::Scope;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines::Planned;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::messages::FallbackPlan;
 use harestage_wire::feed::{Line, MemberState, Told, read_line};
 use std::collections::BTreeMap;
 
@@ -67,9 +67,9 @@
     assert_eq!(board.take(&[(scope.checked().unwrap(), at(ms))], has), Took::OnTop);
 }
 
-fn planned(lost: &[&str], ties: &[&str]) -> Planned {
+fn planned(lost: &[&str], ties: &[&str]) -> FallbackPlan {
     let owned = |list: &[&str]| list.iter().map(|name| name.to_string()).collect::<Vec<_>>();
-    Planned { lost: owned(lost).into_iter().collect(), ties: owned(ties) }
+    FallbackPlan { lost: owned(lost).into_iter().collect(), ties: owned(ties) }
 }
 
 /// East and north say for so long that they hear nothing of west, and no service says anything.
@@ -105,7 +105,7 @@
     assert!(!first.list.contains_key("w") && first.parents() == ["e", "n"]);
     // An older version, one that names the branch no more, and one that can't be, change nothing.
     board.told(&version(7, &["w"]), Vec::new(), at(1_400));
-    board.told(&ShapeForm { branches: Vec::new(), ..version(9, &[]) }, Vec::new(), at(1_400));
+    board.told(&ShapeConfig { branches: Vec::new(), ..version(9, &[]) }, Vec::new(), at(1_400));
     board.told(&version(10, &["mars"]), Vec::new(), at(1_400));
     assert_eq!((board.version(), board.after(first.place).unwrap().count()), (8, 0));
 }
--- a/crates/branch/tests/common/mod.rs
+++ b/crates/branch/tests/common/mod.rs
@@ -3,12 +3,12 @@
 use harestage::time::Moment;
 use harestage_branch::board::{Board, Saying};
 use harestage_purge::scope::Scope;
-use harestage_shape::form::{ArchiveForm, BranchForm, CacheForm, HubForm, ShapeForm};
+use harestage_shape::config::{ArchiveConfig, BranchConfig, CacheConfig, HubConfig, ShapeConfig};
 use harestage_wire::feed::Had;
 use std::collections::{BTreeMap, HashMap};
 
-pub fn hub(name: &str, site: &str) -> HubForm {
-    HubForm {
+pub fn hub(name: &str, site: &str) -> HubConfig {
+    HubConfig {
         name: name.into(),
         address: "127.0.0.1:1".into(),
         site: site.into(),
@@ -23,25 +23,25 @@
     }
 }
 
-pub fn version(number: u64, ties: &[&str]) -> ShapeForm {
-    let archive = ArchiveForm {
+pub fn version(number: u64, ties: &[&str]) -> ShapeConfig {
+    let archive = ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:2".into(),
         capacity: 100.0,
         stops_at: 2.5,
         stops_within_ms: 3_000,
     };
-    let branch = BranchForm {
+    let branch = BranchConfig {
         name: "br".into(),
         site: String::new(),
         load: 10.0,
         hubs: ties.iter().map(|tie| tie.to_string()).collect(),
         feed: None,
         feeds: BTreeMap::new(),
-        caches: vec![CacheForm { name: "cache".into(), address: "127.0.0.1:3".into(), since_ms: 0 }],
+        caches: vec![CacheConfig { name: "cache".into(), address: "127.0.0.1:3".into(), since_ms: 0 }],
     };
     let hubs = vec![hub("e", "east"), hub("n", "north"), hub("w", "west")];
-    ShapeForm { version: number, archive, hubs, branches: vec![branch], links: Vec::new() }
+    ShapeConfig { version: number, archive, hubs, branches: vec![branch], links: Vec::new() }
 }
 
 pub fn at(ms: u64) -> Moment {
--- a/crates/branch/tests/feeds.rs
+++ b/crates/branch/tests/feeds.rs
@@ -7,7 +7,7 @@
 use harestage_branch::start::FeedFile;
 use harestage_purge::lines::{Confirm, ToMember, line};
 use harestage_purge::order::{Item, What};
-use harestage_shape::lines::{self, ToMember as ToFollower};
+use harestage_shape::messages::{self, ToMember as ToFollower};
 use harestage_wire::feed::{Had, LONGEST_WORD, Word};
 use serde_json::Value;
 use slog::{Drain, Key, Logger, Never, OwnedKVList, Record, Serializer, o};
@@ -29,9 +29,9 @@
                 let mut to = stream.try_clone().unwrap();
                 let shape = Box::new(version(5, &["w"]));
                 let first = ToFollower::Version { term: 1, shape, plans: Vec::new() };
-                let _ = to.write_all(&lines::line(&first));
+                let _ = to.write_all(&messages::encode_line(&first));
                 for _ in BufReader::new(stream).lines().map_while(Result::ok).skip(1) {
-                    let _ = to.write_all(&lines::line(&ToFollower::Beat { term: 1, last: 5 }));
+                    let _ = to.write_all(&messages::encode_line(&ToFollower::Beat { term: 1, last: 5 }));
                 }
             });
         }
--- a/crates/cli/src/draw.rs
+++ b/crates/cli/src/draw.rs
@@ -1,7 +1,7 @@
 //! A shape as a picture: branches below, the archive above, each tier a row.
-use harestage_shape::check;
 use harestage_shape::plan::Plan;
-use harestage_shape::tree::{ARCHIVE, Place, PlaceIx, Shape};
+use harestage_shape::topology::{ARCHIVE, Node, NodeIndex, Shape};
+use harestage_shape::validation;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -10,8 +10,8 @@
 const BOX: (usize, usize) = (110, 40);
 
 /// The rows of a shape, the archive's first; a place stands one row under the lowest that it is tied to.
-fn rows(shape: &Shape) -> Vec<Vec<PlaceIx>> {
-    let mut level: BTreeMap<PlaceIx, usize> = BTreeMap::from([(ARCHIVE, 0)]);
+fn rows(shape: &Shape) -> Vec<Vec<NodeIndex>> {
+    let mut level: BTreeMap<NodeIndex, usize> = BTreeMap::from([(ARCHIVE, 0)]);
     let many = shape.places().count();
     // As often as there are tiers, and never for good: a picture is drawn of what has loops, too.
     for _ in 0..many {
@@ -28,14 +28,14 @@
     let lowest = level.values().copied().max().unwrap_or(0);
     let mut rows = vec![Vec::new(); lowest + 1];
     for (at, place) in shape.places() {
-        let row = if matches!(place, Place::Branch(_)) { lowest } else { level[&at] };
+        let row = if matches!(place, Node::Branch(_)) { lowest } else { level[&at] };
         rows[row].push(at);
     }
     rows
 }
 
 pub fn svg(shape: &Shape) -> String {
-    let (rows, loads) = (rows(shape), check::loads(shape).unwrap_or_default());
+    let (rows, loads) = (rows(shape), validation::loads(shape).unwrap_or_default());
     let widest = rows.iter().map(Vec::len).max().unwrap_or(1).max(1);
     let (width, height) = (widest * COLUMN + 40, rows.len() * ROW + 40);
     let mut spot = BTreeMap::new();
@@ -63,9 +63,9 @@
     for (at, (x, y)) in &spot {
         let Some(place) = shape.place(*at) else { continue };
         let (fill, figures) = match place {
-            Place::Archive(a) => ("#fde9c9", format!("{:.0} of {:.0}", loads.of(*at), a.capacity)),
-            Place::Hub(hub) => ("#d6e6f7", format!("{:.0} of {:.0}", loads.of(*at), hub.capacity)),
-            Place::Branch(branch) => ("#e3f1dd", format!("asks {:.0}", branch.load)),
+            Node::Archive(a) => ("#fde9c9", format!("{:.0} of {:.0}", loads.of(*at), a.capacity)),
+            Node::Hub(hub) => ("#d6e6f7", format!("{:.0} of {:.0}", loads.of(*at), hub.capacity)),
+            Node::Branch(branch) => ("#e3f1dd", format!("asks {:.0}", branch.load)),
         };
         let _ = writeln!(
             text,
@@ -88,9 +88,9 @@
     let mut text = String::from("digraph shape {\n  rankdir=BT;\n");
     for (at, place) in shape.places() {
         let form = match place {
-            Place::Archive(_) => "cylinder",
-            Place::Hub(_) => "box",
-            Place::Branch(_) => "ellipse",
+            Node::Archive(_) => "cylinder",
+            Node::Hub(_) => "box",
+            Node::Branch(_) => "ellipse",
         };
         let _ = writeln!(text, "  \"{}\" [shape={form}];", place.name());
         for tie in shape.ties(at) {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -19,7 +19,7 @@
 use harestage_hub::start::HubFile;
 use harestage_keeper::serve::Follows;
 use harestage_purger::gather::{GatherStart, SiteGatherer};
-use harestage_shape::form;
+use harestage_shape::config;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -215,7 +215,7 @@
         }
         What::Schema { of } => {
             let text = match of {
-                SchemaOf::Shape => form::schema(),
+                SchemaOf::Shape => config::schema(),
                 SchemaOf::Hub => harestage_hub::start::schema(),
                 SchemaOf::Feed => harestage_branch::start::schema(),
                 SchemaOf::Scenario => harestage_fleet::scenario::schema(),
@@ -257,7 +257,7 @@
     log_form: log::Form,
 ) -> Result<(), String> {
     let start = group.checked("control")?;
-    let first = first.map(|path| form::read_file(&path)).transpose().map_err(|why| why.to_string())?;
+    let first = first.map(|path| config::read_file(&path)).transpose().map_err(|why| why.to_string())?;
     let (log, _written_at_end) = log::open(&start.name, log_form);
     let keeper = Keeper::open_member(listen, journal, first.as_ref(), &start, log)?;
     keeper.serve(log::until_signal()?)
--- a/crates/cli/src/shape.rs
+++ b/crates/cli/src/shape.rs
@@ -2,12 +2,12 @@
 use crate::{ask, draw, exit};
 use clap::Subcommand;
 use harestage::time::Moment;
-use harestage_shape::check::{self, Loads};
-use harestage_shape::control::{Said, Status};
-use harestage_shape::form::{self, ShapeForm};
-use harestage_shape::lines::{Answer, Call};
-use harestage_shape::plan::{Plan, plan};
-use harestage_shape::tree::{self, ARCHIVE};
+use harestage_shape::config::{self, ShapeConfig};
+use harestage_shape::control::{ChangeEvent, Status};
+use harestage_shape::messages::{Request, Response};
+use harestage_shape::plan::{Plan, plan_change};
+use harestage_shape::topology::{self, ARCHIVE};
+use harestage_shape::validation::{self, Loads};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::collections::BTreeSet;
 use std::io::IsTerminal;
@@ -120,13 +120,13 @@
     ExitCode::from(code)
 }
 
-fn read(file: &Path) -> Result<ShapeForm, Failure> {
-    form::read_file(file).map_err(|why| Failure::Refused(why.to_string()))
+fn read(file: &Path) -> Result<ShapeConfig, Failure> {
+    config::read_file(file).map_err(|why| Failure::Refused(why.to_string()))
 }
 
 /// Reads a shape that holds.
-pub fn take(file: &Path) -> Result<tree::Shape, Failure> {
-    tree::take(&read(file)?).map_err(|complaints| {
+pub fn take(file: &Path) -> Result<topology::Shape, Failure> {
+    topology::validated_shape(&read(file)?).map_err(|complaints| {
         let lines: Vec<_> = complaints.iter().map(|c| format!("{}: {c}", file.display())).collect();
         Failure::Refused(lines.join("\n"))
     })
@@ -138,7 +138,7 @@
 
 fn check_file(file: &Path, json: bool) -> Result<(), Failure> {
     let shape = take(file)?;
-    let loads: Loads = check::loads(&shape).unwrap_or_default();
+    let loads: Loads = validation::loads(&shape).unwrap_or_default();
     let rows = shape.hubs().map(|(at, hub)| (hub.name.as_str(), loads.of(at), hub.capacity));
     let archive = shape.archive();
     let rows: Vec<_> = rows.chain([(archive.name.as_str(), loads.of(ARCHIVE), archive.capacity)]).collect();
@@ -157,7 +157,7 @@
 
 fn diff(before: &Path, after: &Path, json: bool) -> Result<(), Failure> {
     let (before, after) = (read(before)?, read(after)?);
-    let ties = |form: &ShapeForm| -> std::collections::BTreeMap<String, Vec<String>> {
+    let ties = |form: &ShapeConfig| -> std::collections::BTreeMap<String, Vec<String>> {
         let hubs = form.hubs.iter().map(|hub| (hub.name.clone(), hub.up.clone()));
         hubs.chain(form.branches.iter().map(|b| (b.name.clone(), b.hubs.clone()))).collect()
     };
@@ -196,12 +196,16 @@
 ) -> Result<(), Failure> {
     let wanted = read(file)?;
     let plan = match from {
-        Some(from) => plan(&take(&from)?, &wanted, now()).map_err(|why| Failure::Refused(why.to_string()))?,
-        None => match call(service, &Call::Plan { form: Box::new(wanted) })?.next().map_err(Failure::Away)? {
-            Answer::Plan(plan) => *plan,
-            Answer::Refused(lines) => return Err(Failure::Refused(lines.join("\n"))),
-            other => return Err(Failure::Away(format!("an answer of another kind: {other:?}"))),
-        },
+        Some(from) => {
+            plan_change(&take(&from)?, &wanted, now()).map_err(|why| Failure::Refused(why.to_string()))?
+        }
+        None => {
+            match call(service, &Request::Plan { form: Box::new(wanted) })?.next().map_err(Failure::Away)? {
+                Response::Plan(plan) => *plan,
+                Response::Refused(lines) => return Err(Failure::Refused(lines.join("\n"))),
+                other => return Err(Failure::Away(format!("an answer of another kind: {other:?}"))),
+            }
+        }
     };
     if let Some(path) = svg {
         std::fs::write(&path, draw::plan_svg(&plan))
@@ -231,21 +235,21 @@
     }
 }
 
-fn call(service: &Service, call: &Call) -> Result<ask::Call, Failure> {
+fn call(service: &Service, call: &Request) -> Result<ask::Call, Failure> {
     ask::Call::find("control service", &service.control, call).map_err(Failure::Away)
 }
 
 fn apply(file: &Path, service: &Service, expect: Option<u64>, by: String, json: bool) -> Result<(), Failure> {
     let form = Box::new(read(file)?);
-    let mut reading = call(service, &Call::Apply { form, expect, by })?;
+    let mut reading = call(service, &Request::Apply { form, expect, by })?;
     let bar = std::io::stderr().is_terminal().then(|| {
         let style = ProgressStyle::with_template("{bar:30} {pos}/{len} {elapsed} {msg}");
         ProgressBar::new(0).with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
     });
     loop {
         let said = match reading.next().map_err(Failure::Away)? {
-            Answer::Said(said) => said,
-            Answer::Refused(lines) => return Err(Failure::Refused(lines.join("\n"))),
+            Response::Said(said) => said,
+            Response::Refused(lines) => return Err(Failure::Refused(lines.join("\n"))),
             other => return Err(Failure::Away(format!("an answer of another kind: {other:?}"))),
         };
         if json {
@@ -255,7 +259,7 @@
         } else {
             println!("{}", worded(&said));
         }
-        if let Said::Ended { complete, version } = said {
+        if let ChangeEvent::Ended { complete, version } = said {
             bar.iter().for_each(ProgressBar::finish_and_clear);
             if complete {
                 eprintln!("version {version} is in service");
@@ -266,29 +270,33 @@
     }
 }
 
-fn show(bar: &ProgressBar, said: &Said) {
+fn show(bar: &ProgressBar, said: &ChangeEvent) {
     match said {
-        Said::Begun { steps, .. } => bar.set_length(*steps as u64),
-        Said::StepSettled { step, .. } => bar.set_position(*step as u64),
+        ChangeEvent::Begun { steps, .. } => bar.set_length(*steps as u64),
+        ChangeEvent::StepSettled { step, .. } => bar.set_position(*step as u64),
         _ => {}
     }
     bar.set_message(worded(said));
 }
 
-fn worded(said: &Said) -> String {
+fn worded(said: &ChangeEvent) -> String {
     match said {
-        Said::Begun { from, steps, by } => format!("from version {from}, {steps} steps, by {by}"),
-        Said::StepOut { step, of, version } => format!("step {step} of {of} is out as version {version}"),
-        Said::StepSettled { step, of } => format!("step {step} of {of} has settled"),
-        Said::StepUndone { step, version, why } => format!("step {step} undone by version {version}: {why}"),
-        Said::Held { step, of, why } => format!("after step {step} of {of}: {why}"),
-        Said::Ended { complete: true, version } => format!("complete at version {version}"),
-        Said::Ended { complete: false, version } => format!("given up at version {version}"),
-        Said::Site { site, is, why } => {
-            format!("site {site} is {} now: {why}", harestage_sites::standing::word(is))
+        ChangeEvent::Begun { from, steps, by } => format!("from version {from}, {steps} steps, by {by}"),
+        ChangeEvent::StepOut { step, of, version } => {
+            format!("step {step} of {of} is out as version {version}")
+        }
+        ChangeEvent::StepSettled { step, of } => format!("step {step} of {of} has settled"),
+        ChangeEvent::StepUndone { step, version, why } => {
+            format!("step {step} undone by version {version}: {why}")
+        }
+        ChangeEvent::Held { step, of, why } => format!("after step {step} of {of}: {why}"),
+        ChangeEvent::Ended { complete: true, version } => format!("complete at version {version}"),
+        ChangeEvent::Ended { complete: false, version } => format!("given up at version {version}"),
+        ChangeEvent::Site { site, is, why } => {
+            format!("site {site} is {} now: {why}", harestage_sites::site_state::state_label(is))
         }
-        Said::Seen { site, view, .. } => format!("site {site} is held to be {view}"),
-        Said::Loop { hub, object, path, waited_ms, before } => {
+        ChangeEvent::Seen { site, view, .. } => format!("site {site} is held to be {view}"),
+        ChangeEvent::Loop { hub, object, path, waited_ms, before } => {
             let path = path.join(" -> ");
             format!(
                 "{hub} broke loop {path} of object {object} after {waited_ms:.0} ms, seen {before} times before"
@@ -298,8 +306,8 @@
 }
 
 fn status(service: &Service, json: bool) -> Result<(), Failure> {
-    let status = match call(service, &Call::Status)?.next().map_err(Failure::Away)? {
-        Answer::Status(status) => *status,
+    let status = match call(service, &Request::Status)?.next().map_err(Failure::Away)? {
+        Response::Status(status) => *status,
         other => return Err(Failure::Away(format!("an answer of another kind: {other:?}"))),
     };
     if json {
@@ -341,7 +349,7 @@
 }
 
 fn draw_file(file: &Path, dot: bool) -> Result<(), Failure> {
-    let shape = tree::Shape::of(&read(file)?).map_err(|complaints| {
+    let shape = topology::Shape::of(&read(file)?).map_err(|complaints| {
         Failure::Refused(complaints.iter().map(|c| c.to_string()).collect::<Vec<_>>().join("\n"))
     })?;
     print!("{}", if dot { draw::dot(&shape) } else { draw::svg(&shape) });
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -3,9 +3,9 @@
 use crate::exit;
 use crate::shape::{Failure, Lose, Service, print_json, take};
 use harestage::time::Moment;
-use harestage_sites::direct::{self, Answer, SiteStatus, words};
-use harestage_sites::plan::{Plans, SitePlan};
-use harestage_sites::standing::{Ask, word};
+use harestage_sites::controller::{self, SiteResponse, SiteStatus, view_label};
+use harestage_sites::plan::{SitePlan, SitePlans};
+use harestage_sites::site_state::{SiteCommand, state_label};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::process::ExitCode;
@@ -59,9 +59,9 @@
     let done = match what {
         Site::Status { service, json } => status(&service, json),
         Site::Plan { sites, service, json } => plan(&service, sites, json),
-        Site::Leave { site, service, by } => ask(&service, site, Ask::Leave, by),
-        Site::Return { site, service, by } => ask(&service, site, Ask::Return, by),
-        Site::Hold { site, service, by } => ask(&service, site, Ask::Hold, by),
+        Site::Leave { site, service, by } => ask(&service, site, SiteCommand::Leave, by),
+        Site::Return { site, service, by } => ask(&service, site, SiteCommand::Return, by),
+        Site::Hold { site, service, by } => ask(&service, site, SiteCommand::Hold, by),
     };
     let (why, code) = match done {
         Ok(()) => return ExitCode::SUCCESS,
@@ -73,21 +73,21 @@
     ExitCode::from(code)
 }
 
-fn call(service: &Service, call: &direct::Call) -> Result<Answer, Failure> {
+fn call(service: &Service, call: &controller::SiteRequest) -> Result<SiteResponse, Failure> {
     let answer = Call::find("control service", &service.control, call).and_then(|mut call| call.next());
     match answer.map_err(Failure::Away)? {
-        Answer::Refused(why) => Err(Failure::Refused(why)),
+        SiteResponse::Refused(why) => Err(Failure::Refused(why)),
         answer => Ok(answer),
     }
 }
 
-fn unexpected(answer: &Answer) -> Failure {
+fn unexpected(answer: &SiteResponse) -> Failure {
     Failure::Away(format!("an answer of another kind: {answer:?}"))
 }
 
 fn status(service: &Service, json: bool) -> Result<(), Failure> {
-    let sites = match call(service, &direct::Call::Sites)? {
-        Answer::Sites(sites) => sites,
+    let sites = match call(service, &controller::SiteRequest::Sites)? {
+        SiteResponse::Sites(sites) => sites,
         other => return Err(unexpected(&other)),
     };
     if json {
@@ -100,7 +100,11 @@
 
 fn print_status(status: &SiteStatus) {
     let SiteStatus { site, standing, view, hubs, witnesses, .. } = status;
-    println!("{site:<12} {}, seen as {}; {hubs} hubs, {witnesses} witnesses", word(standing), words(view));
+    println!(
+        "{site:<12} {}, seen as {}; {hubs} hubs, {witnesses} witnesses",
+        state_label(standing),
+        view_label(view)
+    );
     let fullest = format!("{} at {:.2}", status.fullest, status.fullest_share);
     match status.fits {
         true => println!("{:<12} its loss is borne: fullest {fullest}", ""),
@@ -115,8 +119,8 @@
 
 fn plan(service: &Service, sites: Vec<String>, json: bool) -> Result<(), Failure> {
     let lost: BTreeSet<String> = sites.into_iter().collect();
-    let plan = match call(service, &direct::Call::SitePlan { lost })? {
-        Answer::SitePlan(plan) => *plan,
+    let plan = match call(service, &controller::SiteRequest::SitePlan { lost })? {
+        SiteResponse::SitePlan(plan) => *plan,
         other => return Err(unexpected(&other)),
     };
     if json {
@@ -130,10 +134,10 @@
     Ok(())
 }
 
-fn ask(service: &Service, site: String, ask: Ask, by: String) -> Result<(), Failure> {
-    match call(service, &direct::Call::Site { site, ask, by })? {
-        Answer::SiteBegun { site, standing } => {
-            println!("site {site} is {} now", word(&standing));
+fn ask(service: &Service, site: String, ask: SiteCommand, by: String) -> Result<(), Failure> {
+    match call(service, &controller::SiteRequest::Site { site, ask, by })? {
+        SiteResponse::SiteBegun { site, standing } => {
+            println!("site {site} is {} now", state_label(&standing));
             Ok(())
         }
         other => Err(unexpected(&other)),
@@ -169,7 +173,7 @@
         return Err(Failure::Refused(format!("{}: no hub names a site", file.display())));
     }
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let plans = Plans::of(&shape, None, which == Lose::Each, Moment::at_micros(unix.as_micros() as u64));
+    let plans = SitePlans::of(&shape, None, which == Lose::Each, Moment::at_micros(unix.as_micros() as u64));
     let borne = plans.all().all(SitePlan::fits);
     if json {
         let plans: Vec<&SitePlan> = plans.all().collect();
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -7,13 +7,13 @@
 use futures_lite::future::or;
 use harestage_seats::host::{Host, Hosted, LOOK, Listening, STALL, say};
 use harestage_seats::{Council, CouncilStart, Recent};
-use harestage_shape::control::{Control, Effect, Said, Standing};
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::control::{ChangeEvent, Control, Effect, SiteState};
 use harestage_shape::feed;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines::{self, Answer, Call, FromMember, ToMember};
+use harestage_shape::messages::{self, FromMember, Request, Response, ToMember};
 use harestage_shape::plan;
-use harestage_shape::tree::Shape;
-use harestage_sites::direct::{self, Director};
+use harestage_shape::topology::Shape;
+use harestage_sites::controller::{self, SiteController};
 use harestage_sockets::accept::{Open, accept};
 use harestage_sockets::clock::Clock;
 use harestage_sockets::lines::{Lines, within, write_text};
@@ -39,13 +39,13 @@
 /// What this member may tell of what the group has agreed on, and where it is.
 struct Changes {
     /// The shape to begin with, where nothing was agreed on yet.
-    first: Option<ShapeForm>,
+    first: Option<ShapeConfig>,
     /// The newest version that may be told.
     told: Cell<u64>,
     /// Where this member is, as a witness of other sites.
     site: String,
     /// What was said lately, with its number.
-    said: RefCell<Recent<Said>>,
+    said: RefCell<Recent<ChangeEvent>>,
     /// Connections of members, operators and routers together.
     open: Open,
 }
@@ -67,7 +67,7 @@
     pub fn open(
         listen: SocketAddr,
         journal: &Path,
-        first: Option<&ShapeForm>,
+        first: Option<&ShapeConfig>,
         log: Logger,
     ) -> Result<Keeper, String> {
         Keeper::open_member(listen, journal, first, &CouncilStart::alone("control"), log)
@@ -77,7 +77,7 @@
     pub fn open_member(
         listen: SocketAddr,
         journal: &Path,
-        first: Option<&ShapeForm>,
+        first: Option<&ShapeConfig>,
         start: &CouncilStart,
         log: Logger,
     ) -> Result<Keeper, String> {
@@ -116,16 +116,16 @@
 }
 
 impl Hosted for Changes {
-    type State = Director;
+    type State = SiteController;
     type Effect = Effect;
 
     const BROKEN: &'static str = "the journal can't be written, or is not this member's";
     const LONGEST_LINE: usize = LONGEST_LINE;
 
     /// Runs the state machine from what was agreed on.
-    fn open(host: &Service, data: &[Vec<u8>]) -> Result<(Director, Vec<Effect>), String> {
+    fn open(host: &Service, data: &[Vec<u8>]) -> Result<(SiteController, Vec<Effect>), String> {
         let (director, effects) =
-            Director::open(&journal::records(data)?, host.hosted.first.as_ref(), host.now())
+            SiteController::open(&journal::records(data)?, host.hosted.first.as_ref(), host.now())
                 .map_err(|why| why.to_string())?;
         let control = director.control();
         info!(host.log(), "takes up the service"; "term" => control.term(),
@@ -148,7 +148,7 @@
                 host.hosted.told.set(host.hosted.told.get().max(version));
             }
             Effect::Say(said) => {
-                if let Said::Site { site, is, why } = &said {
+                if let ChangeEvent::Site { site, is, why } = &said {
                     info!(host.log(), "site"; "site" => site, "is" => standing(is), "why" => why);
                 }
                 info!(host.log(), "change"; "said" => serde_json::to_string(&said).unwrap_or_default());
@@ -175,7 +175,7 @@
         while !host.council.is_broken() {
             Timer::after(BEAT).await;
             let now = host.now();
-            let beat = |director: &mut Director| director.beat(host.name(), &host.hosted.site, now);
+            let beat = |director: &mut SiteController| director.beat(host.name(), &host.hosted.site, now);
             let effects = host.with(beat).unwrap_or_default();
             if !effects.is_empty() {
                 host.carry_out(effects);
@@ -186,29 +186,29 @@
 
     async fn serve(host: &Service, lines: &mut Lines<'_>, first: Vec<u8>) -> Result<(), String> {
         let (stream, text) = (lines.stream(), String::from_utf8_lossy(&first).into_owned());
-        let of_member = lines::read_subscribe(&text)
+        let of_member = messages::parse_subscribe(&text)
             .map(|(last, name)| (last, name, Place::Hub(name)))
-            .or_else(|| lines::read_subscribe_all(&text).map(|(last, name)| (last, name, Place::All)))
+            .or_else(|| messages::parse_subscribe_all(&text).map(|(last, name)| (last, name, Place::All)))
             .or_else(|| {
-                let (last, name, branch) = lines::read_subscribe_branch(&text)?;
+                let (last, name, branch) = messages::parse_subscribe_branch(&text)?;
                 Some((last, name, Place::Branch(branch)))
             });
         if let Some((last, name, place)) = of_member {
             lines.most = LONGEST_REPORT;
             return or(hear(host, lines, name), tell(host, stream, last, place)).await;
         }
-        if let Ok(call) = serde_json::from_slice::<direct::Call>(&first) {
+        if let Ok(call) = serde_json::from_slice::<controller::SiteRequest>(&first) {
             return say(stream, &of_sites(host, call)).await;
         }
         match serde_json::from_slice(&first) {
             Ok(call) => answer(host, stream, call).await,
-            Err(why) => say(stream, &Answer::Refused(vec![format!("the call can't be read: {why}")])).await,
+            Err(why) => say(stream, &Response::Refused(vec![format!("the call can't be read: {why}")])).await,
         }
     }
 }
 
 /// As the journal words it.
-fn standing(is: &Standing) -> String {
+fn standing(is: &SiteState) -> String {
     let word = serde_json::to_value(is).ok();
     word.and_then(|word| word.as_str().map(str::to_string)).unwrap_or_default()
 }
@@ -221,14 +221,14 @@
     write_text(stream, text, STALL).await
 }
 
-fn of_sites(service: &Service, call: direct::Call) -> direct::Answer {
+fn of_sites(service: &Service, call: controller::SiteRequest) -> controller::SiteResponse {
     let now = service.now();
     match service.with(|director| director.answer(call, now)) {
         Some((answer, effects)) => {
             service.carry_out(effects);
             answer
         }
-        None => direct::Answer::Elsewhere { serves: service.council.elsewhere() },
+        None => controller::SiteResponse::Elsewhere { serves: service.council.elsewhere() },
     }
 }
 
@@ -258,8 +258,8 @@
             let control = director.control();
             let shape = control.version(told).filter(|shape| shape.version() > last)?;
             let (form, plans) = match place {
-                Place::Hub(hub) => (feed::for_hubs(shape), director.handed(hub)),
-                Place::Branch(branch) => (feed::for_branch(shape, branch)?, director.handed(branch)),
+                Place::Hub(hub) => (feed::config_for_hubs(shape), director.handed(hub)),
+                Place::Branch(branch) => (feed::config_for_branch(shape, branch)?, director.handed(branch)),
                 Place::All => (shape.form(), Vec::new()),
             };
             Some(ToMember::Version { term: control.term(), shape: Box::new(form), plans })
@@ -296,19 +296,21 @@
     }
 }
 
-async fn answer(service: &Service, stream: &Stream, call: Call) -> Result<(), String> {
+async fn answer(service: &Service, stream: &Stream, call: Request) -> Result<(), String> {
     let now = service.now();
-    let refused = |text: String| Answer::Refused(text.lines().map(str::to_string).collect());
+    let refused = |text: String| Response::Refused(text.lines().map(str::to_string).collect());
     let answer = match call {
-        Call::Status => service.with(|director| Answer::Status(Box::new(director.status(now)))),
-        Call::Shape => service.with(|director| Answer::Shape(Box::new(director.control().shape().form()))),
-        Call::Plan { form } => {
-            service.with(|director| match plan::plan(director.control().shape(), &form, now) {
-                Ok(plan) => Answer::Plan(Box::new(plan)),
+        Request::Status => service.with(|director| Response::Status(Box::new(director.status(now)))),
+        Request::Shape => {
+            service.with(|director| Response::Shape(Box::new(director.control().shape().form())))
+        }
+        Request::Plan { form } => {
+            service.with(|director| match plan::plan_change(director.control().shape(), &form, now) {
+                Ok(plan) => Response::Plan(Box::new(plan)),
                 Err(why) => refused(why.to_string()),
             })
         }
-        Call::Apply { form, expect, by } => {
+        Request::Apply { form, expect, by } => {
             let from = service.hosted.last_said();
             match service.with(|director| director.apply(&form, expect, &by, now)) {
                 Some(Ok(effects)) => {
@@ -319,32 +321,32 @@
                 None => None,
             }
         }
-        Call::Watch if service.speaks() => {
+        Request::Watch if service.speaks() => {
             return watch(service, stream, service.hosted.last_said(), false).await;
         }
-        Call::Watch => None,
+        Request::Watch => None,
     };
-    let answer = answer.unwrap_or_else(|| Answer::Elsewhere { serves: service.council.elsewhere() });
+    let answer = answer.unwrap_or_else(|| Response::Elsewhere { serves: service.council.elsewhere() });
     say(stream, &answer).await
 }
 
 /// Says on what is said, after the given number; to the end of the change, or for as long as anyone listens.
 async fn watch(service: &Service, stream: &Stream, mut after: u64, to_the_end: bool) -> Result<(), String> {
     loop {
-        let (last, new): (u64, Vec<Said>) = {
+        let (last, new): (u64, Vec<ChangeEvent>) = {
             let said = service.hosted.said.borrow();
             (said.last(), said.after(after).cloned().collect())
         };
         after = last;
         for said in new {
-            let ended = matches!(said, Said::Ended { .. });
-            say(stream, &Answer::Said(said)).await?;
+            let ended = matches!(said, ChangeEvent::Ended { .. });
+            say(stream, &Response::Said(said)).await?;
             if ended && to_the_end {
                 return Ok(());
             }
         }
         if !service.speaks() {
-            let answer = Answer::Elsewhere { serves: service.council.elsewhere() };
+            let answer = Response::Elsewhere { serves: service.council.elsewhere() };
             return say(stream, &answer).await;
         }
         service.until_news(LOOK).await;
@@ -357,7 +359,7 @@
     loop {
         // Only who speaks has something to tell routers; they look for it among the feeds that they know.
         let wanted = service
-            .with(|director| feed::feeds(director.control().shape(), service.name()))
+            .with(|director| feed::feed_addresses(director.control().shape(), service.name()))
             .unwrap_or_default();
         open.retain(|feed, task| wanted.contains(feed) && !task.is_finished());
         for feed in wanted {
@@ -409,7 +411,7 @@
 /// All events after `last`, or a beat where there are none.
 fn events(control: &Control, branch: &str, newest: u64, last: &mut u64) -> Vec<u8> {
     if *last >= newest {
-        return feed::beat(newest);
+        return feed::heartbeat(newest);
     }
     let mut text = Vec::new();
     while *last < newest {
@@ -417,10 +419,10 @@
         let version: Option<&Shape> = control.version(number);
         // Versions that are no longer kept say nothing; the first that is kept says the whole.
         match version {
-            None => text.extend(feed::nothing(number)),
+            None => text.extend(feed::empty_event(number)),
             Some(shape) => {
                 let before = last.checked_sub(1).and_then(|number| control.version(number));
-                text.extend(feed::event(number, before, control.version(*last), shape, branch));
+                text.extend(feed::version_event(number, before, control.version(*last), shape, branch));
             }
         }
         *last = number;
--- a/crates/control/tests/journals.rs
+++ b/crates/control/tests/journals.rs
@@ -2,27 +2,28 @@
 use harestage_control::journal;
 use harestage_control::serve::Keeper;
 use harestage_segments::{Folder, Log};
+use harestage_shape::config::{ArchiveConfig, ShapeConfig};
 use harestage_shape::control::{Entry, Record};
-use harestage_shape::form::{ArchiveForm, ShapeForm};
-use harestage_shape::run::Stage;
+use harestage_shape::rollout::Transition;
 use slog::{Discard, Logger, o};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 
 fn record(n: u64) -> Record {
-    let stage = Stage::Out { step: n as usize, version: n + 1 };
+    let stage = Transition::Out { step: n as usize, version: n + 1 };
     Record { term: 1, entry: if n == 0 { Entry::Opened } else { Entry::Stage(stage) } }
 }
 
 fn shape() -> Record {
-    let archive = ArchiveForm {
+    let archive = ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:2".into(),
         capacity: 1.0,
         stops_at: 2.0,
         stops_within_ms: 1_000,
     };
-    let shape = ShapeForm { version: 9, archive, hubs: Vec::new(), branches: Vec::new(), links: Vec::new() };
+    let shape =
+        ShapeConfig { version: 9, archive, hubs: Vec::new(), branches: Vec::new(), links: Vec::new() };
     Record { term: 1, entry: Entry::Shape(Box::new(shape)) }
 }
 
--- a/crates/following/src/control.rs
+++ b/crates/following/src/control.rs
@@ -4,10 +4,10 @@
 use async_io::Timer;
 use futures_lite::future::or;
 use harestage::time::Moment;
-use harestage_shape::control::Report;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines::{self, FromMember, Planned, ToMember};
-use harestage_shape::parts::Part;
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::control::HubReport;
+use harestage_shape::messages::{self, FallbackPlan, FromMember, ToMember};
 use harestage_sockets::Stream;
 use harestage_sockets::leader::Leader;
 use harestage_sockets::lines::{Lines, within, write_text};
@@ -21,12 +21,12 @@
 pub enum Heard {
     Version {
         term: u64,
-        shape: Box<ShapeForm>,
-        plans: Vec<Planned>,
+        shape: Box<ShapeConfig>,
+        plans: Vec<FallbackPlan>,
     },
     /// The answer to a report of a hub at the top, which was written at `asked`.
     Part {
-        part: Part,
+        part: RateShare,
         asked: Moment,
     },
     /// The answer to any other report.
@@ -39,7 +39,7 @@
     fn hello(&self) -> String;
     fn version(&self) -> u64;
     fn now(&self) -> Moment;
-    fn report(&self) -> Report;
+    fn report(&self) -> HubReport;
     fn hear(&self, heard: Heard) -> impl Future<Output = ()>;
 }
 
@@ -110,7 +110,7 @@
                 return "it answers no report".into();
             }
             self.asked.borrow_mut().push_back(self.member.now());
-            let report = lines::line(&FromMember::Report(self.member.report()));
+            let report = messages::encode_line(&FromMember::Report(self.member.report()));
             if let Err(why) = write_text(stream, &report, self.line.silence).await {
                 return why;
             }
--- a/crates/hub/src/desk/above.rs
+++ b/crates/hub/src/desk/above.rs
@@ -7,8 +7,8 @@
 use harestage::state::Remark;
 use harestage::time::{Moment, Span};
 use harestage_restart::stage::Stage as StartStage;
-use harestage_shape::knots::Key;
-use harestage_shape::tree::ARCHIVE;
+use harestage_shape::topology::ARCHIVE;
+use harestage_shape::wait_cycles::Key;
 use harestage_wire::fields::Hex;
 use harestage_wire::node::{Answer, CopyTag, Word};
 
@@ -53,7 +53,12 @@
             // The right went to another: that one's term has to end first.
             (Word::Full, _) if asking && fill.again < MOST_AGAIN => {
                 fill.again += 1;
-                return self.stage(key, Stage::Resting, Some(now + harestage_shape::shield::TERM * 0.4), now);
+                return self.stage(
+                    key,
+                    Stage::Resting,
+                    Some(now + harestage_shape::fetch_rights::CESSION_TERM * 0.4),
+                    now,
+                );
             }
             _ => {}
         }
--- a/crates/hub/src/desk/archive.rs
+++ b/crates/hub/src/desk/archive.rs
@@ -2,23 +2,23 @@
 use super::fills::Stage;
 use super::{BEAT, Desk};
 use harestage::time::Moment;
-use harestage_shape::knots::Key;
-use harestage_shape::parts::Share;
-use harestage_shape::shield::{ANSWERS_WITHIN, Right, Shield};
-use harestage_shape::tree::{ARCHIVE, PlaceIx, Shape};
+use harestage_shape::archive_share::ShareLimiter;
+use harestage_shape::fetch_rights::{FetchRight, FetchRights, REPLY_TIMEOUT};
+use harestage_shape::topology::{ARCHIVE, NodeIndex, Shape};
+use harestage_shape::wait_cycles::Key;
 
 pub(super) struct Archive {
     /// This hub's part of the archive's gate.
-    pub share: Share,
+    pub share: ShareLimiter,
     /// Which home has the right to fetch.
-    pub shield: Shield,
+    pub shield: FetchRights,
     /// False: the way that others are measured against, in which a new home fetches without asking the old one.
     hands_over: bool,
 }
 
 impl Archive {
     pub fn new(now: Moment) -> Archive {
-        Archive { share: Share::new(now), shield: Shield::default(), hands_over: true }
+        Archive { share: ShareLimiter::new(now), shield: FetchRights::default(), hands_over: true }
     }
 }
 
@@ -29,25 +29,25 @@
     }
 
     /// Asks former homes, takes its turn at the gate, and fetches.
-    pub(super) fn reach_archive(&mut self, key: Key, me: PlaceIx, shape: &Shape, now: Moment) {
+    pub(super) fn reach_archive(&mut self, key: Key, me: NodeIndex, shape: &Shape, now: Moment) {
         let silent = self.sites.silent_hubs(shape);
         let Some(fill) = self.fills.get_mut(key) else { return };
         let right = match fill.forced || !self.archive.hands_over {
-            true => Right::Own,
+            true => FetchRight::Own,
             false => {
                 let fenced = self.sources.fenced(shape);
-                let asked: Vec<PlaceIx> = fill.asked.iter().copied().chain(fenced).collect();
+                let asked: Vec<NodeIndex> = fill.asked.iter().copied().chain(fenced).collect();
                 self.archive.shield.right(&self.versions, me, key, &asked, &silent, now)
             }
         };
         self.circles.knots.waits(key, None, now);
         match right {
-            Right::Ask(whom) => {
+            FetchRight::Ask(whom) => {
                 let way = self.way(&[], shape.version(), true);
                 let pull = self.pull(key, whom, shape, true, Some(way), now);
-                self.stage(key, Stage::Asking { pull, whom }, Some(now + ANSWERS_WITHIN), now);
+                self.stage(key, Stage::Asking { pull, whom }, Some(now + REPLY_TIMEOUT), now);
             }
-            Right::Ceded { until } => {
+            FetchRight::Ceded { until } => {
                 let holder = self.archive.shield.holder(key, now).and_then(|name| shape.find(name));
                 let holder = holder.filter(|place| *place != me && !fill.avoid.contains(place));
                 match holder {
@@ -55,7 +55,7 @@
                     None => self.stage(key, Stage::Resting, Some(until), now),
                 }
             }
-            Right::Own => {
+            FetchRight::Own => {
                 let queued = fill.queued;
                 if !self.climbs(now) {
                     return self.stage(key, Stage::Resting, Some(now + BEAT), now);
--- a/crates/hub/src/desk/bells.rs
+++ b/crates/hub/src/desk/bells.rs
@@ -1,6 +1,6 @@
 //! When something is due.
 use harestage::time::Moment;
-use harestage_shape::knots::Key;
+use harestage_shape::wait_cycles::Key;
 use std::collections::BTreeMap;
 
 pub(super) type BellNo = (Moment, u64);
--- a/crates/hub/src/desk/below.rs
+++ b/crates/hub/src/desk/below.rs
@@ -5,8 +5,8 @@
 use harestage::state::Remark;
 use harestage::time::{Moment, Span};
 use harestage_restart::stage::Stage as StartStage;
-use harestage_shape::knots::Key;
-use harestage_shape::shield::Reply;
+use harestage_shape::fetch_rights::HandoverReply;
+use harestage_shape::wait_cycles::Key;
 use harestage_wire::fields::Hex;
 use harestage_wire::node::{Asked, CopyTag, Given, Word};
 
@@ -91,15 +91,17 @@
         self.orders.push(Order::Answer { conn, given });
     }
 
-    fn hand_over(&mut self, conn: ConnNo, id: Hex, reply: Reply, good: Option<Copy>) {
+    fn hand_over(&mut self, conn: ConnNo, id: Hex, reply: HandoverReply, good: Option<Copy>) {
         match (reply, good) {
-            (Reply::Held, Some(copy)) => {
+            (HandoverReply::Held, Some(copy)) => {
                 let given = give(id, &copy, None, true, Remark::Hit, 0.0);
                 self.orders.push(Order::Answer { conn, given });
             }
-            (Reply::UnderWay, _) => self.refuse(conn, id, Word::Lacks, Remark::Joined),
-            (Reply::Elsewhere { .. }, _) => self.refuse(conn, id, Word::Full, Remark::SourceRefused),
-            (Reply::Ceded { .. } | Reply::Held, _) => self.refuse(conn, id, Word::Lacks, Remark::Nothing),
+            (HandoverReply::UnderWay, _) => self.refuse(conn, id, Word::Lacks, Remark::Joined),
+            (HandoverReply::Elsewhere { .. }, _) => self.refuse(conn, id, Word::Full, Remark::SourceRefused),
+            (HandoverReply::Ceded { .. } | HandoverReply::Held, _) => {
+                self.refuse(conn, id, Word::Lacks, Remark::Nothing)
+            }
         }
     }
 
--- a/crates/hub/src/desk/circles.rs
+++ b/crates/hub/src/desk/circles.rs
@@ -3,8 +3,8 @@
 use super::ways::peer;
 use super::{Desk, Order};
 use harestage::time::Moment;
-use harestage_shape::control::LoopSeen;
-use harestage_shape::knots::{self, Act, Knot, Knots};
+use harestage_shape::control::CycleReport;
+use harestage_shape::wait_cycles::{self, Action, WaitCycle, WaitTracker};
 use harestage_wire::fields::Hex;
 use harestage_wire::peer::Chase;
 
@@ -12,18 +12,18 @@
 const MOST_LOOPS: usize = 256;
 
 pub(super) struct Circles {
-    pub knots: Knots,
+    pub knots: WaitTracker,
     /// Those that were broken here, until they are reported.
-    loops: Vec<LoopSeen>,
+    loops: Vec<CycleReport>,
 }
 
 impl Circles {
     pub fn new(name: &str) -> Circles {
-        Circles { knots: Knots::new(name), loops: Vec::new() }
+        Circles { knots: WaitTracker::new(name), loops: Vec::new() }
     }
 
     /// What was broken since it was last asked.
-    pub fn take_loops(&mut self) -> Vec<LoopSeen> {
+    pub fn take_loops(&mut self) -> Vec<CycleReport> {
         std::mem::take(&mut self.loops)
     }
 }
@@ -31,7 +31,7 @@
 impl Desk {
     pub(super) fn chased(&mut self, chase: Chase, now: Moment) {
         let key = (chase.object.number(), chase.part);
-        let chase = knots::Chase { key, path: chase.path, closed: chase.closed };
+        let chase = wait_cycles::Chase { key, path: chase.path, closed: chase.closed };
         let act = self.circles.knots.chased(chase, now);
         self.act(act, now);
     }
@@ -42,16 +42,16 @@
         }
     }
 
-    pub(super) fn act(&mut self, act: Option<Act>, now: Moment) {
+    pub(super) fn act(&mut self, act: Option<Action>, now: Moment) {
         match act {
-            Some(Act::Send { to, chase }) => self.send_chase(&to, chase),
-            Some(Act::Leave { knot }) => self.leave(knot, now),
+            Some(Action::Send { to, chase }) => self.send_chase(&to, chase),
+            Some(Action::Leave { knot }) => self.leave(knot, now),
             // A way that long is no way: whoever waits gives up by its own deadline.
-            Some(Act::TooLong { .. }) | None => {}
+            Some(Action::TooLong { .. }) | None => {}
         }
     }
 
-    fn send_chase(&mut self, to: &str, chase: knots::Chase) {
+    fn send_chase(&mut self, to: &str, chase: wait_cycles::Chase) {
         let shape = self.fills.get(chase.key).and_then(|fill| self.versions.get(fill.version));
         let Some(to) = shape.and_then(|shape| peer(shape, shape.find(to)?)) else { return };
         let (object, part) = (Hex::of(chase.key.0), chase.key.1);
@@ -60,7 +60,7 @@
     }
 
     /// This hub breaks the circle: its fill leaves the hub that it waits for and fetches for all in it.
-    fn leave(&mut self, knot: Knot, now: Moment) {
+    fn leave(&mut self, knot: WaitCycle, now: Moment) {
         let Some(fill) = self.fills.get_mut(knot.key) else { return };
         fill.forced = true;
         let waiting = match fill.stage {
@@ -69,7 +69,7 @@
         };
         waiting.into_iter().for_each(|pull| self.cancel(pull));
         if self.circles.loops.len() < MOST_LOOPS {
-            self.circles.loops.push(LoopSeen {
+            self.circles.loops.push(CycleReport {
                 object: format!("{:016x}", knot.key.0),
                 path: knot.path.clone(),
                 waited_ms: knot.waited.as_micros() as f64 / 1e3,
--- a/crates/hub/src/desk/copies.rs
+++ b/crates/hub/src/desk/copies.rs
@@ -5,7 +5,7 @@
 use harestage_copies::record::Marks;
 use harestage_copies::shelf::Meta;
 use harestage_purge::scope::Checked;
-use harestage_shape::knots::Key;
+use harestage_shape::wait_cycles::Key;
 use std::collections::HashMap;
 
 /// A clock that is off by less counts as right.
--- a/crates/hub/src/desk/fills.rs
+++ b/crates/hub/src/desk/fills.rs
@@ -4,8 +4,8 @@
 use crate::store::HIGHEST_RANK;
 use bytes::Bytes;
 use harestage::time::{Moment, Span};
-use harestage_shape::knots::Key;
-use harestage_shape::tree::PlaceIx;
+use harestage_shape::topology::NodeIndex;
+use harestage_shape::wait_cycles::Key;
 use harestage_wire::fields::Hex;
 use harestage_wire::node::Asked;
 use std::collections::HashMap;
@@ -30,11 +30,11 @@
     /// A former home is asked for the right to fetch.
     Asking {
         pull: PullNo,
-        whom: PlaceIx,
+        whom: NodeIndex,
     },
     Waiting {
         pull: PullNo,
-        on: PlaceIx,
+        on: NodeIndex,
     },
     Fetching {
         pull: PullNo,
@@ -50,9 +50,9 @@
     pub waiters: Vec<Waiter>,
     pub stage: Stage,
     /// Where it is not to be filled from.
-    pub avoid: Vec<PlaceIx>,
+    pub avoid: Vec<NodeIndex>,
     /// Former homes that have answered.
-    pub asked: Vec<PlaceIx>,
+    pub asked: Vec<NodeIndex>,
     pub version: u64,
     pub rank: u8,
     pub no_copy: bool,
--- a/crates/hub/src/desk/gauges.rs
+++ b/crates/hub/src/desk/gauges.rs
@@ -2,7 +2,7 @@
 use super::Desk;
 use harestage::ring::Ring;
 use harestage::time::{Moment, Span};
-use harestage_shape::control::Report;
+use harestage_shape::control::HubReport;
 
 /// How long something takes now, against what it usually takes.
 pub(super) struct Pace {
@@ -63,14 +63,14 @@
 
 impl Desk {
     /// For the control service, some times a second.
-    pub fn report(&mut self, now: Moment) -> Report {
+    pub fn report(&mut self, now: Moment) -> HubReport {
         let ((wants, part), holds) = (self.archive.share.ask(now), self.archive.share.holds(now));
         let (slowness, archive_slowness) =
             (self.gauges.lasted.slowness(now), self.gauges.fetched.slowness(now));
         let (fetches, asked) = (self.gauges.fetches.count(now), self.gauges.asked.count(now));
         let loops = self.circles.take_loops();
         let (site, sightings) = (self.sites.name().to_string(), self.sites.sightings());
-        Report {
+        HubReport {
             version: self.version(),
             slowness,
             archive_slowness,
--- a/crates/hub/src/desk/messages.rs
+++ b/crates/hub/src/desk/messages.rs
@@ -7,10 +7,10 @@
 use harestage_copies::shelf::Meta;
 use harestage_purge::scope::Checked;
 use harestage_restart::stage;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::knots::{Key, Knot};
-use harestage_shape::parts::Part;
-use harestage_sites::standby::{Planned, Turn};
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::wait_cycles::{Key, WaitCycle};
+use harestage_sites::fallback::{FallbackChange, FallbackPlan};
 use harestage_wire::fields::Hex;
 use harestage_wire::node::{Answer, Asked, CopyTag, Given};
 use harestage_wire::peer::{Chase, Mark, Way};
@@ -67,9 +67,9 @@
         pull: PullNo,
     },
     Chased(Chase),
-    Told(Box<ShapeForm>),
+    Told(Box<ShapeConfig>),
     Part {
-        part: Part,
+        part: RateShare,
         asked: Moment,
     },
     Purged {
@@ -95,7 +95,7 @@
     Plans {
         version: u64,
         term: u64,
-        plans: Vec<Planned>,
+        plans: Vec<FallbackPlan>,
     },
     /// All purges up to that number are applied.
     HasPurges(u64),
@@ -144,9 +144,9 @@
         to: Peer,
     },
     /// A circle of waits was found here, and broken.
-    Broke(Knot),
+    Broke(WaitCycle),
     /// It goes by another plan from now on, for the log.
-    Turned(Turn),
+    Turned(FallbackChange),
     /// The keeper of the audit wants it to start anew.
     StartAnew(String),
     /// Its start has come to another stage.
--- a/crates/hub/src/desk/mod.rs
+++ b/crates/hub/src/desk/mod.rs
@@ -31,7 +31,7 @@
 use gauges::Gauges;
 use harestage::time::{Moment, Span};
 use harestage_restart::stage::Fact;
-use harestage_shape::tree::Versions;
+use harestage_shape::topology::Versions;
 use rationing::{Chance, Rationing};
 use sites::Sites;
 use starting::Starting;
--- a/crates/hub/src/desk/rationing.rs
+++ b/crates/hub/src/desk/rationing.rs
@@ -1,10 +1,10 @@
 //! What is refused first where not all fits, and how much is repeated.
 use super::{ConnNo, Desk};
 use harestage::time::{Moment, Span};
-use harestage_shape::knots::Key;
-use harestage_shape::tree::{Place, warmth};
-use harestage_sites::budget::Budget;
-use harestage_sites::ration::{Answer, Ration, Refusals, Tally, Want};
+use harestage_shape::topology::{Node, warm_fraction};
+use harestage_shape::wait_cycles::Key;
+use harestage_sites::quota::{Admission, Quota, QuotaRequest, QuotaStats, RecentRefusals};
+use harestage_sites::retry_budget::RetryBudget;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Of what it can do at its age, what a hub takes in a second; past it, what is worth least is refused.
@@ -34,18 +34,18 @@
 
 /// Counts for a hub that is at a site.
 pub(super) struct Rationing {
-    ration: Ration,
-    budget: Budget,
+    ration: Quota,
+    budget: RetryBudget,
     /// Pulls that were refused lately, so that their second tries are told apart.
-    refusals: Refusals,
+    refusals: RecentRefusals,
 }
 
 impl Rationing {
     pub fn new(now: Moment) -> Rationing {
         Rationing {
-            ration: Ration::new(now),
-            budget: Budget::new(REPEATS, now),
-            refusals: Refusals::new(now),
+            ration: Quota::new(now),
+            budget: RetryBudget::new(REPEATS, now),
+            refusals: RecentRefusals::new(now),
         }
     }
 
@@ -54,10 +54,10 @@
     pub fn refuses(&mut self, conn: ConnNo, key: Key, worth: f64, chance: f64, now: Moment) -> Option<Span> {
         // The protocol of the caches has no word for a second try: who was refused and asks again makes one.
         let second_try = self.refusals.has(&(conn, key), now);
-        let want = Want { worth, takes: 1.0, second_try, branch: conn as u32 };
+        let want = QuotaRequest { worth, takes: 1.0, second_try, branch: conn as u32 };
         match self.ration.ask(&want, chance, now) {
-            Answer::Taken => None,
-            Answer::ComeAgain(after) => {
+            Admission::Taken => None,
+            Admission::ComeAgain(after) => {
                 self.refusals.note(&(conn, key), now);
                 Some(after)
             }
@@ -76,7 +76,7 @@
 
 impl Desk {
     /// What was refused here lately, and how much of it out of its order.
-    pub fn refused(&self) -> Tally {
+    pub fn refused(&self) -> QuotaStats {
         self.rationing.ration.tally()
     }
 
@@ -88,11 +88,11 @@
     /// What it can do at its age, by the newest version; none where no version names it.
     fn room(&self, now: Moment) -> Option<f64> {
         let shape = self.versions.newest()?;
-        let hub = shape.place(shape.find(&self.name)?).and_then(Place::hub)?;
+        let hub = shape.place(shape.find(&self.name)?).and_then(Node::hub)?;
         let age = match hub.since_ms {
             0 => Span::millis(hub.cold_ms),
             since_ms => now.since(Moment::at_micros(since_ms.saturating_mul(1_000))),
         };
-        Some(hub.capacity * warmth(hub, age) * TAKES)
+        Some(hub.capacity * warm_fraction(hub, age) * TAKES)
     }
 }
--- a/crates/hub/src/desk/sites.rs
+++ b/crates/hub/src/desk/sites.rs
@@ -3,10 +3,10 @@
 use super::ways::peer;
 use super::{Desk, Order, PullNo};
 use harestage::time::{Moment, Span};
-use harestage_shape::tree::{PlaceIx, Shape};
-use harestage_sites::sight::{Sight, Sighting};
-use harestage_sites::standby::{Planned, Standby};
-use harestage_sites::watch::SILENCE;
+use harestage_shape::topology::{NodeIndex, Shape};
+use harestage_sites::failure_detector::SILENCE_THRESHOLD;
+use harestage_sites::fallback::{FallbackMode, FallbackPlan};
+use harestage_sites::liveness::{LivenessView, SiteObservation};
 use std::collections::HashMap;
 
 /// Questions to other sites that are remembered.
@@ -19,13 +19,13 @@
 pub(super) struct Sites {
     /// The site that it is at, and what it sees of others.
     site: String,
-    sight: Sight,
+    sight: LivenessView,
     /// Who is asked next at each other site.
     asked_next: usize,
     /// Questions that are on their way, by the pull number that stands for them: who was asked, where, and its number.
     asks: HashMap<PullNo, (String, String, u64)>,
     /// What it does about a lost site while no service speaks, and the newest version by that.
-    standby: Standby,
+    standby: FallbackMode,
     planned: Option<Shape>,
 }
 
@@ -33,10 +33,10 @@
     pub fn new(now: Moment) -> Sites {
         Sites {
             site: String::new(),
-            sight: Sight::default(),
+            sight: LivenessView::default(),
             asked_next: 0,
             asks: HashMap::new(),
-            standby: Standby::new(now),
+            standby: FallbackMode::new(now),
             planned: None,
         }
     }
@@ -50,7 +50,7 @@
         &self.site
     }
 
-    pub fn sightings(&self) -> Vec<Sighting> {
+    pub fn sightings(&self) -> Vec<SiteObservation> {
         self.sight.sightings()
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Hubs of sites from which nothing is heard: to ask them one by one would cost a time-out each.
-    pub fn silent_hubs(&self, shape: &Shape) -> Vec<PlaceIx> {
+    pub fn silent_hubs(&self, shape: &Shape) -> Vec<NodeIndex> {
         let mut silent = self.unseen();
         silent.extend(self.standby.without().iter().cloned());
         if silent.is_empty() {
@@ -98,7 +98,7 @@
         self.sites.sight.beat(now);
         self.sites.asked_next += 1;
         for site in others {
-            let there: Vec<PlaceIx> =
+            let there: Vec<NodeIndex> =
                 shape.hubs().filter(|(_, hub)| hub.site == site).map(|(at, _)| at).collect();
             let to = there.get(self.sites.asked_next % there.len().max(1)).and_then(|at| peer(&shape, *at));
             let (Some(to), Some(number)) = (to, self.sites.sight.asks(site, now)) else { continue };
@@ -118,9 +118,9 @@
         self.sites.sight.answered(&site, number, leaving, now);
         let Some(shape) = self.versions.newest() else { return };
         let others = shape.sites().into_iter().filter(|other| *other != site);
-        let sightings = others.map(|other| Sighting {
+        let sightings = others.map(|other| SiteObservation {
             site: other.into(),
-            unanswered: if unseen.iter().any(|name| name == other) { SILENCE } else { 0 },
+            unanswered: if unseen.iter().any(|name| name == other) { SILENCE_THRESHOLD } else { 0 },
             known: true,
             slowness: 1.0,
             leaving: false,
@@ -134,7 +134,7 @@
         self.sites.unseen()
     }
 
-    pub(super) fn handed(&mut self, version: u64, plans: Vec<Planned>, now: Moment) {
+    pub(super) fn handed(&mut self, version: u64, plans: Vec<FallbackPlan>, now: Moment) {
         let Some(shape) = self.versions.newest().filter(|shape| shape.version() == version).cloned() else {
             return;
         };
@@ -164,7 +164,7 @@
     fn go_by_plan(&mut self) {
         self.sites.planned = self.versions.newest().and_then(|shape| {
             let ties = self.sites.standby.ties()?;
-            let ties: Vec<PlaceIx> = ties.iter().filter_map(|tie| shape.find(tie)).collect();
+            let ties: Vec<NodeIndex> = ties.iter().filter_map(|tie| shape.find(tie)).collect();
             let me = shape.find(&self.name).filter(|_| !ties.is_empty())?;
             Some(shape.with_ties(shape.version(), [(me, ties.as_slice())]))
         });
--- a/crates/hub/src/desk/versions.rs
+++ b/crates/hub/src/desk/versions.rs
@@ -5,12 +5,12 @@
 use harestage_audit::acting::Wanted;
 use harestage_audit::lines::Bring;
 use harestage_restart::stage::Fact;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::tree::{PlaceIx, Shape};
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::topology::{NodeIndex, Shape};
 
 impl Desk {
     /// A version that does not hold is passed over whole; the service checks it before it hands it out.
-    pub(super) fn told(&mut self, form: &ShapeForm, now: Moment) {
+    pub(super) fn told(&mut self, form: &ShapeConfig, now: Moment) {
         let shape = match self.versions.newest() {
             Some(newest) if form.version <= newest.version() => return,
             Some(newest) => newest.followed_by(form),
@@ -64,8 +64,8 @@
         self.versions.newest().map_or(0, Shape::version)
     }
 
-    pub(super) fn me(&self, shape: &Shape) -> PlaceIx {
+    pub(super) fn me(&self, shape: &Shape) -> NodeIndex {
         // A hub that no version names yet still serves what it holds; its fills go the usual way from nowhere.
-        shape.find(&self.name).unwrap_or(PlaceIx(u32::MAX))
+        shape.find(&self.name).unwrap_or(NodeIndex(u32::MAX))
     }
 }
--- a/crates/hub/src/desk/ways.rs
+++ b/crates/hub/src/desk/ways.rs
@@ -3,10 +3,10 @@
 use super::{Ask, Desk, Order, Peer, PullNo};
 use harestage::state::Remark;
 use harestage::time::{Moment, Span};
-use harestage_shape::knots::{Act, Key};
-use harestage_shape::route::{self, Next};
-use harestage_shape::shield::ANSWERS_WITHIN;
-use harestage_shape::tree::{Place, PlaceIx, Shape};
+use harestage_shape::fetch_rights::REPLY_TIMEOUT;
+use harestage_shape::route::{self, NextHop};
+use harestage_shape::topology::{Node, NodeIndex, Shape};
+use harestage_shape::wait_cycles::{Action, Key};
 use harestage_wire::peer::Way;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +18,7 @@
 /// From whom nothing is taken now.
 #[derive(Default)]
 pub(super) struct Sources {
-    aside: BTreeMap<PlaceIx, Moment>,
+    aside: BTreeMap<NodeIndex, Moment>,
     /// Hubs that lack a purge.
     fenced: BTreeSet<String>,
     /// It follows a service of purges, and does not know yet from whom it may take copies.
@@ -26,7 +26,7 @@
 }
 
 impl Sources {
-    pub fn pass_by(&mut self, place: PlaceIx, now: Moment) {
+    pub fn pass_by(&mut self, place: NodeIndex, now: Moment) {
         self.aside.insert(place, now + PASSED_BY);
     }
 
@@ -34,11 +34,11 @@
         self.aside.retain(|_, until| *until > now);
     }
 
-    pub fn fenced(&self, shape: &Shape) -> impl Iterator<Item = PlaceIx> {
+    pub fn fenced(&self, shape: &Shape) -> impl Iterator<Item = NodeIndex> {
         self.fenced.iter().filter_map(|name| shape.find(name))
     }
 
-    fn passed_by(&self, now: Moment) -> impl Iterator<Item = PlaceIx> {
+    fn passed_by(&self, now: Moment) -> impl Iterator<Item = NodeIndex> {
         self.aside.iter().filter(move |(_, until)| **until > now).map(|(place, _)| *place)
     }
 }
@@ -102,18 +102,19 @@
         avoid.extend(self.sources.passed_by(now));
         avoid.extend(self.sources.fenced(&shape));
         avoid.extend(self.sites.silent_hubs(&shape));
-        let next = if fill.forced { Some(Next::Archive) } else { route::next(&shape, me, key.0, &avoid) };
+        let next =
+            if fill.forced { Some(NextHop::Archive) } else { route::next_hop(&shape, me, key.0, &avoid) };
         // The home has refused it for want of room: past it, the archive would be asked for what is worth least.
         let refused = self.fills.get(key).and_then(|fill| fill.come).is_some_and(|come| come > now);
         match next {
-            Some(Next::Archive) if refused => self.fail(key, Remark::SourceLost),
-            Some(Next::Hub(hub)) => self.wait_on(key, hub, path, &shape, now),
-            Some(Next::Archive) => self.reach_archive(key, me, &shape, now),
+            Some(NextHop::Archive) if refused => self.fail(key, Remark::SourceLost),
+            Some(NextHop::Hub(hub)) => self.wait_on(key, hub, path, &shape, now),
+            Some(NextHop::Archive) => self.reach_archive(key, me, &shape, now),
             None => self.fail(key, Remark::SourceLost),
         }
     }
 
-    pub(super) fn wait_on(&mut self, key: Key, hub: PlaceIx, path: &[String], shape: &Shape, now: Moment) {
+    pub(super) fn wait_on(&mut self, key: Key, hub: NodeIndex, path: &[String], shape: &Shape, now: Moment) {
         let name = shape.name(hub).to_string();
         self.circles.knots.waits(key, Some(&name), now);
         // The path of the pull that began it; those who join later are followed by chases.
@@ -121,7 +122,7 @@
         let way = self.way(path, shape.version(), false);
         let pull = self.pull(key, hub, shape, false, Some(way), now);
         self.stage(key, Stage::Waiting { pull, on: hub }, Some(now + STALLED), now);
-        if matches!(act, Some(Act::Leave { .. })) {
+        if matches!(act, Some(Action::Leave { .. })) {
             self.act(act, now);
         }
     }
@@ -138,7 +139,7 @@
     pub(super) fn pull(
         &mut self,
         key: Key,
-        place: PlaceIx,
+        place: NodeIndex,
         shape: &Shape,
         only_held: bool,
         way: Option<Way>,
@@ -149,7 +150,7 @@
         // A former home may be in older versions only.
         let to = peer(shape, place).or_else(|| self.versions.all().find_map(|shape| peer(shape, place)));
         let (Some(fill), Some(to)) = (self.fills.get(key), to) else { return pull };
-        let waits = if only_held { ANSWERS_WITHIN } else { fill.until.since(now).max(Span::millis(1)) };
+        let waits = if only_held { REPLY_TIMEOUT } else { fill.until.since(now).max(Span::millis(1)) };
         let ask = Ask {
             content: fill.content.clone(),
             object: key.0,
@@ -197,11 +198,11 @@
     }
 }
 
-pub(super) fn peer(shape: &Shape, at: PlaceIx) -> Option<Peer> {
+pub(super) fn peer(shape: &Shape, at: NodeIndex) -> Option<Peer> {
     let (name, address) = match shape.place(at)? {
-        Place::Archive(archive) => (&archive.name, &archive.address),
-        Place::Hub(hub) => (&hub.name, &hub.address),
-        Place::Branch(_) => return None,
+        Node::Archive(archive) => (&archive.name, &archive.address),
+        Node::Hub(hub) => (&hub.name, &hub.address),
+        Node::Branch(_) => return None,
     };
     Some(Peer { name: name.clone(), address: address.clone() })
 }
--- a/crates/hub/src/net/follow.rs
+++ b/crates/hub/src/net/follow.rs
@@ -8,8 +8,8 @@
 use harestage_following::control::{Heard, Member};
 use harestage_following::purges;
 use harestage_purge::follow::Act;
-use harestage_shape::control::Report;
-use harestage_shape::lines;
+use harestage_shape::control::HubReport;
+use harestage_shape::messages;
 use std::rc::Rc;
 
 /// A hub as the control service's member.
@@ -20,7 +20,7 @@
 
 impl Member for Hub {
     fn hello(&self) -> String {
-        lines::subscribe(self.version(), &self.shared.name)
+        messages::subscribe_line(self.version(), &self.shared.name)
     }
 
     fn version(&self) -> u64 {
@@ -31,7 +31,7 @@
         self.shared.clock.now()
     }
 
-    fn report(&self) -> Report {
+    fn report(&self) -> HubReport {
         self.shared.desk.borrow_mut().report(self.now())
     }
 
--- a/crates/hub/src/net/mod.rs
+++ b/crates/hub/src/net/mod.rs
@@ -14,8 +14,8 @@
 use futures_lite::future::or;
 use harestage_following::{self as following, control};
 use harestage_purge::lines::Past;
-use harestage_sites::ration::Tally;
-use harestage_sites::standby::Turn;
+use harestage_sites::fallback::FallbackChange;
+use harestage_sites::quota::QuotaStats;
 use harestage_sockets::Spawner;
 use harestage_sockets::clock::Clock;
 use slog::{Logger, info, warn};
@@ -216,7 +216,7 @@
 
 /// Says what was refused for want of room, where anything was.
 async fn tell_refused(shared: Rc<Shared>, log: Logger) {
-    let mut before = Tally::default();
+    let mut before = QuotaStats::default();
     loop {
         Timer::after(TELLS_REFUSED).await;
         let tally = shared.desk.borrow().refused();
@@ -297,8 +297,8 @@
                     shared.ends.notify(usize::MAX);
                     shared.anew.set(true);
                 }
-                Order::Turned(Turn::Back) => info!(log, "goes by its version again"),
-                Order::Turned(Turn::Without { lost, planned }) => {
+                Order::Turned(FallbackChange::Back) => info!(log, "goes by its version again"),
+                Order::Turned(FallbackChange::Without { lost, planned }) => {
                     let lost = lost.into_iter().collect::<Vec<_>>().join(" ");
                     warn!(log, "goes without a site, with no service"; "lost" => lost, "planned" => planned);
                 }
--- a/crates/hub/src/start.rs
+++ b/crates/hub/src/start.rs
@@ -2,7 +2,7 @@
 use crate::desk::{Bounds, Keeping};
 use bytes::Bytes;
 use harestage::time::Span;
-use harestage_shape::form::ShapeForm;
+use harestage_shape::config::ShapeConfig;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -54,7 +54,7 @@
     pub contents: Vec<ContentFile>,
     /// The shape that it starts from, until the service tells another.
     #[serde(default)]
-    pub shape: Option<ShapeForm>,
+    pub shape: Option<ShapeConfig>,
 }
 
 /// Copies on disk.
@@ -121,7 +121,7 @@
     pub settings: u64,
     pub storage: Option<StorageStart>,
     pub contents: HashMap<Bytes, Keeping>,
-    pub shape: Option<ShapeForm>,
+    pub shape: Option<ShapeConfig>,
     pub bounds: Bounds,
     pub limits: Limits,
     /// Whether homes are handed over when they move. No file can say no: only measurements do, for their baseline.
--- a/crates/hub/src/store.rs
+++ b/crates/hub/src/store.rs
@@ -5,7 +5,7 @@
 use harestage::time::{Moment, Span};
 use harestage_purge::index::Index;
 use harestage_purge::scope::{Checked, Facts};
-use harestage_shape::knots::Key;
+use harestage_shape::wait_cycles::Key;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::ops::RangeInclusive;
 
--- a/crates/hub/tests/audited.rs
+++ b/crates/hub/tests/audited.rs
@@ -8,15 +8,15 @@
 use harestage_audit::lines::{Bring, Refusals, ToAudited};
 use harestage_audit::stamp::{Goes, Stamp};
 use harestage_hub::desk::{Bounds, Desk, Keeping, News, Order};
-use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
-use harestage_shape::parts::Part;
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::{ArchiveConfig, HubConfig, ShapeConfig};
 use harestage_wire::fields::Hex;
 use harestage_wire::node::{Answer, Asked, CopyTag, Word};
 use harestage_wire::peer::Mark;
 use std::collections::HashMap;
 
-fn shape(version: u64) -> ShapeForm {
-    let hub = |name: &str| HubForm {
+fn shape(version: u64) -> ShapeConfig {
+    let hub = |name: &str| HubConfig {
         name: name.into(),
         address: "127.0.0.1:1".into(),
         site: "east".into(),
@@ -29,14 +29,14 @@
         falls_within_ms: 1_000,
         up: vec!["archive".into()],
     };
-    let archive = ArchiveForm {
+    let archive = ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:2".into(),
         capacity: 1e5,
         stops_at: 2.5,
         stops_within_ms: 3_000,
     };
-    ShapeForm { version, archive, hubs: vec![hub("a")], branches: Vec::new(), links: Vec::new() }
+    ShapeConfig { version, archive, hubs: vec![hub("a")], branches: Vec::new(), links: Vec::new() }
 }
 
 fn at(ms: u64) -> Moment {
@@ -51,7 +51,7 @@
     desk.is_at("east", at(0));
     desk.is_audited(9, "1", 7, at(0));
     desk.step(at(0), std::iter::once(News::Told(Box::new(shape(5)))));
-    let part = Part { rate: 1e5, floor: 1e5, number: 1 };
+    let part = RateShare { rate: 1e5, floor: 1e5, number: 1 };
     desk.step(at(0), std::iter::once(News::Part { part, asked: at(0) }));
     desk
 }
@@ -160,7 +160,7 @@
 #[test]
 fn a_version_that_the_keeper_brings_is_taken_and_one_that_can_not_be_is_told() {
     let mut desk = desk();
-    let whole = |form: ShapeForm| {
+    let whole = |form: ShapeConfig| {
         News::Wanted(Box::new(Wanted::Take(Bring::Whole { shape: Box::new(form), plans: Vec::new() })))
     };
     desk.step(at(50), std::iter::once(whole(shape(6))));
--- a/crates/hub/tests/desks.rs
+++ b/crates/hub/tests/desks.rs
@@ -5,9 +5,9 @@
 use harestage::time::{Moment, Span};
 use harestage_hub::desk::{Ask, Bounds, Desk, Keeping, News, Order};
 use harestage_hub::store::Named;
-use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
-use harestage_shape::knots::Knot;
-use harestage_shape::parts::Part;
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::{ArchiveConfig, HubConfig, ShapeConfig};
+use harestage_shape::wait_cycles::WaitCycle;
 use harestage_wire::fields::Hex;
 use harestage_wire::node::{Answer, Asked, CopyTag, Given, Word};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -15,8 +15,8 @@
 
 const CONTENT: &[u8] = b"clip";
 
-fn hub_form(name: &str, up: &[&str]) -> HubForm {
-    HubForm {
+fn hub_form(name: &str, up: &[&str]) -> HubConfig {
+    HubConfig {
         name: name.into(),
         address: "127.0.0.1:1".into(),
         site: String::new(),
@@ -31,8 +31,8 @@
     }
 }
 
-fn form(version: u64, hubs: &[(&str, &[&str])]) -> ShapeForm {
-    let archive = ArchiveForm {
+fn form(version: u64, hubs: &[(&str, &[&str])]) -> ShapeConfig {
+    let archive = ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:2".into(),
         capacity: 400.0,
@@ -40,10 +40,10 @@
         stops_within_ms: 3_000,
     };
     let hubs = hubs.iter().map(|(name, up)| hub_form(name, up)).collect();
-    ShapeForm { version, archive, hubs, branches: Vec::new(), links: Vec::new() }
+    ShapeConfig { version, archive, hubs, branches: Vec::new(), links: Vec::new() }
 }
 
-fn tops(version: u64, names: &[&str]) -> ShapeForm {
+fn tops(version: u64, names: &[&str]) -> ShapeConfig {
     let hubs: Vec<(&str, &[&str])> = names.iter().map(|name| (*name, &["archive"][..])).collect();
     form(version, &hubs)
 }
@@ -72,7 +72,7 @@
     fetches: Vec<(u64, u64, String)>,
     fetch_takes: u64,
     answers: Vec<(u64, Given)>,
-    broke: Vec<(u64, String, Knot)>,
+    broke: Vec<(u64, String, WaitCycle)>,
     /// When the archive changed an object last, in virtual microseconds.
     dated: HashMap<u64, u64>,
 }
@@ -131,10 +131,10 @@
         self.wires.insert((*free, self.sent), (from.into(), to.into(), message));
     }
 
-    fn tell(&mut self, name: &str, form: &ShapeForm) {
+    fn tell(&mut self, name: &str, form: &ShapeConfig) {
         self.step(name, vec![News::Told(Box::new(form.clone()))]);
         // Room at the archive for all of a test: the gate has tests of its own.
-        let part = Part { rate: 10_000.0, floor: 10_000.0, number: form.version };
+        let part = RateShare { rate: 10_000.0, floor: 10_000.0, number: form.version };
         self.step(name, vec![News::Part { part, asked: self.at() }]);
     }
 
@@ -312,7 +312,7 @@
 }
 
 /// An object whose home, by the version that each hub is given, is the next hub in a ring.
-fn ring_versions(names: &[&str]) -> Vec<ShapeForm> {
+fn ring_versions(names: &[&str]) -> Vec<ShapeConfig> {
     let next = |n: usize| names[(n + 1) % names.len()];
     (0..names.len())
         .map(|n| {
--- a/crates/hub/tests/keeping.rs
+++ b/crates/hub/tests/keeping.rs
@@ -8,8 +8,8 @@
 use harestage_hub::store::Copy;
 use harestage_purge::scope::Scope;
 use harestage_restart::stage::Stage;
-use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
-use harestage_shape::parts::Part;
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::{ArchiveConfig, HubConfig, ShapeConfig};
 use harestage_wire::fields::Hex;
 use harestage_wire::node::{Answer, Asked, CopyTag, Word};
 use std::collections::HashMap;
@@ -20,8 +20,8 @@
     Moment::at_micros((DAY + ms) * 1_000)
 }
 
-fn shape() -> ShapeForm {
-    let hub = HubForm {
+fn shape() -> ShapeConfig {
+    let hub = HubConfig {
         name: "a".into(),
         address: "127.0.0.1:1".into(),
         site: String::new(),
@@ -34,14 +34,14 @@
         falls_within_ms: 1_000,
         up: vec!["archive".into()],
     };
-    let archive = ArchiveForm {
+    let archive = ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:2".into(),
         capacity: 1e4,
         stops_at: 2.5,
         stops_within_ms: 3_000,
     };
-    ShapeForm { version: 1, archive, hubs: vec![hub], branches: Vec::new(), links: Vec::new() }
+    ShapeConfig { version: 1, archive, hubs: vec![hub], branches: Vec::new(), links: Vec::new() }
 }
 
 struct Bed {
@@ -90,7 +90,7 @@
     }
 
     fn ready(&mut self) {
-        let part = Part { rate: 1_000.0, floor: 1_000.0, number: 1 };
+        let part = RateShare { rate: 1_000.0, floor: 1_000.0, number: 1 };
         let asked = at(self.ms);
         self.step(vec![News::Told(Box::new(shape())), News::Part { part, asked }]);
     }
--- a/crates/hub/tests/rationing.rs
+++ b/crates/hub/tests/rationing.rs
@@ -3,14 +3,14 @@
 use harestage::state::Remark;
 use harestage::time::{Moment, Span};
 use harestage_hub::desk::{Bounds, Desk, Keeping, News, Order};
-use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
-use harestage_shape::parts::Part;
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::{ArchiveConfig, HubConfig, ShapeConfig};
 use harestage_wire::fields::Hex;
 use harestage_wire::node::{Answer, Asked, CopyTag, Word};
 use std::collections::{BTreeMap, HashMap};
 
-fn hub(name: &str, site: &str, capacity: f64) -> HubForm {
-    HubForm {
+fn hub(name: &str, site: &str, capacity: f64) -> HubConfig {
+    HubConfig {
         name: name.into(),
         address: "127.0.0.1:1".into(),
         site: site.into(),
@@ -25,15 +25,15 @@
     }
 }
 
-fn shape(hubs: Vec<HubForm>) -> ShapeForm {
-    let archive = ArchiveForm {
+fn shape(hubs: Vec<HubConfig>) -> ShapeConfig {
+    let archive = ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:2".into(),
         capacity: 1e5,
         stops_at: 2.5,
         stops_within_ms: 3_000,
     };
-    ShapeForm { version: 1, archive, hubs, branches: Vec::new(), links: Vec::new() }
+    ShapeConfig { version: 1, archive, hubs, branches: Vec::new(), links: Vec::new() }
 }
 
 fn asked(no: u64, content: &'static str, object: u64) -> Box<Asked> {
@@ -72,7 +72,7 @@
 }
 
 impl Bed {
-    fn new(site: &str, form: ShapeForm) -> Bed {
+    fn new(site: &str, form: ShapeConfig) -> Bed {
         let keeping = |benefit| Keeping { fresh: None, grace: Span::ZERO, benefit };
         let named = |name: &'static str| Bytes::from_static(name.as_bytes());
         let contents = HashMap::from([(named("clip"), keeping(8.0)), (named("page"), keeping(1.0))]);
@@ -81,7 +81,7 @@
         let mut desk = Desk::open("a", bounds, contents, at);
         desk.is_at(site, at);
         desk.step(at, std::iter::once(News::Told(Box::new(form))));
-        let part = Part { rate: 1e5, floor: 1e5, number: 1 };
+        let part = RateShare { rate: 1e5, floor: 1e5, number: 1 };
         desk.step(at, std::iter::once(News::Part { part, asked: at }));
         let (became, content) = Default::default();
         Bed { desk, ms: 1_000, no: 0, became, content, hubs: 0, fetches: 0, others: true }
--- a/crates/keeper/src/serve.rs
+++ b/crates/keeper/src/serve.rs
@@ -16,9 +16,9 @@
 use harestage_purge::lines::Past;
 use harestage_seats::host::{Host, Hosted, LOOK, Listening, STALL, say};
 use harestage_seats::{Council, CouncilStart, until};
-use harestage_shape::control::Report as ShapeReport;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines as shape_lines;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::control::HubReport as ShapeReport;
+use harestage_shape::messages as shape_lines;
 use harestage_sockets::Spawner;
 use harestage_sockets::accept::Open;
 use harestage_sockets::clock::Clock;
@@ -68,7 +68,7 @@
     /// All links that the disk held at the start, until the first time that this member leads.
     held: RefCell<Vec<Link>>,
     /// The last version that was heard, for whoever takes the keeper up.
-    version: RefCell<Option<Box<ShapeForm>>>,
+    version: RefCell<Option<Box<ShapeConfig>>>,
     purges: Cell<u64>,
     follows: Follows,
 }
@@ -306,30 +306,30 @@
 }
 
 /// Asks the control service for the version before the one that is withdrawn.
-async fn take_back(service: Rc<Service>, shape: u64, before: ShapeForm) {
-    let form = Box::new(ShapeForm { version: 0, ..before });
+async fn take_back(service: Rc<Service>, shape: u64, before: ShapeConfig) {
+    let form = Box::new(ShapeConfig { version: 0, ..before });
     let call =
-        shape_lines::Call::Apply { form, expect: Some(shape), by: format!("audit, withdrawing {shape}") };
+        shape_lines::Request::Apply { form, expect: Some(shape), by: format!("audit, withdrawing {shape}") };
     let controls = &service.hosted.follows.controls;
     for n in 0..TRIES * controls.len().max(1) {
         let at = controls[n % controls.len()];
         let said = async {
-            let stream = subscribe(at, &shape_lines::line(&call), terms().connect).await?;
+            let stream = subscribe(at, &shape_lines::encode_line(&call), terms().connect).await?;
             let mut lines = Lines::new(&stream, terms().bytes);
             let line = within(terms().silence, "silent", lines.next()).await?;
-            serde_json::from_slice::<shape_lines::Answer>(&line).map_err(|why| why.to_string())
+            serde_json::from_slice::<shape_lines::Response>(&line).map_err(|why| why.to_string())
         };
         match said.await {
-            Ok(shape_lines::Answer::Said(_)) => {
+            Ok(shape_lines::Response::Said(_)) => {
                 info!(service.log(), "goes back"; "from" => shape);
                 return;
             }
             // Another change has to end first; it may be the one that brought this version.
-            Ok(shape_lines::Answer::Refused(why)) if why.iter().any(|why| why.contains("under way")) => {
+            Ok(shape_lines::Response::Refused(why)) if why.iter().any(|why| why.contains("under way")) => {
                 Timer::after(LOOK * 5).await;
                 continue;
             }
-            Ok(shape_lines::Answer::Refused(why)) => {
+            Ok(shape_lines::Response::Refused(why)) => {
                 warn!(service.log(), "not gone back"; "from" => shape, "why" => why.join("; "));
                 return;
             }
@@ -343,7 +343,7 @@
 
 impl Member for Follower {
     fn hello(&self) -> String {
-        shape_lines::subscribe_all(self.version(), self.0.name())
+        shape_lines::subscribe_all_line(self.version(), self.0.name())
     }
 
     fn version(&self) -> u64 {
--- a/crates/measure/src/branch.rs
+++ b/crates/measure/src/branch.rs
@@ -1,6 +1,6 @@
 //! A branch as its hubs see it: it follows its control feed as a router does, and asks each object of its home among
 //! the hubs that the feed lists, open loop, so that a slow hub does not slow the asking down.
-use harestage_shape::form::BranchForm;
+use harestage_shape::config::BranchConfig;
 use harestage_standins::{Caller, pull};
 use harestage_wire::feed::{Line, MemberState, Told, read_line};
 use harestage_wire::fields::Hex;
@@ -188,8 +188,8 @@
 }
 
 /// A branch's form with a feed of its own.
-pub fn form(name: &str, load: f64, hubs: &[&str], feed: SocketAddr) -> BranchForm {
-    BranchForm {
+pub fn form(name: &str, load: f64, hubs: &[&str], feed: SocketAddr) -> BranchConfig {
+    BranchConfig {
         name: name.into(),
         site: String::new(),
         load,
--- a/crates/measure/src/capacity/real.rs
+++ b/crates/measure/src/capacity/real.rs
@@ -5,7 +5,7 @@
 use crate::rig::{archive_form, free_address, hub_form, unix_ms};
 use harestage_purge::lines::{Answer, Call};
 use harestage_purge::scope::Scope;
-use harestage_shape::form::ShapeForm;
+use harestage_shape::config::ShapeConfig;
 use harestage_standins::{Archive, ArchiveScript, Caller, pull};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
         let addresses: Vec<SocketAddr> = (0..many).map(|_| free_address()).collect();
         let names: Vec<String> = (0..many).map(|n| format!("real-{n}")).collect();
         let hubs = names.iter().zip(&addresses).map(|(name, at)| hub_form(name, *at, CAPACITY, 0));
-        let shape = ShapeForm {
+        let shape = ShapeConfig {
             version: 1,
             archive: archive_form(&archive, CAPACITY),
             hubs: hubs.collect(),
--- a/crates/measure/src/capacity/slopes.rs
+++ b/crates/measure/src/capacity/slopes.rs
@@ -20,13 +20,13 @@
 use harestage_purge::scope::{Checked, Facts, Scope};
 use harestage_purge::service::Service;
 use harestage_segments::{Folder, Log};
-use harestage_shape::control::{Effect, Report, Said};
+use harestage_shape::config::{ArchiveConfig, BranchConfig, HubConfig, ShapeConfig};
+use harestage_shape::control::{ChangeEvent, Effect, HubReport};
 use harestage_shape::feed;
-use harestage_shape::form::{ArchiveForm, BranchForm, HubForm, ShapeForm};
-use harestage_shape::tree::Shape;
-use harestage_sites::direct::Director;
-use harestage_sites::plan::{self, Plans};
-use harestage_sites::standby;
+use harestage_shape::topology::Shape;
+use harestage_sites::controller::SiteController;
+use harestage_sites::fallback;
+use harestage_sites::plan::{self, SitePlans};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::hint::black_box;
 
@@ -69,10 +69,10 @@
 }
 
 /// A shape of so many sites with all branches.
-pub fn form(sites: usize) -> ShapeForm {
+pub fn form(sites: usize) -> ShapeConfig {
     let hubs = sites * HUBS_A_SITE;
     let site = |n: usize| format!("site-{:02}", n % sites);
-    let hub = |n: usize| HubForm {
+    let hub = |n: usize| HubConfig {
         name: format!("hub-{n}"),
         address: format!("127.0.0.1:{}", 10_000 + n),
         site: site(n),
@@ -85,7 +85,7 @@
         falls_within_ms: 1_000,
         up: vec!["archive".into()],
     };
-    let branch = |n: usize| BranchForm {
+    let branch = |n: usize| BranchConfig {
         name: format!("br-{n}"),
         site: site(n),
         load: 10.0,
@@ -98,9 +98,9 @@
         feeds: BTreeMap::new(),
         caches: Vec::new(),
     };
-    ShapeForm {
+    ShapeConfig {
         version: 1,
-        archive: ArchiveForm {
+        archive: ArchiveConfig {
             name: "archive".into(),
             address: "127.0.0.1:9999".into(),
             capacity: ROUTERS as f64 * 10.0,
@@ -118,22 +118,22 @@
     let form = form(sites);
     let shape = Shape::of(&form).expect("the run's shape is right");
     let begun = Busy::now();
-    let first = Plans::of(&shape, None, true, BEGIN);
+    let first = SitePlans::of(&shape, None, true, BEGIN);
     let of_ms = ms(begun);
     let mut moved = form.clone();
     moved.version = 2;
     moved.branches[0].hubs = vec!["hub-1".into(), "hub-2".into()];
     let moved = shape.followed_by(&moved).expect("the run's shape is right");
     let begun = Busy::now();
-    let again = Plans::of(&moved, Some(&first), true, BEGIN);
+    let again = SitePlans::of(&moved, Some(&first), true, BEGIN);
     let again_ms = ms(begun);
     let begun = Busy::now();
-    let beside = plan::beside(&shape, &BTreeSet::from(["site-00".to_string()]), BEGIN);
+    let beside = plan::plans_with_sites_out(&shape, &BTreeSet::from(["site-00".to_string()]), BEGIN);
     let beside_ms = ms(begun);
     let all: Vec<_> = again.all().cloned().collect();
     let (begun, mut bytes, mut most, mut handed) = (Busy::now(), 0, 0, 0);
     for (_, place) in shape.places() {
-        let planned = standby::for_place(place.name(), all.iter());
+        let planned = fallback::plans_for_node(place.name(), all.iter());
         let own = serde_json::to_vec(&planned).unwrap_or_default().len();
         handed += planned.len();
         bytes += own;
@@ -156,7 +156,7 @@
 
 fn fresh_board(sites: usize, now: Moment) -> Board {
     let shape = Shape::of(&form(sites)).expect("the run's shape is right");
-    let form = feed::for_branch(&shape, "br-0").expect("it is a branch");
+    let form = feed::config_for_branch(&shape, "br-0").expect("it is a branch");
     let mut board = Board::new("br-0", 256, false, now);
     board.told(&form, Vec::new(), now);
     board
@@ -211,8 +211,8 @@
             board.beat(now);
         }
     }
-    let marks = feed::marks(LIVE_PURGES, LIVE_PURGES, now.micros() / 1_000, "").len();
-    let purge = feed::purge(LIVE_PURGES, Some(mixed(1)), None, now.micros() / 1_000).len();
+    let marks = feed::markers_event(LIVE_PURGES, LIVE_PURGES, now.micros() / 1_000, "").len();
+    let purge = feed::purge_event(LIVE_PURGES, Some(mixed(1)), None, now.micros() / 1_000).len();
     Found::from([("folds".into(), folds as f64), ("router_line_bytes".into(), (marks + purge) as f64)])
 }
 
@@ -440,7 +440,8 @@
     /// Virtual time after which the burst is given up.
     const AT_MOST: Span = Span::millis(600_000);
     let first = form(sites);
-    let (mut director, _) = Director::open(&[], Some(&first), BEGIN).unwrap_or_else(|why| panic!("{why}"));
+    let (mut director, _) =
+        SiteController::open(&[], Some(&first), BEGIN).unwrap_or_else(|why| panic!("{why}"));
     let hubs: Vec<(String, String)> =
         first.hubs.iter().map(|hub| (hub.name.clone(), hub.site.clone())).collect();
     let mut now = BEGIN;
@@ -458,7 +459,7 @@
             reports_at = now + REPORTS_EVERY;
             for ((name, site), (version, from)) in hubs.iter().zip(&version) {
                 let version = if *from <= now { *version } else { 0 };
-                let report = Report {
+                let report = HubReport {
                     version,
                     slowness: 1.0,
                     archive_slowness: 1.0,
@@ -500,7 +501,7 @@
                     steps += 1;
                     version.iter_mut().for_each(|known| *known = (number, now + WAY));
                 }
-                Effect::Say(Said::Ended { .. }) => {
+                Effect::Say(ChangeEvent::Ended { .. }) => {
                     under_way = false;
                     done.push((now + WAY).since(BEGIN).seconds() * 1e3);
                 }
--- a/crates/measure/src/effects.rs
+++ b/crates/measure/src/effects.rs
@@ -5,8 +5,8 @@
 use harestage::time::Moment;
 use harestage_control::journal;
 use harestage_seats::Waiting;
+use harestage_shape::config::{ArchiveConfig, BranchConfig, HubConfig, ShapeConfig};
 use harestage_shape::control::{Control, Effect};
-use harestage_shape::form::{ArchiveForm, BranchForm, HubForm, ShapeForm};
 use stateright::{Checker, Model, Property};
 
 /// What a leader decides in one reign, at most.
@@ -71,8 +71,8 @@
     depth: u8,
 }
 
-fn hub(name: &str, site: &str) -> HubForm {
-    HubForm {
+fn hub(name: &str, site: &str) -> HubConfig {
+    HubConfig {
         name: name.into(),
         address: "127.0.0.1:1".into(),
         site: site.into(),
@@ -87,15 +87,15 @@
     }
 }
 
-fn form(ties: &[&str]) -> ShapeForm {
-    let archive = ArchiveForm {
+fn form(ties: &[&str]) -> ShapeConfig {
+    let archive = ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:2".into(),
         capacity: 100.0,
         stops_at: 2.5,
         stops_within_ms: 3_000,
     };
-    let branch = BranchForm {
+    let branch = BranchConfig {
         name: "br".into(),
         site: String::new(),
         load: 10.0,
@@ -105,7 +105,7 @@
         caches: Vec::new(),
     };
     let hubs = vec![hub("a", "east"), hub("b", "west")];
-    ShapeForm { version: 0, archive, hubs, branches: vec![branch], links: Vec::new() }
+    ShapeConfig { version: 0, archive, hubs, branches: vec![branch], links: Vec::new() }
 }
 
 /// What a reign has come to, by the state machines themselves.
--- a/crates/measure/src/plain.rs
+++ b/crates/measure/src/plain.rs
@@ -1,5 +1,5 @@
 //! The baseline for large shapes: plain maps by name, cloned for each version, and a full search for each question.
-use harestage_shape::form::ShapeForm;
+use harestage_shape::config::ShapeConfig;
 use std::collections::{BTreeMap, HashMap};
 
 #[derive(Clone, Default)]
@@ -13,7 +13,7 @@
 }
 
 impl Plain {
-    pub fn of(form: &ShapeForm) -> Plain {
+    pub fn of(form: &ShapeConfig) -> Plain {
         let mut plain =
             Plain { version: form.version, archive: form.archive.name.clone(), ..Plain::default() };
         for hub in &form.hubs {
--- a/crates/measure/src/purge.rs
+++ b/crates/measure/src/purge.rs
@@ -9,7 +9,7 @@
 use harestage_purger::Purger;
 use harestage_segments::faulty::Disk;
 use harestage_segments::{Folder, Log};
-use harestage_shape::form::ShapeForm;
+use harestage_shape::config::ShapeConfig;
 use harestage_standins::{Archive, ArchiveScript, Caller, Fault, Link, pull};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::hint::black_box;
@@ -228,7 +228,7 @@
     let _service = start_purger(service, &scratch.file("purges"));
     let addresses: Vec<SocketAddr> = (0..HUBS).map(|_| free_address()).collect();
     let forms = addresses.iter().enumerate().map(|(n, at)| hub_form(&format!("h{n}"), *at, 1e5, 0));
-    let shape = ShapeForm {
+    let shape = ShapeConfig {
         version: 1,
         archive: archive_form(&archive, 1e5),
         hubs: forms.collect(),
--- a/crates/measure/src/rig.rs
+++ b/crates/measure/src/rig.rs
@@ -3,9 +3,9 @@
 use harestage_control::serve::Keeper;
 use harestage_hub::net::Hub;
 use harestage_hub::start::{ContentFile, HubFile, HubStart};
-use harestage_shape::control::{Said, Status};
-use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
-use harestage_shape::lines::{Answer, Call, line};
+use harestage_shape::config::{ArchiveConfig, HubConfig, ShapeConfig};
+use harestage_shape::control::{ChangeEvent, Status};
+use harestage_shape::messages::{Request, Response, encode_line};
 use harestage_standins::Archive;
 use slog::{Discard, Logger, o};
 use std::io::{BufRead, BufReader, Write};
@@ -66,7 +66,7 @@
     name: &str,
     listen: SocketAddr,
     control: Option<SocketAddr>,
-    shape: Option<ShapeForm>,
+    shape: Option<ShapeConfig>,
 ) -> Running {
     start_hub_as(name, listen, control, shape, true)
 }
@@ -76,7 +76,7 @@
     name: &str,
     listen: SocketAddr,
     control: Option<SocketAddr>,
-    shape: Option<ShapeForm>,
+    shape: Option<ShapeConfig>,
     hands_over: bool,
 ) -> Running {
     let file =
@@ -85,7 +85,7 @@
 }
 
 /// A hub that hears of purges from a control feed.
-pub fn start_hub_with_feed(name: &str, listen: SocketAddr, shape: ShapeForm, feed: SocketAddr) -> Running {
+pub fn start_hub_with_feed(name: &str, listen: SocketAddr, shape: ShapeConfig, feed: SocketAddr) -> Running {
     let file = HubFile { shape: Some(shape), feed: Some(feed.to_string()), ..hub_file(name, listen) };
     run_hub(file.checked().expect("the rig's files are right"))
 }
@@ -94,7 +94,7 @@
 pub fn start_hub_with_purges(
     name: &str,
     listen: SocketAddr,
-    shape: ShapeForm,
+    shape: ShapeConfig,
     purges: SocketAddr,
 ) -> Running {
     let file = HubFile { shape: Some(shape), purges: Some(purges.to_string()), ..hub_file(name, listen) };
@@ -137,7 +137,7 @@
 }
 
 /// Starts the control service on a journal.
-pub fn start_control(listen: SocketAddr, journal: &Path, first: &ShapeForm) -> Result<Running, String> {
+pub fn start_control(listen: SocketAddr, journal: &Path, first: &ShapeConfig) -> Result<Running, String> {
     let (stop, stopped) = async_channel::bounded(1);
     let (tell, told) = std::sync::mpsc::channel();
     let (journal, first) = (journal.to_path_buf(), first.clone());
@@ -192,8 +192,8 @@
     }
 }
 
-pub fn archive_form(archive: &Archive, capacity: f64) -> ArchiveForm {
-    ArchiveForm {
+pub fn archive_form(archive: &Archive, capacity: f64) -> ArchiveConfig {
+    ArchiveConfig {
         name: "archive".into(),
         address: archive.address.to_string(),
         capacity,
@@ -203,8 +203,8 @@
 }
 
 /// A hub at the top, warm unless it says when it started.
-pub fn hub_form(name: &str, address: SocketAddr, capacity: f64, since_ms: u64) -> HubForm {
-    HubForm {
+pub fn hub_form(name: &str, address: SocketAddr, capacity: f64, since_ms: u64) -> HubConfig {
+    HubConfig {
         name: name.into(),
         address: address.to_string(),
         site: String::new(),
@@ -220,19 +220,19 @@
 }
 
 /// A call to the service, and the first thing that it answers.
-pub fn call(control: SocketAddr, call: &Call) -> std::io::Result<Answer> {
+pub fn call(control: SocketAddr, call: &Request) -> std::io::Result<Response> {
     let mut lines = open_call(control, call)?;
     next(&mut lines)
 }
 
-pub fn open_call(control: SocketAddr, call: &Call) -> std::io::Result<BufReader<TcpStream>> {
+pub fn open_call(control: SocketAddr, call: &Request) -> std::io::Result<BufReader<TcpStream>> {
     let stream = TcpStream::connect_timeout(&control, Duration::from_secs(1))?;
     stream.set_read_timeout(Some(Duration::from_secs(60)))?;
-    (&stream).write_all(&line(call))?;
+    (&stream).write_all(&encode_line(call))?;
     Ok(BufReader::new(stream))
 }
 
-pub fn next(lines: &mut BufReader<TcpStream>) -> std::io::Result<Answer> {
+pub fn next(lines: &mut BufReader<TcpStream>) -> std::io::Result<Response> {
     let mut text = String::new();
     if lines.read_line(&mut text)? == 0 {
         return Err(std::io::ErrorKind::UnexpectedEof.into());
@@ -241,22 +241,22 @@
 }
 
 pub fn status(control: SocketAddr) -> std::io::Result<Status> {
-    match call(control, &Call::Status)? {
-        Answer::Status(status) => Ok(*status),
+    match call(control, &Request::Status)? {
+        Response::Status(status) => Ok(*status),
         other => Err(std::io::Error::other(format!("{other:?}"))),
     }
 }
 
 /// Applies a shape and waits for its end; false if it was given up, or why it was refused.
-pub fn apply(control: SocketAddr, form: &ShapeForm, by: &str) -> Result<bool, String> {
+pub fn apply(control: SocketAddr, form: &ShapeConfig, by: &str) -> Result<bool, String> {
     let form = Box::new(form.clone());
-    let apply = Call::Apply { form, expect: None, by: by.into() };
+    let apply = Request::Apply { form, expect: None, by: by.into() };
     let mut lines = open_call(control, &apply).map_err(|why| why.to_string())?;
     loop {
         match next(&mut lines).map_err(|why| why.to_string())? {
-            Answer::Said(Said::Ended { complete, .. }) => return Ok(complete),
-            Answer::Said(_) => {}
-            Answer::Refused(lines) => return Err(lines.join("\n")),
+            Response::Said(ChangeEvent::Ended { complete, .. }) => return Ok(complete),
+            Response::Said(_) => {}
+            Response::Refused(lines) => return Err(lines.join("\n")),
             other => return Err(format!("{other:?}")),
         }
     }
--- a/crates/measure/src/script.rs
+++ b/crates/measure/src/script.rs
@@ -1,8 +1,8 @@
 //! A control service that says what it is told to: hubs on versions that differ, or all on a new one at once.
-use harestage_shape::control::{LoopSeen, Report};
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines::{FromMember, ToMember, line, read_subscribe};
-use harestage_shape::parts::Part;
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::control::{CycleReport, HubReport};
+use harestage_shape::messages::{FromMember, ToMember, encode_line, parse_subscribe};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -11,7 +11,7 @@
 type Shapes = Arc<Mutex<Vec<(String, TcpStream)>>>;
 
 /// Loops that hubs have reported, and when.
-pub type Reported = Arc<Mutex<Vec<(Instant, String, LoopSeen)>>>;
+pub type Reported = Arc<Mutex<Vec<(Instant, String, CycleReport)>>>;
 
 #[derive(Clone)]
 pub struct Script {
@@ -40,17 +40,17 @@
     fn serve(&self, stream: TcpStream) -> Option<()> {
         let mut lines = BufReader::new(stream.try_clone().ok()?).lines().map_while(Result::ok);
         let first = lines.next()?;
-        let (_, name) = read_subscribe(&first)?;
+        let (_, name) = parse_subscribe(&first)?;
         self.members.lock().expect("no holder panics").push((name.to_string(), stream.try_clone().ok()?));
         for (number, text) in lines.enumerate() {
             let FromMember::Report(report) = serde_json::from_str(&text).ok()?;
-            let Report { loops, .. } = report;
+            let HubReport { loops, .. } = report;
             let now = Instant::now();
             let mut reported = self.reported.lock().expect("no holder panics");
             reported.extend(loops.into_iter().map(|seen| (now, name.to_string(), seen)));
             drop(reported);
-            let part = Part { rate: self.part, floor: self.part, number: number as u64 + 1 };
-            (&stream).write_all(&line(&ToMember::Part(part))).ok()?;
+            let part = RateShare { rate: self.part, floor: self.part, number: number as u64 + 1 };
+            (&stream).write_all(&encode_line(&ToMember::Part(part))).ok()?;
         }
         Some(())
     }
@@ -61,11 +61,11 @@
     }
 
     /// Tells each member the shape that is its own.
-    pub fn tell(&self, shape_of: impl Fn(&str) -> ShapeForm) {
+    pub fn tell(&self, shape_of: impl Fn(&str) -> ShapeConfig) {
         for (name, stream) in self.members.lock().expect("no holder panics").iter() {
             let version = ToMember::Version { term: 1, shape: Box::new(shape_of(name)), plans: Vec::new() };
             let mut stream: &TcpStream = stream;
-            let _ = stream.write_all(&line(&version));
+            let _ = stream.write_all(&encode_line(&version));
         }
     }
 }
--- a/crates/measure/src/shape.rs
+++ b/crates/measure/src/shape.rs
@@ -6,8 +6,8 @@
 use crate::script::Script;
 use crate::{Figures, quantile};
 use harestage::time::Moment;
-use harestage_shape::form::{HubForm, ShapeForm};
-use harestage_shape::{check, plan, tree};
+use harestage_shape::config::{HubConfig, ShapeConfig};
+use harestage_shape::{plan, topology, validation};
 use harestage_standins::{Archive, ArchiveScript, Caller, Front, Machine, pull};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -48,10 +48,12 @@
         let name = |n: usize| format!("h{}", n % many);
         let shape = |own: &str| {
             let up = |n: usize| if name(n) == own { vec![name(n + 1)] } else { vec!["archive".into()] };
-            let hub =
-                |(n, at): (usize, &SocketAddr)| HubForm { up: up(n), ..hub_form(&name(n), *at, 3_000.0, 0) };
+            let hub = |(n, at): (usize, &SocketAddr)| HubConfig {
+                up: up(n),
+                ..hub_form(&name(n), *at, 3_000.0, 0)
+            };
             let hubs = addresses.iter().enumerate().map(hub).collect();
-            ShapeForm {
+            ShapeConfig {
                 version: 1,
                 archive: archive_form(&archive, 4_000.0),
                 hubs,
@@ -134,13 +136,13 @@
     let behind: Vec<(String, SocketAddr)> = ["a", "b"].map(|name| (name.to_string(), free_address())).into();
     let fronts: Vec<Front> =
         behind.iter().map(|(_, address)| Front::of(*address, machine(Instant::now(), 1.0))).collect();
-    let hubs: Vec<HubForm> = behind
+    let hubs: Vec<HubConfig> = behind
         .iter()
         .zip(&fronts)
         .map(|((name, _), front)| hub_form(name, front.address, CAPACITY, 0))
         .collect();
     let feeds = (0..3).map(|n| branch::form(&format!("br{n}"), RATE, &["a", "b"], free_address()));
-    let first = ShapeForm {
+    let first = ShapeConfig {
         version: 1,
         archive: archive_form(&archive, ARCHIVE),
         hubs,
@@ -254,7 +256,7 @@
 }
 
 /// Five tiers: branches, three tiers of hubs, the archive; each place tied to two of the next.
-pub fn large_form(branches: usize, hubs: usize) -> ShapeForm {
+pub fn large_form(branches: usize, hubs: usize) -> ShapeConfig {
     let tiers = [hubs * 7 / 10, hubs * 2 / 10, hubs - hubs * 7 / 10 - hubs * 2 / 10];
     let name = |tier: usize, n: usize| format!("t{tier}-{}", n % tiers[tier]);
     let hub = |tier: usize, n: usize| {
@@ -266,11 +268,11 @@
         let mut up: Vec<String> = up;
         up.dedup();
         let at = "127.0.0.1:1".parse().expect("an address");
-        HubForm { up, ..hub_form(&name(tier, n), at, 1e6, 0) }
+        HubConfig { up, ..hub_form(&name(tier, n), at, 1e6, 0) }
     };
     let hubs =
         (0..3).flat_map(|tier| (0..tiers[tier]).map(move |n| (tier, n))).map(|(t, n)| hub(t, n)).collect();
-    let branch = |n: usize| harestage_shape::form::BranchForm {
+    let branch = |n: usize| harestage_shape::config::BranchConfig {
         name: format!("br-{n}"),
         site: String::new(),
         load: 1.0 + (n % 7) as f64,
@@ -279,7 +281,7 @@
         feeds: Default::default(),
         caches: Vec::new(),
     };
-    let archive = harestage_shape::form::ArchiveForm {
+    let archive = harestage_shape::config::ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:1".into(),
         capacity: 1e7,
@@ -290,7 +292,7 @@
         branch.hubs.dedup();
         branch
     });
-    ShapeForm { version: 1, archive, hubs, branches: branches.collect(), links: Vec::new() }
+    ShapeConfig { version: 1, archive, hubs, branches: branches.collect(), links: Vec::new() }
 }
 
 /// Versions that are kept alive for their memory.
@@ -313,10 +315,10 @@
         branch.hubs.dedup();
     }
     let begun = Instant::now();
-    let shape = tree::Shape::of(&from).expect("it holds");
-    figures.set("check_ms", ms(|| check::check(&shape).map(|_| ()).expect("it holds")));
-    let plan = plan::plan(&shape, &to, Moment::at_micros(0)).expect("there is a way");
-    let versions: Vec<tree::Shape> =
+    let shape = topology::Shape::of(&from).expect("it holds");
+    figures.set("check_ms", ms(|| validation::validate(&shape).map(|_| ()).expect("it holds")));
+    let plan = plan::plan_change(&shape, &to, Moment::at_micros(0)).expect("there is a way");
+    let versions: Vec<topology::Shape> =
         (1..=plan.steps.len()).map(|n| plan.shape_after(&shape, n, 1 + n as u64)).collect();
     assert_eq!(versions.len(), plan.steps.len());
     figures.set("plan_10k_branches_ms", begun.elapsed().as_secs_f64() * 1e3);
@@ -333,7 +335,7 @@
     let mut kept = vec![shape.clone()];
     for n in 0..ALIVE {
         let last = kept.last().expect("the first is there");
-        let ties = [last.ties(moved)[0], tree::PlaceIx(1 + n as u32)];
+        let ties = [last.ties(moved)[0], topology::NodeIndex(1 + n as u32)];
         kept.push(last.with_ties(2 + n as u64, [(moved, &ties[..])]));
     }
     figures.set("version_kb", (resident_kb() - before) / ALIVE as f64);
--- a/crates/measure/src/site.rs
+++ b/crates/measure/src/site.rs
@@ -7,9 +7,9 @@
 use harestage_fleet::Fleet;
 use harestage_fleet::scenario::{Act, ExpectForm, FaultForm, LineForm, Measure, Scenario, When};
 use harestage_fleet::timeline::Entry;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::tree::Shape;
-use harestage_sites::plan::Plans;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::topology::Shape;
+use harestage_sites::plan::SitePlans;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -289,7 +289,7 @@
     let form = large(branches, hubs, sites);
     let shape = Shape::of(&form).expect("the measurement's shape is right");
     let now = Moment::at_micros(1);
-    let first = Plans::of(&shape, None, true, now);
+    let first = SitePlans::of(&shape, None, true, now);
     let mut moved = form.clone();
     moved.version = 2;
     // One branch, which is tied to two sites before and after.
@@ -298,7 +298,7 @@
     }
     let moved = shape.followed_by(&moved).expect("the measurement's shape is right");
     let begun = Instant::now();
-    let again = Plans::of(&moved, Some(&first), true, now);
+    let again = SitePlans::of(&moved, Some(&first), true, now);
     figures.set("plan_10k_ms", begun.elapsed().as_secs_f64() * 1e3);
     figures.set("plans_made_anew", again.made as f64);
     figures.set("plans", again.all().count() as f64);
@@ -309,7 +309,7 @@
     figures.set("plan_refused", again.all().map(|plan| plan.refused_share).sum());
 }
 
-fn large(branches: usize, hubs: usize, sites: usize) -> ShapeForm {
+fn large(branches: usize, hubs: usize, sites: usize) -> ShapeConfig {
     let mut form = crate::shape::large_form(branches, hubs);
     let tops = form.hubs.len();
     for (n, hub) in form.hubs.iter_mut().enumerate() {
@@ -327,7 +327,7 @@
 }
 
 /// Every place of every loss anew, each with a look at every hub. What is refused, as a share, summed over all losses.
-fn plain_solve(form: &ShapeForm) -> f64 {
+fn plain_solve(form: &ShapeConfig) -> f64 {
     let sites: BTreeSet<&str> = form.hubs.iter().map(|hub| hub.site.as_str()).collect();
     let sites: Vec<&str> = sites.into_iter().collect();
     let mut losses: Vec<Vec<&str>> = sites.iter().map(|site| vec![*site]).collect();
@@ -345,7 +345,7 @@
             let kept: Vec<&str> =
                 branch.hubs.iter().map(String::as_str).filter(|hub| asked.contains_key(hub)).collect();
             let part = branch.load / kept.len().max(1) as f64;
-            let room = |hub: &&harestage_shape::form::HubForm, asked: &BTreeMap<&str, f64>| {
+            let room = |hub: &&harestage_shape::config::HubConfig, asked: &BTreeMap<&str, f64>| {
                 hub.capacity * 0.9 - asked[hub.name.as_str()]
             };
             let fits = !kept.is_empty()
--- a/crates/measure/tests/purge.rs
+++ b/crates/measure/tests/purge.rs
@@ -4,7 +4,7 @@
 use harestage_purge::lines::{Answer, Call, Status};
 use harestage_purge::promise::Report;
 use harestage_purge::scope::Scope;
-use harestage_shape::form::ShapeForm;
+use harestage_shape::config::ShapeConfig;
 use harestage_standins::{Archive, ArchiveScript, Caller, Fault, Link, pull};
 use harestage_wire::node::Word;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
     hubs: Vec<(SocketAddr, Running)>,
     links: Vec<Link>,
     scratch: Scratch,
-    shape: ShapeForm,
+    shape: ShapeConfig,
 }
 
 impl Site {
@@ -60,7 +60,7 @@
         let (service, scratch) = (free_address(), Scratch::new());
         let addresses: Vec<SocketAddr> = (0..many).map(|_| free_address()).collect();
         let forms = addresses.iter().enumerate().map(|(n, at)| hub_form(&format!("h{n}"), *at, 1_000.0, 0));
-        let shape = ShapeForm {
+        let shape = ShapeConfig {
             version: 1,
             archive: archive_form(&archive, 2_000.0),
             hubs: forms.collect(),
--- a/crates/measure/tests/shape.rs
+++ b/crates/measure/tests/shape.rs
@@ -1,9 +1,9 @@
 //! The hierarchy on sockets: hubs and the service as they run, between stand-ins, with the failures brought about.
 use harestage_measure::branch::{self, Load, Tally};
 use harestage_measure::rig::*;
-use harestage_shape::control::Said;
-use harestage_shape::form::{HubForm, ShapeForm};
-use harestage_shape::lines::{Answer, Call, ToMember, line};
+use harestage_shape::config::{HubConfig, ShapeConfig};
+use harestage_shape::control::ChangeEvent;
+use harestage_shape::messages::{Request, Response, ToMember, encode_line};
 use harestage_standins::{Archive, ArchiveScript, Caller, Fault, Link, pull};
 use harestage_wire::node::Word;
 use std::collections::HashMap;
@@ -26,7 +26,7 @@
     running_control: Option<Running>,
     hubs: HashMap<String, (SocketAddr, Running)>,
     scratch: Scratch,
-    first: ShapeForm,
+    first: ShapeConfig,
     stop: Arc<AtomicBool>,
 }
 
@@ -38,7 +38,7 @@
             ["a", "b"].map(|name| (name.to_string(), free_address())).into();
         let hubs = addresses.iter().map(|(name, address)| hub_form(name, *address, 300.0, 0)).collect();
         let feeds = (0..branches).map(|n| branch::form(&format!("br{n}"), load, &["a", "b"], free_address()));
-        let first = ShapeForm {
+        let first = ShapeConfig {
             version: 1,
             archive: archive_form(&archive, 400.0),
             hubs,
@@ -73,7 +73,7 @@
     }
 
     /// The shape with a fresh hub `c`, which takes the place of `b` for all branches.
-    fn with_c(&mut self) -> ShapeForm {
+    fn with_c(&mut self) -> ShapeConfig {
         let address = free_address();
         self.start_hub("c", address);
         let mut form = self.first.clone();
@@ -120,9 +120,9 @@
         let shape = |odd: usize| {
             let up = |n: usize| if n == odd { vec![name(n + 1)] } else { vec!["archive".into()] };
             let hub =
-                |(n, at): (usize, &SocketAddr)| HubForm { up: up(n), ..hub_form(&name(n), *at, 300.0, 0) };
+                |(n, at): (usize, &SocketAddr)| HubConfig { up: up(n), ..hub_form(&name(n), *at, 300.0, 0) };
             let hubs = addresses.iter().enumerate().map(hub).collect();
-            ShapeForm {
+            ShapeConfig {
                 version: 1,
                 archive: archive_form(&archive, 400.0),
                 hubs,
@@ -200,8 +200,8 @@
         std::thread::sleep(Duration::from_millis(50));
     }
     assert!(all_follow(site.control, &["a", "b", "c"], LONG));
-    let Ok(Answer::Shape(shape)) = call(site.control, &Call::Shape) else { panic!("a shape") };
-    assert_eq!(*shape, ShapeForm { version: shape.version, ..wanted });
+    let Ok(Response::Shape(shape)) = call(site.control, &Request::Shape) else { panic!("a shape") };
+    assert_eq!(*shape, ShapeConfig { version: shape.version, ..wanted });
     let all = joined(driven);
     assert!(all.share() > 0.98 && all.failed == 0, "{} of {}", all.in_time, all.asked);
 }
@@ -210,10 +210,12 @@
 fn of_two_operators_at_once_one_is_told_to_wait() {
     let mut site = Site::open(2, 10.0);
     let (wanted, control) = (site.with_c(), site.control);
-    let mut first =
-        open_call(control, &Call::Apply { form: Box::new(wanted.clone()), expect: None, by: "one".into() })
-            .unwrap();
-    assert!(matches!(next(&mut first), Ok(Answer::Said(Said::Begun { .. }))));
+    let mut first = open_call(
+        control,
+        &Request::Apply { form: Box::new(wanted.clone()), expect: None, by: "one".into() },
+    )
+    .unwrap();
+    assert!(matches!(next(&mut first), Ok(Response::Said(ChangeEvent::Begun { .. }))));
     let refused = apply(control, &wanted, "two").unwrap_err();
     assert!(refused.starts_with("a change by one is under way"), "{refused}");
     // A second service on the same journal does not begin.
@@ -267,15 +269,16 @@
     let (archive, address) = (archive(), free_address());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let _hub = start_hub("a", address, Some(listener.local_addr().unwrap()), None);
-    let shape = |version: u64| ShapeForm {
+    let shape = |version: u64| ShapeConfig {
         version,
         archive: archive_form(&archive, 400.0),
         hubs: vec![hub_form("a", address, 300.0, 0)],
         branches: Vec::new(),
         links: Vec::new(),
     };
-    let said =
-        |term, version| line(&ToMember::Version { term, shape: Box::new(shape(version)), plans: Vec::new() });
+    let said = |term, version| {
+        encode_line(&ToMember::Version { term, shape: Box::new(shape(version)), plans: Vec::new() })
+    };
     let (stream, _) = listener.accept().unwrap();
     let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
     assert_eq!(lines.next().unwrap().unwrap(), "SUB 0 a");
@@ -298,7 +301,7 @@
 #[test]
 fn noise_ends_its_own_connection_and_nothing_else() {
     let (archive, address) = (archive(), free_address());
-    let shape = ShapeForm {
+    let shape = ShapeConfig {
         version: 1,
         archive: archive_form(&archive, 400.0),
         hubs: vec![hub_form("a", address, 300.0, 0)],
@@ -337,11 +340,11 @@
     let (a, b, silent) = (free_address(), free_address(), free_address());
     let link = Link::to(silent);
     link.set(Fault::Silent);
-    let shape = ShapeForm {
+    let shape = ShapeConfig {
         version: 1,
         archive: archive_form(&archive, 400.0),
         hubs: vec![
-            HubForm { up: vec!["s".into(), "b".into()], ..hub_form("a", a, 300.0, 0) },
+            HubConfig { up: vec!["s".into(), "b".into()], ..hub_form("a", a, 300.0, 0) },
             hub_form("b", b, 300.0, 0),
             hub_form("s", link.address, 300.0, 0),
         ],
@@ -365,7 +368,7 @@
 fn a_hub_hears_of_purges_and_asks_for_what_it_missed() {
     let (archive, address) = (archive(), free_address());
     let feed = TcpListener::bind("127.0.0.1:0").unwrap();
-    let shape = ShapeForm {
+    let shape = ShapeConfig {
         version: 1,
         archive: archive_form(&archive, 400.0),
         hubs: vec![hub_form("a", address, 300.0, 0)],
--- a/crates/shape/src/parts.rs
+++ b/crates/shape/src/archive_share.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 /// How long a part is good.
-pub const TERM: Span = Span::millis(2_000);
+pub const SHARE_TERM: Span = Span::millis(2_000);
 /// Of the stopping point, what is given out at most: the rest is for what hubs that are cut off ask, for writes, and
 /// for what was under way when a part ended.
 const GIVEN_OUT: f64 = 0.6;
@@ -41,7 +41,7 @@
 
 /// What a hub is told.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct RateShare {
     /// Fetches a second.
     pub rate: f64,
     /// What it may use without any part.
@@ -51,7 +51,7 @@
 }
 
 /// The service's side.
-pub struct Sharing {
+pub struct ShareAllocator {
     /// Fetches a second at which the archive stops.
     stopping: f64,
     members: BTreeMap<String, Member>,
@@ -60,9 +60,9 @@
     forerunner: Option<(Moment, f64)>,
 }
 
-impl Sharing {
-    pub fn new(stopping: f64) -> Sharing {
-        Sharing { stopping, members: BTreeMap::new(), number: 0, forerunner: None }
+impl ShareAllocator {
+    pub fn new(stopping: f64) -> ShareAllocator {
+        ShareAllocator { stopping, members: BTreeMap::new(), number: 0, forerunner: None }
     }
 
     /// The archive's figures have changed. What was given out stays until its term ends.
@@ -73,12 +73,20 @@
     /// After a start the service does not know what its forerunner gave out: the whole is taken for given out until that
     /// has ended. A hub that says what it holds of it may go on with that at once, since it was part of the whole.
     pub fn begin_after(&mut self, now: Moment) {
-        self.forerunner = Some((now + TERM, self.stopping * GIVEN_OUT));
+        self.forerunner = Some((now + SHARE_TERM, self.stopping * GIVEN_OUT));
     }
 
     /// A hub says what it would use, in fetches a second, which part it has taken in, and what rate it holds by it, and
     /// gets its part. `most` is how many hubs may be at the top, for their floors.
-    pub fn ask(&mut self, hub: &str, wants: f64, taken: u64, holds: f64, most: usize, now: Moment) -> Part {
+    pub fn ask(
+        &mut self,
+        hub: &str,
+        wants: f64,
+        taken: u64,
+        holds: f64,
+        most: usize,
+        now: Moment,
+    ) -> RateShare {
         self.tidy(now);
         let taken = taken.min(LAST_NUMBER);
         if !self.members.contains_key(hub)
@@ -104,9 +112,9 @@
         self.number = self.number.max(taken) + 1;
         let floor = self.stopping * FLOORS / most.max(1) as f64;
         if let Some(member) = self.members.get_mut(hub) {
-            member.given.push(Given { rate, until: now + TERM, number: self.number });
+            member.given.push(Given { rate, until: now + SHARE_TERM, number: self.number });
         }
-        Part { rate, floor, number: self.number }
+        RateShare { rate, floor, number: self.number }
     }
 
     /// Max-min fair: who wants less than an equal part gets what it wants, and the others share what that leaves.
@@ -131,7 +139,7 @@
         self.forerunner = self.forerunner.filter(|(until, _)| *until > now);
         self.members.retain(|_, member| {
             member.given.retain(|given| given.until > now);
-            !member.given.is_empty() || now.since(member.heard) < TERM
+            !member.given.is_empty() || now.since(member.heard) < SHARE_TERM
         });
     }
 
@@ -163,8 +171,8 @@
 const UNTOLD: f64 = 1.0;
 
 /// The hub's side: a bucket that fills at the rate of its part.
-pub struct Share {
-    part: Part,
+pub struct ShareLimiter {
+    part: RateShare,
     until: Moment,
     tokens: f64,
     filled: Moment,
@@ -173,10 +181,10 @@
     asked: Moment,
 }
 
-impl Share {
-    pub fn new(now: Moment) -> Share {
-        let part = Part { rate: 0.0, floor: UNTOLD, number: 0 };
-        Share { part, until: now, tokens: 1.0, filled: now, wanted: 0.0, asked: now }
+impl ShareLimiter {
+    pub fn new(now: Moment) -> ShareLimiter {
+        let part = RateShare { rate: 0.0, floor: UNTOLD, number: 0 };
+        ShareLimiter { part, until: now, tokens: 1.0, filled: now, wanted: 0.0, asked: now }
     }
 
     /// A hub that follows no service has an equal part of the whole, by the shape that it was given; one that follows a
@@ -202,10 +210,10 @@
         if now < self.until { self.part.rate } else { 0.0 }
     }
 
-    pub fn told(&mut self, part: Part, asked: Moment, now: Moment) {
+    pub fn told(&mut self, part: RateShare, asked: Moment, now: Moment) {
         if part.number > self.part.number {
             self.fill(now);
-            (self.part, self.until) = (part, asked + TERM);
+            (self.part, self.until) = (part, asked + SHARE_TERM);
         }
     }
 
--- a/crates/shape/src/form.rs
+++ b/crates/shape/src/config.rs
@@ -9,24 +9,26 @@
 /// A shape as operators write it, and as the control service hands it out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct ShapeForm {
+#[schemars(rename = "ShapeForm")]
+pub struct ShapeConfig {
     /// The number of this version; the service gives a new one where it is absent or 0.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub version: u64,
-    pub archive: ArchiveForm,
+    pub archive: ArchiveConfig,
     #[serde(default)]
-    pub hubs: Vec<HubForm>,
+    pub hubs: Vec<HubConfig>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub branches: Vec<BranchForm>,
+    pub branches: Vec<BranchConfig>,
     /// Links between sites that don't carry everything; absent: they do.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub links: Vec<LinkForm>,
+    pub links: Vec<LinkConfig>,
 }
 
 /// What a link between two sites carries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct LinkForm {
+#[schemars(rename = "LinkForm")]
+pub struct LinkConfig {
     pub between: [String; 2],
     /// Fills a second, both directions together.
     pub fills: f64,
@@ -35,7 +37,8 @@
 /// The one place that has everything.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct ArchiveForm {
+#[schemars(rename = "ArchiveForm")]
+pub struct ArchiveConfig {
     pub name: String,
     /// Address and port.
     pub address: String,
@@ -51,7 +54,8 @@
 /// A cache of ours above the branches.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct HubForm {
+#[schemars(rename = "HubForm")]
+pub struct HubConfig {
     pub name: String,
     pub address: String,
     #[serde(default)]
@@ -82,7 +86,8 @@
 /// A branch: its routers fill from the hubs that it is tied to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct BranchForm {
+#[schemars(rename = "BranchForm")]
+pub struct BranchConfig {
     pub name: String,
     /// Where it is, for the links that its fills go over; absent: nowhere in particular.
     #[serde(default, skip_serializing_if = "String::is_empty")]
@@ -98,12 +103,13 @@
     pub feeds: BTreeMap<String, String>,
     /// The caches that the feed names beside the hubs.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub caches: Vec<CacheForm>,
+    pub caches: Vec<CacheConfig>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct CacheForm {
+#[schemars(rename = "CacheForm")]
+pub struct CacheConfig {
     pub name: String,
     pub address: String,
     #[serde(default)]
@@ -134,7 +140,7 @@
 
 /// Why a file was not taken.
 #[derive(Debug, PartialEq)]
-pub enum FormError {
+pub enum ConfigError {
     Unreadable {
         file: String,
         why: String,
@@ -147,7 +153,7 @@
     },
 }
 
-impl fmt::Display for FormError {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Unreadable { file, why } => write!(f, "{file}: can't be read: {why}"),
@@ -157,35 +163,35 @@
     }
 }
 
-impl std::error::Error for FormError {}
+impl std::error::Error for ConfigError {}
 
 /// Reads a shape from text; `file` is named in complaints.
-pub fn read(file: &str, text: &[u8]) -> Result<ShapeForm, FormError> {
+pub fn parse(file: &str, text: &[u8]) -> Result<ShapeConfig, ConfigError> {
     let mut json = serde_json::Deserializer::from_slice(text);
-    let malformed = |key: String, why: String| FormError::Malformed { file: file.into(), key, why };
-    let form: ShapeForm = serde_path_to_error::deserialize(&mut json)
+    let malformed = |key: String, why: String| ConfigError::Malformed { file: file.into(), key, why };
+    let form: ShapeConfig = serde_path_to_error::deserialize(&mut json)
         .map_err(|why| malformed(why.path().to_string(), why.inner().to_string()))?;
     json.end().map_err(|why| malformed(".".into(), why.to_string()))?;
     form.figures_hold().map_err(|(key, why)| malformed(key, why))?;
     Ok(form)
 }
 
-pub fn read_file(path: &Path) -> Result<ShapeForm, FormError> {
+pub fn read_file(path: &Path) -> Result<ShapeConfig, ConfigError> {
     let file = path.display().to_string();
     let text = std::fs::read(path)
-        .map_err(|why| FormError::Unreadable { file: file.clone(), why: why.to_string() })?;
-    read(&file, &text)
+        .map_err(|why| ConfigError::Unreadable { file: file.clone(), why: why.to_string() })?;
+    parse(&file, &text)
 }
 
 /// The JSON schema of a shape file.
 pub fn schema() -> String {
-    let schema = schemars::schema_for!(ShapeForm);
+    let schema = schemars::schema_for!(ShapeConfig);
     serde_json::to_string_pretty(&schema).unwrap_or_default() + "\n"
 }
 
 type Wrong = (String, String);
 
-impl ShapeForm {
+impl ShapeConfig {
     /// Each figure by itself; what they say of each other is `check`'s.
     fn figures_hold(&self) -> Result<(), Wrong> {
         above_zero("archive.capacity", self.archive.capacity)?;
--- a/crates/shape/src/control.rs
+++ b/crates/shape/src/control.rs
@@ -1,12 +1,12 @@
 //! The service that numbers versions and hands them out, without its sockets and its file. What comes in are calls
 //! with a moment; what is to be done comes back as effects in their order. A record is on disk before any effect that
 //! follows it is carried out, so that what anyone was told is never forgotten.
-use crate::check::Complaint;
-use crate::form::ShapeForm;
-use crate::parts::{Part, Sharing};
-use crate::plan::{self, NoPlan, Plan};
-use crate::run::{Heard, Hold, Runner, Stage, Turn, View};
-use crate::tree::{self, Shape};
+use crate::archive_share::{RateShare, ShareAllocator};
+use crate::config::ShapeConfig;
+use crate::plan::{self, Plan, PlanError};
+use crate::rollout::{Decision, HealthView, HoldReason, MemberHealth, Rollout, Transition};
+use crate::topology::{self, Shape};
+use crate::validation::Violation;
 use harestage::time::{Moment, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -34,12 +34,12 @@
 pub enum Entry {
     Opened,
     /// The first shape, or what stands after a change: all before it may be forgotten.
-    Shape(Box<ShapeForm>),
+    Shape(Box<ShapeConfig>),
     Begun {
         plan: Box<Plan>,
         by: String,
     },
-    Stage(Stage),
+    Stage(Transition),
     /// How the sites stand from now on.
     Sites(Box<SitesRecord>),
 }
@@ -47,10 +47,10 @@
 /// What has to outlive a service about its sites.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SitesRecord {
-    pub standings: BTreeMap<String, Standing>,
+    pub standings: BTreeMap<String, SiteState>,
     /// The shape that operators want, where the one in service leaves sites out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub wanted: Option<ShapeForm>,
+    pub wanted: Option<ShapeConfig>,
     /// When each site was lost lately, Unix milliseconds: what flaps is held for longer, whoever leads.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub losses: BTreeMap<String, Vec<u64>>,
@@ -59,7 +59,7 @@
 /// Where a site is on its way out of service and back; `harestage_sites` decides on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum SiteState {
     #[default]
     InService,
     /// Nobody is tied to it any more.
@@ -76,7 +76,7 @@
 
 /// What a witness says of a site, in its report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct SiteObservation {
     pub site: String,
     /// Questions in a row that nobody there has answered.
     pub unanswered: u32,
@@ -96,13 +96,13 @@
     Write(Record),
     /// Members are to be told this version.
     Publish(u64),
-    Say(Said),
+    Say(ChangeEvent),
 }
 
 /// For the log, and for whoever watches a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
-pub enum Said {
+pub enum ChangeEvent {
     Begun {
         from: u64,
         steps: usize,
@@ -134,7 +134,7 @@
     /// A site stands so from now on.
     Site {
         site: String,
-        is: Standing,
+        is: SiteState,
         why: String,
     },
     /// What is held of a site, before anything is done about it.
@@ -153,9 +153,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refused {
-    Wrong(Vec<Complaint>),
-    NoPlan(NoPlan),
+pub enum ChangeError {
+    Wrong(Vec<Violation>),
+    NoPlan(PlanError),
     /// Another change is under way.
     Busy {
         by: String,
@@ -172,7 +172,7 @@
     },
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for ChangeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Wrong(complaints) => {
@@ -189,7 +189,7 @@
 
 /// What a hub says of itself, some times a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct HubReport {
     /// The version that it goes by.
     pub version: u64,
     pub slowness: f64,
@@ -207,16 +207,16 @@
     #[serde(default)]
     pub holds: f64,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub loops: Vec<LoopSeen>,
+    pub loops: Vec<CycleReport>,
     /// Where it is, and what it sees of other sites.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub site: String,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub sightings: Vec<Sighting>,
+    pub sightings: Vec<SiteObservation>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LoopSeen {
+pub struct CycleReport {
     pub object: String,
     pub path: Vec<String>,
     pub waited_ms: f64,
@@ -231,12 +231,12 @@
     kept: BTreeMap<u64, Shape>,
     /// The shape that the plan under way starts from.
     base: Option<Shape>,
-    runner: Option<(Runner, String)>,
-    held: Option<Hold>,
-    last: Option<Said>,
-    members: BTreeMap<String, Heard>,
-    sharing: Sharing,
-    loops: VecDeque<Said>,
+    runner: Option<(Rollout, String)>,
+    held: Option<HoldReason>,
+    last: Option<ChangeEvent>,
+    members: BTreeMap<String, MemberHealth>,
+    sharing: ShareAllocator,
+    loops: VecDeque<ChangeEvent>,
     loops_seen: u64,
 }
 
@@ -245,20 +245,21 @@
     /// record of the new term.
     pub fn open(
         journal: &[Record],
-        first: Option<&ShapeForm>,
+        first: Option<&ShapeConfig>,
         now: Moment,
-    ) -> Result<(Control, Vec<Effect>), Refused> {
+    ) -> Result<(Control, Vec<Effect>), ChangeError> {
         let journal = fenced(journal);
         let term = journal.last().map_or(0, |record| record.term) + 1;
-        let fallback = first.cloned().map(|form| ShapeForm { version: form.version.max(1), ..form });
+        let fallback = first.cloned().map(|form| ShapeConfig { version: form.version.max(1), ..form });
         let shape = journal.iter().rev().find_map(|record| match &record.entry {
             Entry::Shape(form) => Some(form.as_ref().clone()),
             _ => None,
         });
         let recovered = shape.is_some();
-        let form = shape.or(fallback).ok_or(Refused::Same { version: 0 })?;
+        let form = shape.or(fallback).ok_or(ChangeError::Same { version: 0 })?;
         // What was taken once is taken again: a check that has become stricter must not stop the service.
-        let shape = if recovered { Shape::of(&form) } else { tree::take(&form) }.map_err(Refused::Wrong)?;
+        let shape = if recovered { Shape::of(&form) } else { topology::validated_shape(&form) }
+            .map_err(ChangeError::Wrong)?;
         let archive = &form.archive;
         let mut control = Control {
             term,
@@ -269,7 +270,7 @@
             held: None,
             last: None,
             members: BTreeMap::new(),
-            sharing: Sharing::new(archive.capacity * archive.stops_at),
+            sharing: ShareAllocator::new(archive.capacity * archive.stops_at),
             loops: VecDeque::new(),
             loops_seen: 0,
         };
@@ -290,7 +291,7 @@
             match &record.entry {
                 Entry::Begun { plan, by } => {
                     self.base = Some(self.shape.clone());
-                    let runner = Runner::begin(plan.as_ref().clone(), self.shape.version(), now);
+                    let runner = Rollout::begin(plan.as_ref().clone(), self.shape.version(), now);
                     self.runner = Some((runner, by.clone()));
                 }
                 Entry::Stage(stage) => self.enter(stage, now),
@@ -304,13 +305,13 @@
     }
 
     /// A stage is taken in, whether it was just written down or recalled.
-    fn enter(&mut self, stage: &Stage, now: Moment) {
+    fn enter(&mut self, stage: &Transition, now: Moment) {
         let Some((runner, _)) = &mut self.runner else { return };
         runner.enter(stage, now);
         let version = match stage {
-            Stage::Out { version, .. } | Stage::Undone { version, .. } => *version,
-            Stage::Settled { .. } => return,
-            Stage::Ended { .. } => {
+            Transition::Out { version, .. } | Transition::Undone { version, .. } => *version,
+            Transition::Settled { .. } => return,
+            Transition::Ended { .. } => {
                 (self.runner, self.base) = (None, None);
                 return;
             }
@@ -332,30 +333,30 @@
     /// Begins a change. `expect` is the version that the operator looked at.
     pub fn apply(
         &mut self,
-        form: &ShapeForm,
+        form: &ShapeConfig,
         expect: Option<u64>,
         by: &str,
         now: Moment,
-    ) -> Result<Vec<Effect>, Refused> {
+    ) -> Result<Vec<Effect>, ChangeError> {
         if let Some((runner, by)) = &self.runner {
             let (step, of) = (runner.done(), runner.plan.steps.len());
-            return Err(Refused::Busy { by: by.clone(), step, of });
+            return Err(ChangeError::Busy { by: by.clone(), step, of });
         }
         let is = self.shape.version();
         if let Some(expected) = expect.filter(|expected| *expected != is) {
-            return Err(Refused::Moved { expected, is });
+            return Err(ChangeError::Moved { expected, is });
         }
-        let plan = plan::plan(&self.shape, form, now).map_err(|why| match why {
-            NoPlan::Wrong(complaints) => Refused::Wrong(complaints),
-            why => Refused::NoPlan(why),
+        let plan = plan::plan_change(&self.shape, form, now).map_err(|why| match why {
+            PlanError::Wrong(complaints) => ChangeError::Wrong(complaints),
+            why => ChangeError::NoPlan(why),
         })?;
         if plan.steps.is_empty() {
-            return Err(Refused::Same { version: is });
+            return Err(ChangeError::Same { version: is });
         }
-        let said = Said::Begun { from: is, steps: plan.steps.len(), by: by.into() };
+        let said = ChangeEvent::Begun { from: is, steps: plan.steps.len(), by: by.into() };
         let record = self.record(Entry::Begun { plan: Box::new(plan.clone()), by: by.into() });
         self.base = Some(self.shape.clone());
-        self.runner = Some((Runner::begin(plan, is, now), by.into()));
+        self.runner = Some((Rollout::begin(plan, is, now), by.into()));
         Ok(vec![record, self.say(said)])
     }
 
@@ -365,8 +366,8 @@
         if self.runner.take().is_some() {
             (self.base, self.held) = (None, None);
             let version = self.shape.version();
-            effects.push(self.record(Entry::Stage(Stage::Ended { complete: false })));
-            effects.push(self.say(Said::Ended { complete: false, version }));
+            effects.push(self.record(Entry::Stage(Transition::Ended { complete: false })));
+            effects.push(self.say(ChangeEvent::Ended { complete: false, version }));
         }
         self.shape = shape;
         self.keep();
@@ -380,26 +381,32 @@
         self.record(entry)
     }
 
-    fn say(&mut self, said: Said) -> Effect {
+    fn say(&mut self, said: ChangeEvent) -> Effect {
         self.last = Some(said.clone());
         Effect::Say(said)
     }
 
     /// A hub has reported; it gets its part of the archive.
-    pub fn hear(&mut self, hub: &str, report: &Report, now: Moment) -> (Option<Part>, Vec<Effect>) {
+    pub fn hear(&mut self, hub: &str, report: &HubReport, now: Moment) -> (Option<RateShare>, Vec<Effect>) {
         if !self.members.contains_key(hub) && self.members.len() >= MOST_MEMBERS {
             return (None, Vec::new());
         }
         let finite = |n: f64| if n.is_finite() { n.max(0.0) } else { 0.0 };
         let (slowness, fetches) = (finite(report.slowness), finite(report.fetches));
         let (asked, archive_slowness) = (finite(report.asked), finite(report.archive_slowness));
-        let heard = Heard { version: report.version, at: now, slowness, archive_slowness, asked, fetches };
+        let heard =
+            MemberHealth { version: report.version, at: now, slowness, archive_slowness, asked, fetches };
         self.members.insert(hub.into(), heard);
         let mut effects = Vec::new();
         for seen in report.loops.iter().take(MOST_LOOPS) {
             let (object, path) = (seen.object.clone(), seen.path.clone());
-            let said =
-                Said::Loop { hub: hub.into(), object, path, waited_ms: seen.waited_ms, before: seen.before };
+            let said = ChangeEvent::Loop {
+                hub: hub.into(),
+                object,
+                path,
+                waited_ms: seen.waited_ms,
+                before: seen.before,
+            };
             self.loops_seen += 1;
             self.loops.push_back(said.clone());
             effects.push(Effect::Say(said));
@@ -421,39 +428,43 @@
         let ages = self.ages(now);
         let archive = self.shape.archive();
         let stopping = archive.capacity * archive.stops_at;
-        let view = View { members: &self.members, stopping, ages: &ages };
+        let view = HealthView { members: &self.members, stopping, ages: &ages };
         runner.look(&view, now);
         let turn = runner.turn(&view, now);
         let (done, of) = (runner.done(), runner.plan.steps.len());
         self.runner = Some((runner, by));
         match turn {
-            Turn::Hold(hold) => {
+            Decision::Hold(hold) => {
                 let new =
                     self.held.as_ref().map(std::mem::discriminant) != Some(std::mem::discriminant(&hold));
                 let why = hold.to_string();
                 self.held = Some(hold);
-                if new { vec![self.say(Said::Held { step: done, of, why })] } else { Vec::new() }
+                if new { vec![self.say(ChangeEvent::Held { step: done, of, why })] } else { Vec::new() }
             }
-            Turn::Do(stage) => self.carry_out(stage, of, now),
+            Decision::Do(stage) => self.carry_out(stage, of, now),
         }
     }
 
-    fn carry_out(&mut self, stage: Stage, of: usize, now: Moment) -> Vec<Effect> {
+    fn carry_out(&mut self, stage: Transition, of: usize, now: Moment) -> Vec<Effect> {
         self.held = None;
         let mut effects = vec![self.record(Entry::Stage(stage.clone()))];
         self.enter(&stage, now);
         match stage {
-            Stage::Out { step, version } => {
-                effects.extend([Effect::Publish(version), self.say(Said::StepOut { step, of, version })]);
+            Transition::Out { step, version } => {
+                effects
+                    .extend([Effect::Publish(version), self.say(ChangeEvent::StepOut { step, of, version })]);
             }
-            Stage::Settled { step } => effects.push(self.say(Said::StepSettled { step, of })),
-            Stage::Undone { step, version, why } => {
-                effects.extend([Effect::Publish(version), self.say(Said::StepUndone { step, version, why })]);
+            Transition::Settled { step } => effects.push(self.say(ChangeEvent::StepSettled { step, of })),
+            Transition::Undone { step, version, why } => {
+                effects.extend([
+                    Effect::Publish(version),
+                    self.say(ChangeEvent::StepUndone { step, version, why }),
+                ]);
             }
-            Stage::Ended { complete } => {
+            Transition::Ended { complete } => {
                 effects.push(self.record(Entry::Shape(Box::new(self.shape.form()))));
                 let version = self.shape.version();
-                effects.push(self.say(Said::Ended { complete, version }));
+                effects.push(self.say(ChangeEvent::Ended { complete, version }));
             }
         }
         effects
@@ -489,7 +500,7 @@
             of: runner.plan.steps.len(),
             undone: runner.undone(),
             lasted_ms: runner.lasted(now).as_micros() / 1_000,
-            held: self.held.as_ref().map(Hold::to_string),
+            held: self.held.as_ref().map(HoldReason::to_string),
         });
         let members = self.members.iter().map(|(name, heard)| MemberStatus {
             name: name.clone(),
@@ -538,7 +549,7 @@
     pub archive_share: f64,
     pub given_out: f64,
     pub loops: u64,
-    pub last_loops: Vec<Said>,
+    pub last_loops: Vec<ChangeEvent>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/shape/src/feed.rs
+++ b/crates/shape/src/feed.rs
@@ -1,7 +1,7 @@
 //! A branch's control feed in the platform's form: its routers get the hubs that it is tied to as roster events. Each
 //! version is one event under its own number, so that routers find no gap, whatever changed.
-use crate::form::{CacheForm, HubForm, ShapeForm};
-use crate::tree::{Place, PlaceIx, Shape};
+use crate::config::{CacheConfig, HubConfig, ShapeConfig};
+use crate::topology::{Node, NodeIndex, Shape};
 use serde_json::{Value, json};
 
 /// The event of a version for a branch, after the two versions before it as far as they are still known; the whole list
@@ -9,7 +9,7 @@
 ///
 /// `number` is the event's own: the version's where members of the service tell it, the connection's where a branch's own
 /// feed does.
-pub fn event(
+pub fn version_event(
     number: u64,
     long_before: Option<&Shape>,
     before: Option<&Shape>,
@@ -28,7 +28,7 @@
 
 /// An event that changes nothing, and says what whoever takes it goes by: the purges that were told before it, when the last
 /// of them was asked for, and the sites that a plan leaves out.
-pub fn marks(number: u64, purges: u64, at_ms: u64, plan: &str) -> Vec<u8> {
+pub fn markers_event(number: u64, purges: u64, at_ms: u64, plan: &str) -> Vec<u8> {
     let members = json!({"index": number, "snapshot": false, "endpoints": []});
     let marks = json!({"n": number, "members": members, "purges": purges, "at": at_ms, "plan": plan});
     (marks.to_string() + "\n").into_bytes()
@@ -36,13 +36,13 @@
 
 /// An event that changes nothing, and says that this feed hears words of what routers have. Without it a router says none:
 /// it is the first event on a connection, or there is none.
-pub fn hears_words(number: u64) -> Vec<u8> {
+pub fn accepts_reports_event(number: u64) -> Vec<u8> {
     let members = json!({"index": number, "snapshot": false, "endpoints": []});
     (json!({"n": number, "members": members, "hears": true}).to_string() + "\n").into_bytes()
 }
 
 /// Copies of an object, or of a group, that were given out up to then are old.
-pub fn purge(number: u64, object: Option<u64>, group: Option<u32>, at_ms: u64) -> Vec<u8> {
+pub fn purge_event(number: u64, object: Option<u64>, group: Option<u32>, at_ms: u64) -> Vec<u8> {
     let purge = match (object, group) {
         (Some(object), _) => json!({"key": format!("{object:016x}"), "at": at_ms}),
         (None, group) => json!({"group": group.unwrap_or(0), "at": at_ms}),
@@ -51,12 +51,12 @@
 }
 
 /// An event that says nothing: it keeps the numbers without a gap.
-pub fn nothing(number: u64) -> Vec<u8> {
+pub fn empty_event(number: u64) -> Vec<u8> {
     let members = json!({"index": number, "snapshot": false, "endpoints": []});
     (json!({"n": number, "members": members}).to_string() + "\n").into_bytes()
 }
 
-pub fn beat(last: u64) -> Vec<u8> {
+pub fn heartbeat(last: u64) -> Vec<u8> {
     format!("{last}\n").into_bytes()
 }
 
@@ -64,10 +64,10 @@
 fn listed(shape: &Shape, branch: &str) -> Vec<Value> {
     let Some(at) = shape.find(branch) else { return Vec::new() };
     let caches = match shape.place(at) {
-        Some(Place::Branch(form)) => form.caches.as_slice(),
+        Some(Node::Branch(form)) => form.caches.as_slice(),
         _ => &[],
     };
-    let hubs = shape.ties(at).iter().filter_map(|tie| shape.place(*tie).and_then(Place::hub));
+    let hubs = shape.ties(at).iter().filter_map(|tie| shape.place(*tie).and_then(Node::hub));
     let archive = shape.archive();
     let origin = entry(&archive.name, &archive.address, "hub", "origin", "Ready", 0);
     caches.iter().map(cache).chain(hubs.map(|hub| parent(hub, "Ready"))).chain([origin]).collect()
@@ -90,11 +90,11 @@
     changes
 }
 
-fn cache(form: &CacheForm) -> Value {
+fn cache(form: &CacheConfig) -> Value {
     entry(&form.name, &form.address, "here", "std", "Ready", form.since_ms)
 }
 
-fn parent(hub: &HubForm, status: &str) -> Value {
+fn parent(hub: &HubConfig, status: &str) -> Value {
     entry(&hub.name, &hub.address, "hub", "parent", status, hub.since_ms)
 }
 
@@ -104,24 +104,24 @@
 }
 
 /// A hub is told a version without branches.
-pub fn for_hubs(shape: &Shape) -> ShapeForm {
+pub fn config_for_hubs(shape: &Shape) -> ShapeConfig {
     let mut form = shape.form();
     form.branches.clear();
     form
 }
 
 /// A branch's own feed is told a version without the other branches. None: no branch has that name.
-pub fn for_branch(shape: &Shape, branch: &str) -> Option<ShapeForm> {
-    let Place::Branch(own) = shape.place(shape.find(branch)?)? else { return None };
-    let mut form = for_hubs(shape);
+pub fn config_for_branch(shape: &Shape, branch: &str) -> Option<ShapeConfig> {
+    let Node::Branch(own) = shape.place(shape.find(branch)?)? else { return None };
+    let mut form = config_for_hubs(shape);
     form.branches.push(own.clone());
     Some(form)
 }
 
 /// The branches that have a feed of their own at this member of the service, with its address.
-pub fn feeds(shape: &Shape, member: &str) -> Vec<(String, String)> {
-    let feed = |(_, place): (PlaceIx, &Place)| match place {
-        Place::Branch(branch) => {
+pub fn feed_addresses(shape: &Shape, member: &str) -> Vec<(String, String)> {
+    let feed = |(_, place): (NodeIndex, &Node)| match place {
+        Node::Branch(branch) => {
             let at = branch.feeds.get(member).or(branch.feed.as_ref());
             at.map(|feed| (branch.name.clone(), feed.clone()))
         }
--- a/crates/shape/src/shield.rs
+++ b/crates/shape/src/fetch_rights.rs
@@ -5,19 +5,19 @@
 //! is under way, which the new home then joins; or that it lacks the object, and with that it gives the right away:
 //! from then on it asks the new home, whatever version it is on. So at each moment one hub at most may begin a fetch.
 //! A right that was given away comes back after a term, so that a holder that died delays nobody for longer.
-use crate::knots::Key;
 use crate::route;
-use crate::tree::{PlaceIx, Versions};
+use crate::topology::{NodeIndex, Versions};
+use crate::wait_cycles::Key;
 use harestage::time::{Moment, Span};
 use std::collections::{HashMap, VecDeque};
 
 /// For as long after a version came, who was home before it is asked first. What nobody wanted for longer is as good
 /// as new, and may be fetched anew.
-pub const HANDOVER: Span = Span::millis(60_000);
+pub const HANDOVER_WINDOW: Span = Span::millis(60_000);
 /// A former home that does not answer in this time is taken to have nothing.
-pub const ANSWERS_WITHIN: Span = Span::millis(250);
+pub const REPLY_TIMEOUT: Span = Span::millis(250);
 /// A right that was given away, and of which nothing was heard again, comes back after it.
-pub const TERM: Span = Span::millis(1_000);
+pub const CESSION_TERM: Span = Span::millis(1_000);
 /// Former homes that are asked at most.
 const MOST_ASKED: usize = 3;
 /// Rights given away that are remembered. Past it the oldest is forgotten, which can cost a second fetch of an object
@@ -26,10 +26,10 @@
 
 /// What a hub may do about an object that it is to get from the archive.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Right {
+pub enum FetchRight {
     Own,
     /// This one was home before, and has not been asked yet.
-    Ask(PlaceIx),
+    Ask(NodeIndex),
     /// Given away until then: the holder has it, or is fetching it.
     Ceded {
         until: Moment,
@@ -38,7 +38,7 @@
 
 /// How a former home answers the new one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Reply {
+pub enum HandoverReply {
     /// It has a copy that will do.
     Held,
     /// It is fetching one, or waits for one: the new home may join.
@@ -56,34 +56,35 @@
 }
 
 #[derive(Default)]
-pub struct Shield {
+pub struct FetchRights {
     ceded: HashMap<Key, Ceded>,
     order: VecDeque<(Moment, Key)>,
 }
 
-impl Shield {
+impl FetchRights {
     /// May this hub fetch from the archive now? `asked` are the former homes that have answered, or failed to; `gone` are
     /// those of whom nothing is heard at all: to ask them would cost a time-out each.
     pub fn right(
         &self,
         versions: &Versions,
-        me: PlaceIx,
+        me: NodeIndex,
         key: Key,
-        asked: &[PlaceIx],
-        gone: &[PlaceIx],
+        asked: &[NodeIndex],
+        gone: &[NodeIndex],
         now: Moment,
-    ) -> Right {
+    ) -> FetchRight {
         if let Some(ceded) = self.ceded.get(&key).filter(|ceded| ceded.until > now) {
-            return Right::Ceded { until: ceded.until };
+            return FetchRight::Ceded { until: ceded.until };
         }
         if asked.len() >= MOST_ASKED {
-            return Right::Own;
+            return FetchRight::Own;
         }
         // Also one that the newest version no longer names: it may hold the object, or be fetching it, all the same.
-        let before = versions.lately(now, HANDOVER).filter_map(|shape| route::home(shape, key.0));
+        let before =
+            versions.lately(now, HANDOVER_WINDOW).filter_map(|shape| route::preferred_hub(shape, key.0));
         let mut before =
             before.filter(|place| *place != me && !asked.contains(place) && !gone.contains(place));
-        before.next().map_or(Right::Own, Right::Ask)
+        before.next().map_or(FetchRight::Own, FetchRight::Ask)
     }
 
     /// To whom the right was given, if it still is.
@@ -92,21 +93,21 @@
     }
 
     /// A hub that takes itself for the new home asks for the right to fetch.
-    pub fn asked(&mut self, key: Key, by: &str, held: bool, under_way: bool, now: Moment) -> Reply {
+    pub fn asked(&mut self, key: Key, by: &str, held: bool, under_way: bool, now: Moment) -> HandoverReply {
         if held {
-            return Reply::Held;
+            return HandoverReply::Held;
         }
         if let Some(ceded) = self.ceded.get(&key).filter(|ceded| ceded.until > now && ceded.to != by) {
-            return Reply::Elsewhere { until: ceded.until };
+            return HandoverReply::Elsewhere { until: ceded.until };
         }
         if under_way {
-            return Reply::UnderWay;
+            return HandoverReply::UnderWay;
         }
-        let until = now + TERM;
+        let until = now + CESSION_TERM;
         self.ceded.insert(key, Ceded { to: by.into(), until });
         self.order.push_back((until, key));
         self.tidy(now);
-        Reply::Ceded { until }
+        HandoverReply::Ceded { until }
     }
 
     /// A copy has come: whoever fetched it, nobody else has to.
--- a/crates/shape/src/lib.rs
+++ b/crates/shape/src/lib.rs
@@ -17,15 +17,15 @@
 //! | `feed` | nothing: how a version is worded for a branch's routers |
 //! | `lines` | nothing: what is written between service, members and operators |
 //! | `control` | what the service tells whom, and what it writes down first |
-pub mod check;
+pub mod archive_share;
+pub mod config;
 pub mod control;
 pub mod feed;
-pub mod form;
-pub mod knots;
-pub mod lines;
-pub mod parts;
+pub mod fetch_rights;
+pub mod messages;
 pub mod plan;
+pub mod rollout;
 pub mod route;
-pub mod run;
-pub mod shield;
-pub mod tree;
+pub mod topology;
+pub mod validation;
+pub mod wait_cycles;
--- a/crates/shape/src/plan.rs
+++ b/crates/shape/src/plan.rs
@@ -6,9 +6,9 @@
 //!
 //! A step goes out when its hubs are old enough for all that they are asked for after it: by branches, by other hubs,
 //! and by themselves for what they do not hold yet.
-use crate::check::{self, Complaint, Loads};
-use crate::form::ShapeForm;
-use crate::tree::{ARCHIVE, Place, PlaceIx, Shape, warmth};
+use crate::config::ShapeConfig;
+use crate::topology::{ARCHIVE, Node, NodeIndex, Shape, warm_fraction};
+use crate::validation::{self, Loads, Violation};
 use harestage::time::{Moment, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,7 @@
 /// Of the archive's stopping point, what it is asked for at most while a step's objects are fetched anew.
 const ARCHIVE_SHARE: f64 = 0.7;
 /// Between two steps at least, so that what a step does is seen before the next.
-pub const SETTLES: Span = Span::millis(1_000);
+pub const SETTLE_TIME: Span = Span::millis(1_000);
 /// Waiting for a hub to get warm is reckoned in pieces of it.
 const WAIT: Span = Span::millis(500);
 /// Steps at most: a plan that needs more is not understood by whoever watches it.
@@ -32,7 +32,7 @@
     /// The version that it starts from.
     pub from: u64,
     /// Where it ends: the last step makes the shape this one.
-    pub to: ShapeForm,
+    pub to: ShapeConfig,
     pub steps: Vec<Step>,
 }
 
@@ -40,8 +40,8 @@
 pub struct Step {
     /// From 1 up.
     pub number: usize,
-    pub moves: Vec<Move>,
-    pub needs: Vec<Need>,
+    pub moves: Vec<UpstreamChange>,
+    pub needs: Vec<AgeRequirement>,
     /// Part of all load that it moves, from 0 to 1.
     pub moved: f64,
     /// After the plan's begin, at the earliest.
@@ -50,7 +50,7 @@
 
 /// A place's ties before and after.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Move {
+pub struct UpstreamChange {
     pub place: String,
     pub from: Vec<String>,
     pub to: Vec<String>,
@@ -58,16 +58,16 @@
 
 /// A hub has to be so old before the step goes out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Need {
+pub struct AgeRequirement {
     pub hub: String,
     pub age_ms: u64,
 }
 
 /// Why there is no plan.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NoPlan {
+pub enum PlanError {
     /// The shape that is wanted does not hold.
-    Wrong(Vec<Complaint>),
+    Wrong(Vec<Violation>),
     /// A hub would be asked for more than it can do, however long one waits.
     TooMuch {
         place: String,
@@ -79,7 +79,7 @@
     },
 }
 
-impl fmt::Display for NoPlan {
+impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Wrong(complaints) => {
@@ -97,19 +97,19 @@
 /// One change of one place's ties.
 #[derive(Clone, Debug)]
 struct Op {
-    place: PlaceIx,
+    place: NodeIndex,
     change: Change,
 }
 
 #[derive(Clone, Debug)]
 enum Change {
-    Add(PlaceIx),
-    Drop(PlaceIx),
-    Replace(Vec<PlaceIx>),
+    Add(NodeIndex),
+    Drop(NodeIndex),
+    Replace(Vec<NodeIndex>),
 }
 
 impl Op {
-    fn applied(&self, ties: &[PlaceIx]) -> Vec<PlaceIx> {
+    fn applied(&self, ties: &[NodeIndex]) -> Vec<NodeIndex> {
         match &self.change {
             Change::Add(hub) => ties.iter().copied().chain([*hub]).collect(),
             Change::Drop(hub) => ties.iter().copied().filter(|tie| tie != hub).collect(),
@@ -119,9 +119,9 @@
 }
 
 /// Works out the steps from `from` to `to`, as they would go at `now`.
-pub fn plan(from: &Shape, to: &ShapeForm, now: Moment) -> Result<Plan, NoPlan> {
-    let target = Shape::of(to).map_err(NoPlan::Wrong)?;
-    check::check(&target).map_err(NoPlan::Wrong)?;
+pub fn plan_change(from: &Shape, to: &ShapeConfig, now: Moment) -> Result<Plan, PlanError> {
+    let target = Shape::of(to).map_err(PlanError::Wrong)?;
+    validation::validate(&target).map_err(PlanError::Wrong)?;
     let wide = from.widened(from.version(), to);
     let mut planner = Planner::new(wide, now);
     for stretch in stages(&planner.shape, &target) {
@@ -155,7 +155,7 @@
     for (place, what) in wide.places() {
         let before = wide.ties(place);
         let after = wanted(wide, target, what.name());
-        if before == after || matches!(what, Place::Archive(_)) {
+        if before == after || matches!(what, Node::Archive(_)) {
             continue;
         }
         let hub = what.hub().is_some();
@@ -188,21 +188,21 @@
 }
 
 /// Hubs that have to change at once, since with the ties of both shapes they would stand in a loop that neither has.
-fn knotted(wide: &Shape, target: &Shape) -> BTreeSet<PlaceIx> {
-    let mut knotted: BTreeSet<PlaceIx> = BTreeSet::new();
+fn knotted(wide: &Shape, target: &Shape) -> BTreeSet<NodeIndex> {
+    let mut knotted: BTreeSet<NodeIndex> = BTreeSet::new();
     loop {
         let grown = wide.hubs().map(|(at, hub)| {
             let after = wanted(wide, target, &hub.name);
             let before = wide.ties(at).iter().copied().filter(|_| !knotted.contains(&at) || after.is_empty());
-            let mut ties: Vec<PlaceIx> = before.collect();
+            let mut ties: Vec<NodeIndex> = before.collect();
             ties.extend(after.iter().filter(|tie| !wide.ties(at).contains(tie) || knotted.contains(&at)));
             (at, ties)
         });
         let grown: Vec<_> = grown.collect();
         let both = wide.with_ties(wide.version(), grown.iter().map(|(at, ties)| (*at, ties.as_slice())));
         let known = knotted.len();
-        for complaint in check::loops(&both) {
-            let Complaint::Loop { path } = complaint else { continue };
+        for complaint in validation::cycles(&both) {
+            let Violation::Loop { path } = complaint else { continue };
             knotted.extend(path.iter().filter_map(|name| wide.find(name)));
         }
         if knotted.len() == known {
@@ -212,15 +212,15 @@
 }
 
 /// The ties that the target wants for a place, by the indices of the shape that is being changed.
-fn wanted(wide: &Shape, target: &Shape, name: &str) -> Vec<PlaceIx> {
+fn wanted(wide: &Shape, target: &Shape, name: &str) -> Vec<NodeIndex> {
     let Some(place) = target.find(name) else { return Vec::new() };
     target.ties(place).iter().filter_map(|tie| wide.find(target.name(*tie))).collect()
 }
 
 /// Ties between a hub and the archive, by the indices of the shape that is being changed.
-fn heights(target: &Shape, wide: &Shape) -> BTreeMap<PlaceIx, usize> {
-    let mut height: BTreeMap<PlaceIx, usize> = BTreeMap::new();
-    let mut below: BTreeMap<PlaceIx, Vec<PlaceIx>> = BTreeMap::new();
+fn heights(target: &Shape, wide: &Shape) -> BTreeMap<NodeIndex, usize> {
+    let mut height: BTreeMap<NodeIndex, usize> = BTreeMap::new();
+    let mut below: BTreeMap<NodeIndex, Vec<NodeIndex>> = BTreeMap::new();
     for (at, _) in target.hubs() {
         target.ties(at).iter().for_each(|tie| below.entry(*tie).or_default().push(at));
     }
@@ -246,22 +246,22 @@
 
 impl Planner {
     fn new(shape: Shape, begin: Moment) -> Planner {
-        let branch = |place: &Place| if let Place::Branch(branch) = place { branch.load } else { 0.0 };
+        let branch = |place: &Node| if let Node::Branch(branch) = place { branch.load } else { 0.0 };
         let total: f64 = shape.places().map(|(_, place)| branch(place)).sum();
-        let loads = check::loads(&shape).unwrap_or_default();
+        let loads = validation::loads(&shape).unwrap_or_default();
         Planner { shape, loads, total, begin, at: Span::ZERO, steps: Vec::new() }
     }
 
     /// Lays the operations of one stretch into steps, as many into each as fit.
-    fn lay(&mut self, stretch: Stretch) -> Result<(), NoPlan> {
+    fn lay(&mut self, stretch: Stretch) -> Result<(), PlanError> {
         let mut left = stretch.ops;
         while !left.is_empty() {
             let mut many = if stretch.at_once { left.len() } else { self.fitting(&left) };
             let (next, moved) = loop {
                 let (next, moved) = self.applied(&left[..many]);
-                let loops = check::loops(&next);
+                let loops = validation::cycles(&next);
                 if !loops.is_empty() {
-                    return Err(NoPlan::Wrong(loops));
+                    return Err(PlanError::Wrong(loops));
                 }
                 match self.too_much(&next) {
                     None => break (next, moved),
@@ -288,8 +288,8 @@
     /// Fills a second that an operation takes elsewhere.
     fn moves(&self, op: &Op) -> f64 {
         let load = match self.shape.place(op.place) {
-            Some(Place::Branch(branch)) => branch.load,
-            Some(Place::Hub(hub)) => self.loads.of(op.place) * hub.passes,
+            Some(Node::Branch(branch)) => branch.load,
+            Some(Node::Hub(hub)) => self.loads.of(op.place) * hub.passes,
             _ => 0.0,
         };
         let ties = self.shape.ties(op.place).len() as f64;
@@ -302,7 +302,7 @@
     }
 
     fn applied(&self, ops: &[Op]) -> (Shape, f64) {
-        let mut ties: BTreeMap<PlaceIx, Vec<PlaceIx>> = BTreeMap::new();
+        let mut ties: BTreeMap<NodeIndex, Vec<NodeIndex>> = BTreeMap::new();
         for op in ops {
             let now = ties.entry(op.place).or_insert_with(|| self.shape.ties(op.place).to_vec());
             *now = op.applied(now);
@@ -314,8 +314,8 @@
 
     /// A place that is asked for more than it can do at its age, or an archive near its stopping point. What a hub
     /// did not hold before the step, it has to ask for whole.
-    fn too_much(&self, next: &Shape) -> Option<NoPlan> {
-        let after = check::loads(next)?;
+    fn too_much(&self, next: &Shape) -> Option<PlanError> {
+        let after = validation::loads(next)?;
         let now = self.begin + self.at;
         for (at, hub) in next.hubs() {
             let (asked, carries) = (after.of(at), hub.capacity * self.warmth(next, at, now) * COLD_SHARE);
@@ -323,7 +323,7 @@
             let warm = self.warmth(next, at, now) >= 1.0;
             let limit = if warm { hub.capacity } else { carries };
             if grown && asked > limit * (1.0 + 1e-9) {
-                return Some(NoPlan::TooMuch { place: hub.name.clone(), asked, carries: limit });
+                return Some(PlanError::TooMuch { place: hub.name.clone(), asked, carries: limit });
             }
         }
         let new: f64 = next.tops().iter().map(|at| (after.of(*at) - self.loads.of(*at)).max(0.0)).sum();
@@ -332,19 +332,19 @@
         let archive = next.archive();
         let (asked, carries) =
             (after.of(ARCHIVE) + anew, archive.capacity * archive.stops_at * ARCHIVE_SHARE);
-        (asked > carries).then(|| NoPlan::TooMuch { place: archive.name.clone(), asked, carries })
+        (asked > carries).then(|| PlanError::TooMuch { place: archive.name.clone(), asked, carries })
     }
 
-    fn warmth(&self, shape: &Shape, at: PlaceIx, now: Moment) -> f64 {
-        let Some(hub) = shape.place(at).and_then(Place::hub) else { return 1.0 };
+    fn warmth(&self, shape: &Shape, at: NodeIndex, now: Moment) -> f64 {
+        let Some(hub) = shape.place(at).and_then(Node::hub) else { return 1.0 };
         if hub.since_ms == 0 {
             return 1.0;
         }
-        warmth(hub, now.since(Moment::at_micros(hub.since_ms.saturating_mul(1_000))))
+        warm_fraction(hub, now.since(Moment::at_micros(hub.since_ms.saturating_mul(1_000))))
     }
 
     /// Lets time pass in the plan, as long as a hub is still getting warm by it.
-    fn wait_for(&mut self, next: &Shape, too_much: NoPlan) -> Result<(), NoPlan> {
+    fn wait_for(&mut self, next: &Shape, too_much: PlanError) -> Result<(), PlanError> {
         let now = self.begin + self.at;
         let warming = next.hubs().any(|(at, _)| self.warmth(next, at, now) < 1.0);
         if !warming {
@@ -354,45 +354,45 @@
         Ok(())
     }
 
-    fn step(&mut self, next: Shape, ops: &[Op], moved: f64) -> Result<(), NoPlan> {
+    fn step(&mut self, next: Shape, ops: &[Op], moved: f64) -> Result<(), PlanError> {
         if self.steps.len() >= MOST_STEPS {
-            return Err(NoPlan::TooLong { steps: MOST_STEPS });
+            return Err(PlanError::TooLong { steps: MOST_STEPS });
         }
         let names =
             |shape: &Shape, at| shape.ties(at).iter().map(|tie| shape.name(*tie).to_string()).collect();
-        let places: BTreeSet<PlaceIx> = ops.iter().map(|op| op.place).collect();
-        let moves: Vec<Move> = places
+        let places: BTreeSet<NodeIndex> = ops.iter().map(|op| op.place).collect();
+        let moves: Vec<UpstreamChange> = places
             .iter()
-            .map(|at| Move {
+            .map(|at| UpstreamChange {
                 place: next.name(*at).into(),
                 from: names(&self.shape, *at),
                 to: names(&next, *at),
             })
             .filter(|step| step.from != step.to)
             .collect();
-        let after = check::loads(&next).unwrap_or_default();
+        let after = validation::loads(&next).unwrap_or_default();
         let now = self.begin + self.at;
         let needs = next
             .hubs()
             .filter(|(at, hub)| hub.since_ms > 0 && after.of(*at) > self.loads.of(*at))
             .filter_map(|(at, hub)| need(hub, after.of(at), self.warmth(&next, at, now)));
-        let needs: Vec<Need> = needs.collect();
+        let needs: Vec<AgeRequirement> = needs.collect();
         (self.shape, self.loads) = (next, after);
         if !moves.is_empty() {
             let number = self.steps.len() + 1;
             let not_before_ms = self.at.as_micros() / 1_000;
             self.steps.push(Step { number, moves, needs, moved, not_before_ms });
-            self.at = self.at + SETTLES;
+            self.at = self.at + SETTLE_TIME;
         }
         Ok(())
     }
 }
 
 /// The age at which a hub can do so much; none if it can from its start.
-fn need(hub: &crate::form::HubForm, asked: f64, warmth_then: f64) -> Option<Need> {
+fn need(hub: &crate::config::HubConfig, asked: f64, warmth_then: f64) -> Option<AgeRequirement> {
     let part = (asked / (hub.capacity * COLD_SHARE)).min(warmth_then).min(1.0);
     let age = (part - hub.cold_from) / (1.0 - hub.cold_from).max(1e-9) * hub.cold_ms as f64;
-    (age > 0.0).then(|| Need { hub: hub.name.clone(), age_ms: age.ceil() as u64 })
+    (age > 0.0).then(|| AgeRequirement { hub: hub.name.clone(), age_ms: age.ceil() as u64 })
 }
 
 impl Plan {
@@ -403,7 +403,7 @@
             return from.with_ties(version, []);
         }
         let wide = from.widened(version, &self.to);
-        let mut ties: BTreeMap<PlaceIx, Vec<PlaceIx>> = BTreeMap::new();
+        let mut ties: BTreeMap<NodeIndex, Vec<NodeIndex>> = BTreeMap::new();
         for step in &self.steps[..steps.min(self.steps.len())] {
             for one in &step.moves {
                 let to = one.to.iter().filter_map(|name| wide.find(name)).collect();
@@ -416,6 +416,6 @@
 
     /// How long it takes if nothing holds it.
     pub fn lasts(&self) -> Span {
-        self.steps.last().map_or(Span::ZERO, |last| Span::millis(last.not_before_ms) + SETTLES)
+        self.steps.last().map_or(Span::ZERO, |last| Span::millis(last.not_before_ms) + SETTLE_TIME)
     }
 }
--- a/crates/shape/src/run.rs
+++ b/crates/shape/src/rollout.rs
@@ -1,7 +1,7 @@
 //! Runs a plan: one step after another, each only while what is seen is well. Every move of the runner is a record
 //! first, so that whoever runs on after a death goes on where this one stood; a step that goes out a second time says
 //! the same, since it names the ties that a place has, and not what changes.
-use crate::plan::{Plan, SETTLES, Step};
+use crate::plan::{Plan, SETTLE_TIME, Step};
 use harestage::time::{Moment, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 /// What is written down before it is done.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stage {
+pub enum Transition {
     /// Step `step` goes out as `version`.
     Out {
         step: usize,
@@ -47,7 +47,7 @@
 
 /// What a member was last heard to say.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Heard {
+pub struct MemberHealth {
     pub version: u64,
     pub at: Moment,
     /// Time to the first byte against its usual one; 1 is usual.
@@ -61,8 +61,8 @@
 }
 
 /// What the runner looks at.
-pub struct View<'a> {
-    pub members: &'a BTreeMap<String, Heard>,
+pub struct HealthView<'a> {
+    pub members: &'a BTreeMap<String, MemberHealth>,
     /// Fetches a second at which the archive stops.
     pub stopping: f64,
     /// How old each hub is that has started lately; hubs that are not in it are warm.
@@ -71,7 +71,7 @@
 
 /// Why no step goes out just now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Hold {
+pub enum HoldReason {
     Settling,
     Resting,
     TooYoung { hub: String, age: Span, needed: Span },
@@ -82,7 +82,7 @@
     NotYet,
 }
 
-impl std::fmt::Display for Hold {
+impl std::fmt::Display for HoldReason {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
             Self::Settling => write!(f, "the step before settles"),
@@ -102,10 +102,10 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Turn {
+pub enum Decision {
     /// To be written down, and then done.
-    Do(Stage),
-    Hold(Hold),
+    Do(Transition),
+    Hold(HoldReason),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -126,7 +126,7 @@
 
 /// The runner of one plan.
 #[derive(Clone, Debug)]
-pub struct Runner {
+pub struct Rollout {
     pub plan: Plan,
     begun: Moment,
     /// Steps that have gone out, whether they have settled or not.
@@ -136,9 +136,9 @@
     version: u64,
 }
 
-impl Runner {
-    pub fn begin(plan: Plan, version: u64, now: Moment) -> Runner {
-        Runner {
+impl Rollout {
+    pub fn begin(plan: Plan, version: u64, now: Moment) -> Rollout {
+        Rollout {
             plan,
             begun: now,
             done: 0,
@@ -149,19 +149,19 @@
     }
 
     /// Takes in a stage: one that was just written down, or all of a forerunner's after its death.
-    pub fn enter(&mut self, stage: &Stage, now: Moment) {
+    pub fn enter(&mut self, stage: &Transition, now: Moment) {
         match stage {
-            Stage::Out { step, version } => {
+            Transition::Out { step, version } => {
                 (self.done, self.version) = (*step, *version);
                 self.at = At::Out { step: *step, version: *version, since: now, bad_since: None };
             }
-            Stage::Settled { .. } => self.at = At::Between { since: now, rest: Span::ZERO },
-            Stage::Undone { step, version, .. } => {
+            Transition::Settled { .. } => self.at = At::Between { since: now, rest: Span::ZERO },
+            Transition::Undone { step, version, .. } => {
                 (self.done, self.version) = (*step - 1, *version);
                 self.undone += 1;
                 self.at = At::Between { since: now, rest: RESTS };
             }
-            Stage::Ended { .. } => self.at = At::Ended,
+            Transition::Ended { .. } => self.at = At::Ended,
         }
     }
 
@@ -182,16 +182,16 @@
     }
 
     /// What to do now. Calls for the same moment and view say the same, until the stage is entered.
-    pub fn turn(&self, view: &View, now: Moment) -> Turn {
+    pub fn turn(&self, view: &HealthView, now: Moment) -> Decision {
         match self.at {
-            At::Ended => Turn::Hold(Hold::NotYet),
+            At::Ended => Decision::Hold(HoldReason::NotYet),
             At::Out { step, version, since, .. } => self.watch(step, version, since, view, now),
             At::Between { since, rest } => self.go_on(since, rest, view, now),
         }
     }
 
     /// A peak has to last before it undoes anything: the runner notes since when it is seen.
-    pub fn look(&mut self, view: &View, now: Moment) {
+    pub fn look(&mut self, view: &HealthView, now: Moment) {
         let bad = self.undoes(view).is_some();
         if let At::Out { bad_since, .. } = &mut self.at {
             *bad_since = if bad { bad_since.or(Some(now)) } else { None };
@@ -202,8 +202,8 @@
         2f64.powi(self.undone as i32)
     }
 
-    fn watch(&self, step: usize, version: u64, since: Moment, view: &View, now: Moment) -> Turn {
-        let At::Out { bad_since, .. } = self.at else { return Turn::Hold(Hold::Settling) };
+    fn watch(&self, step: usize, version: u64, since: Moment, view: &HealthView, now: Moment) -> Decision {
+        let At::Out { bad_since, .. } = self.at else { return Decision::Hold(HoldReason::Settling) };
         if let (Some(bad), Some(why)) = (bad_since, self.undoes(view))
             && now.since(bad) >= BAD_FOR
         {
@@ -213,52 +213,52 @@
         if now.since(since) >= ANSWERS_WITHIN
             && let Some(place) = &unheard
         {
-            return self.undo(step, Hold::Unheard { place: place.clone() }.to_string());
+            return self.undo(step, HoldReason::Unheard { place: place.clone() }.to_string());
         }
         if let Some(place) = unheard {
-            return Turn::Hold(Hold::Unheard { place });
+            return Decision::Hold(HoldReason::Unheard { place });
         }
-        if now.since(since) < SETTLES * self.slower() || bad_since.is_some() {
-            return Turn::Hold(Hold::Settling);
+        if now.since(since) < SETTLE_TIME * self.slower() || bad_since.is_some() {
+            return Decision::Hold(HoldReason::Settling);
         }
-        Turn::Do(Stage::Settled { step })
+        Decision::Do(Transition::Settled { step })
     }
 
-    fn undo(&self, step: usize, why: String) -> Turn {
-        Turn::Do(Stage::Undone { step, version: self.version + 1, why })
+    fn undo(&self, step: usize, why: String) -> Decision {
+        Decision::Do(Transition::Undone { step, version: self.version + 1, why })
     }
 
-    fn go_on(&self, since: Moment, rest: Span, view: &View, now: Moment) -> Turn {
+    fn go_on(&self, since: Moment, rest: Span, view: &HealthView, now: Moment) -> Decision {
         if self.done >= self.plan.steps.len() {
-            return Turn::Do(Stage::Ended { complete: true });
+            return Decision::Do(Transition::Ended { complete: true });
         }
         if self.undone >= MOST_UNDONE {
-            return Turn::Do(Stage::Ended { complete: false });
+            return Decision::Do(Transition::Ended { complete: false });
         }
         if now.since(since) < rest {
-            return Turn::Hold(Hold::Resting);
+            return Decision::Hold(HoldReason::Resting);
         }
         let step = &self.plan.steps[self.done];
         if let Some(hold) = self.too_young(step, view).or_else(|| busy(view, ARCHIVE_HOLDS, HUB_HOLDS)) {
-            return Turn::Hold(hold);
+            return Decision::Hold(hold);
         }
-        Turn::Do(Stage::Out { step: self.done + 1, version: self.version + 1 })
+        Decision::Do(Transition::Out { step: self.done + 1, version: self.version + 1 })
     }
 
-    fn too_young(&self, step: &Step, view: &View) -> Option<Hold> {
+    fn too_young(&self, step: &Step, view: &HealthView) -> Option<HoldReason> {
         step.needs.iter().find_map(|need| {
             let (age, needed) = (*view.ages.get(&need.hub)?, Span::millis(need.age_ms));
-            (age < needed).then(|| Hold::TooYoung { hub: need.hub.clone(), age, needed })
+            (age < needed).then(|| HoldReason::TooYoung { hub: need.hub.clone(), age, needed })
         })
     }
 
-    fn undoes(&self, view: &View) -> Option<Hold> {
+    fn undoes(&self, view: &HealthView) -> Option<HoldReason> {
         busy(view, ARCHIVE_UNDOES, HUB_UNDOES)
     }
 
     /// A hub of the step, or one that it is tied to, that has not said that it follows. Others that are silent are
     /// passed over: they serve on by the version that they have.
-    fn unheard(&self, step: usize, version: u64, view: &View, now: Moment) -> Option<String> {
+    fn unheard(&self, step: usize, version: u64, view: &HealthView, now: Moment) -> Option<String> {
         let moves = self.plan.steps.get(step.checked_sub(1)?)?.moves.iter();
         let named = moves.flat_map(|one| one.to.iter().chain([&one.place]));
         let behind = named.filter(|name| {
@@ -273,19 +273,19 @@
     }
 }
 
-fn busy(view: &View, archive: f64, hub: f64) -> Option<Hold> {
+fn busy(view: &HealthView, archive: f64, hub: f64) -> Option<HoldReason> {
     let fetches: f64 = view.members.values().map(|heard| heard.fetches).sum();
     let share = fetches / view.stopping.max(1e-9);
     if share > archive {
-        return Some(Hold::ArchiveBusy { share });
+        return Some(HoldReason::ArchiveBusy { share });
     }
     // One hub that sees a slow archive may have a slow way there: half of those that fetch have to see it.
     let mut seen: Vec<f64> =
         view.members.values().filter(|m| m.fetches > 0.0).map(|m| m.archive_slowness).collect();
     seen.sort_by(f64::total_cmp);
     if let Some(slowness) = seen.get(seen.len() / 2).copied().filter(|slowness| *slowness > hub) {
-        return Some(Hold::ArchiveSlow { slowness });
+        return Some(HoldReason::ArchiveSlow { slowness });
     }
     let slow = view.members.iter().find(|(_, heard)| heard.slowness > hub);
-    slow.map(|(name, heard)| Hold::HubSlow { hub: name.clone(), slowness: heard.slowness })
+    slow.map(|(name, heard)| HoldReason::HubSlow { hub: name.clone(), slowness: heard.slowness })
 }
