--- a/crates/shape/src/tree.rs
+++ b/crates/shape/src/topology.rs
@@ -1,7 +1,7 @@
 //! A version of the shape: numbered, immutable, cheap to derive the next from, since all versions share what they
 //! have in common.
-use crate::check::{self, Complaint};
-use crate::form::{ArchiveForm, BranchForm, HubForm, LinkForm, ShapeForm};
+use crate::config::{ArchiveConfig, BranchConfig, HubConfig, LinkConfig, ShapeConfig};
+use crate::validation::{self, Violation};
 use harestage::time::{Moment, Span};
 use imbl::OrdMap;
 use std::collections::{BTreeMap, VecDeque};
@@ -9,51 +9,51 @@
 
 /// Index of a place, the same in all versions that were derived from one another.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Hash)]
-pub struct PlaceIx(pub u32);
+pub struct NodeIndex(pub u32);
 
 /// The archive has the first index in every version.
-pub const ARCHIVE: PlaceIx = PlaceIx(0);
+pub const ARCHIVE: NodeIndex = NodeIndex(0);
 
 #[derive(Clone, PartialEq, Debug)]
-pub enum Place {
-    Archive(ArchiveForm),
-    Hub(HubForm),
-    Branch(BranchForm),
+pub enum Node {
+    Archive(ArchiveConfig),
+    Hub(HubConfig),
+    Branch(BranchConfig),
 }
 
-impl Place {
+impl Node {
     pub fn name(&self) -> &str {
         match self {
-            Place::Archive(archive) => &archive.name,
-            Place::Hub(hub) => &hub.name,
-            Place::Branch(branch) => &branch.name,
+            Node::Archive(archive) => &archive.name,
+            Node::Hub(hub) => &hub.name,
+            Node::Branch(branch) => &branch.name,
         }
     }
 
-    pub fn hub(&self) -> Option<&HubForm> {
-        if let Place::Hub(hub) = self { Some(hub) } else { None }
+    pub fn hub(&self) -> Option<&HubConfig> {
+        if let Node::Hub(hub) = self { Some(hub) } else { None }
     }
 }
 
-pub type Ties = Arc<[PlaceIx]>;
+pub type Upstreams = Arc<[NodeIndex]>;
 
 /// One version of who is tied to whom.
 #[derive(Clone, Debug)]
 pub struct Shape {
     version: u64,
-    places: OrdMap<PlaceIx, Arc<Place>>,
-    ties: OrdMap<PlaceIx, Ties>,
-    names: OrdMap<Arc<str>, PlaceIx>,
+    places: OrdMap<NodeIndex, Arc<Node>>,
+    ties: OrdMap<NodeIndex, Upstreams>,
+    names: OrdMap<Arc<str>, NodeIndex>,
     /// Hubs that fetch from the archive, by their indices.
-    tops: Arc<[PlaceIx]>,
-    links: Arc<[LinkForm]>,
+    tops: Arc<[NodeIndex]>,
+    links: Arc<[LinkConfig]>,
     next: u32,
 }
 
 impl Shape {
     /// Builds a version from its form. Complaints are about names only; whether the whole holds is
     /// [`check::check`]'s to say.
-    pub fn of(form: &ShapeForm) -> Result<Shape, Vec<Complaint>> {
+    pub fn of(form: &ShapeConfig) -> Result<Shape, Vec<Violation>> {
         let mut shape = Shape {
             version: form.version,
             places: OrdMap::new(),
@@ -64,9 +64,9 @@
             next: 0,
         };
         let mut wrong = Vec::new();
-        let places = std::iter::once(Place::Archive(form.archive.clone()))
-            .chain(form.hubs.iter().cloned().map(Place::Hub))
-            .chain(form.branches.iter().cloned().map(Place::Branch));
+        let places = std::iter::once(Node::Archive(form.archive.clone()))
+            .chain(form.hubs.iter().cloned().map(Node::Hub))
+            .chain(form.branches.iter().cloned().map(Node::Branch));
         places.for_each(|place| wrong.extend(shape.settle(place).err()));
         let hubs = form.hubs.iter().map(|hub| (&hub.name, &hub.up));
         let branches = form.branches.iter().map(|branch| (&branch.name, &branch.hubs));
@@ -80,30 +80,30 @@
         if wrong.is_empty() { Ok(shape) } else { Err(wrong) }
     }
 
-    fn settle(&mut self, place: Place) -> Result<PlaceIx, Complaint> {
+    fn settle(&mut self, place: Node) -> Result<NodeIndex, Violation> {
         let name: Arc<str> = place.name().into();
         if self.names.contains_key(&name) {
-            return Err(Complaint::Doubled { place: name.to_string() });
+            return Err(Violation::Doubled { place: name.to_string() });
         }
-        let at = PlaceIx(self.next);
+        let at = NodeIndex(self.next);
         self.next += 1;
         self.names.insert(name, at);
         self.places.insert(at, Arc::new(place));
         Ok(at)
     }
 
-    fn resolve(&self, name: &str, to: &[String]) -> Result<(PlaceIx, Ties), Vec<Complaint>> {
+    fn resolve(&self, name: &str, to: &[String]) -> Result<(NodeIndex, Upstreams), Vec<Violation>> {
         let place = self.names.get(name).copied().unwrap_or(ARCHIVE);
         let (mut ties, mut wrong) = (Vec::with_capacity(to.len()), Vec::new());
         for tie in to {
             let (place_name, tie_name) = (name.to_string(), tie.clone());
             match self.names.get(tie.as_str()) {
-                None => wrong.push(Complaint::Unknown { place: place_name, tie: tie_name }),
+                None => wrong.push(Violation::Unknown { place: place_name, tie: tie_name }),
                 Some(at) if ties.contains(at) => {
-                    wrong.push(Complaint::DoubledTie { place: place_name, tie: tie_name })
+                    wrong.push(Violation::DoubledTie { place: place_name, tie: tie_name })
                 }
-                Some(at) if matches!(*self.places[at], Place::Branch(_)) => {
-                    wrong.push(Complaint::ToBranch { place: place_name, tie: tie_name })
+                Some(at) if matches!(*self.places[at], Node::Branch(_)) => {
+                    wrong.push(Violation::ToBranch { place: place_name, tie: tie_name })
                 }
                 Some(at) => ties.push(*at),
             }
@@ -112,8 +112,8 @@
     }
 
     fn find_tops(&mut self) {
-        let to_archive = |(place, ties): (&PlaceIx, &Ties)| {
-            let hub = matches!(*self.places[place], Place::Hub(_));
+        let to_archive = |(place, ties): (&NodeIndex, &Upstreams)| {
+            let hub = matches!(*self.places[place], Node::Hub(_));
             (hub && ties.contains(&ARCHIVE)).then_some(*place)
         };
         self.tops = self.ties.iter().filter_map(to_archive).collect();
@@ -123,7 +123,7 @@
     pub fn with_ties<'a>(
         &self,
         version: u64,
-        moves: impl IntoIterator<Item = (PlaceIx, &'a [PlaceIx])>,
+        moves: impl IntoIterator<Item = (NodeIndex, &'a [NodeIndex])>,
     ) -> Shape {
         let mut next = Shape { version, ..self.clone() };
         for (place, ties) in moves {
@@ -137,25 +137,25 @@
     }
 
     /// The place with its ties written out, so that a version can be handed out as it is.
-    fn renamed(&self, place: &Place, ties: &[PlaceIx]) -> Place {
+    fn renamed(&self, place: &Node, ties: &[NodeIndex]) -> Node {
         let names = || ties.iter().map(|tie| self.name(*tie).to_string()).collect();
         match place {
-            Place::Hub(hub) => Place::Hub(HubForm { up: names(), ..hub.clone() }),
-            Place::Branch(branch) => Place::Branch(BranchForm { hubs: names(), ..branch.clone() }),
-            Place::Archive(archive) => Place::Archive(archive.clone()),
+            Node::Hub(hub) => Node::Hub(HubConfig { up: names(), ..hub.clone() }),
+            Node::Branch(branch) => Node::Branch(BranchConfig { hubs: names(), ..branch.clone() }),
+            Node::Archive(archive) => Node::Archive(archive.clone()),
         }
     }
 
     /// This version with all places of `form` that it lacks, tied to nothing yet, and the figures of those it has.
-    pub fn widened(&self, version: u64, form: &ShapeForm) -> Shape {
+    pub fn widened(&self, version: u64, form: &ShapeConfig) -> Shape {
         let mut wide = Shape { version, links: form.links.as_slice().into(), ..self.clone() };
-        let hubs = form.hubs.iter().cloned().map(|hub| Place::Hub(HubForm { up: Vec::new(), ..hub }));
+        let hubs = form.hubs.iter().cloned().map(|hub| Node::Hub(HubConfig { up: Vec::new(), ..hub }));
         let branches = form.branches.iter().cloned();
-        let branches = branches.map(|b| Place::Branch(BranchForm { hubs: Vec::new(), ..b }));
+        let branches = branches.map(|b| Node::Branch(BranchConfig { hubs: Vec::new(), ..b }));
         // It may have another name now, and is the same place all the same.
         wide.names.remove(self.archive().name.as_str());
         wide.names.insert(form.archive.name.as_str().into(), ARCHIVE);
-        wide.places.insert(ARCHIVE, Arc::new(Place::Archive(form.archive.clone())));
+        wide.places.insert(ARCHIVE, Arc::new(Node::Archive(form.archive.clone())));
         for place in hubs.chain(branches) {
             match wide.names.get(place.name()).copied() {
                 Some(at) => {
@@ -174,7 +174,7 @@
     }
 
     /// This version without the places that `form` does not name.
-    pub fn narrowed(&self, version: u64, form: &ShapeForm) -> Shape {
+    pub fn narrowed(&self, version: u64, form: &ShapeConfig) -> Shape {
         let named: std::collections::HashSet<&str> = std::iter::once(form.archive.name.as_str())
             .chain(form.hubs.iter().map(|h| h.name.as_str()))
             .chain(form.branches.iter().map(|b| b.name.as_str()))
@@ -192,10 +192,10 @@
     }
 
     /// The version that a form says, its places under the indices that they have here.
-    pub fn followed_by(&self, form: &ShapeForm) -> Result<Shape, Vec<Complaint>> {
+    pub fn followed_by(&self, form: &ShapeConfig) -> Result<Shape, Vec<Violation>> {
         let said = Shape::of(form)?;
         let wide = self.widened(form.version, form);
-        let here = |at: &PlaceIx| wide.find(said.name(*at)).unwrap_or(ARCHIVE);
+        let here = |at: &NodeIndex| wide.find(said.name(*at)).unwrap_or(ARCHIVE);
         let ties =
             said.places().map(|(at, _)| (here(&at), said.ties(at).iter().map(here).collect::<Vec<_>>()));
         let ties: Vec<_> = ties.filter(|(at, ties)| wide.ties(*at) != ties.as_slice()).collect();
@@ -203,47 +203,47 @@
         Ok(moved.narrowed(form.version, form))
     }
 
-    pub fn form(&self) -> ShapeForm {
+    pub fn form(&self) -> ShapeConfig {
         let (mut hubs, mut branches) = (Vec::new(), Vec::new());
         for place in self.places.values() {
             match place.as_ref() {
-                Place::Hub(hub) => hubs.push(hub.clone()),
-                Place::Branch(branch) => branches.push(branch.clone()),
-                Place::Archive(_) => {}
+                Node::Hub(hub) => hubs.push(hub.clone()),
+                Node::Branch(branch) => branches.push(branch.clone()),
+                Node::Archive(_) => {}
             }
         }
         let links = self.links.to_vec();
-        ShapeForm { version: self.version, archive: self.archive().clone(), hubs, branches, links }
+        ShapeConfig { version: self.version, archive: self.archive().clone(), hubs, branches, links }
     }
 
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    pub fn archive(&self) -> &ArchiveForm {
+    pub fn archive(&self) -> &ArchiveConfig {
         match self.places[&ARCHIVE].as_ref() {
-            Place::Archive(archive) => archive,
+            Node::Archive(archive) => archive,
             _ => unreachable!("the archive is entered first"),
         }
     }
 
-    pub fn place(&self, at: PlaceIx) -> Option<&Place> {
+    pub fn place(&self, at: NodeIndex) -> Option<&Node> {
         self.places.get(&at).map(Arc::as_ref)
     }
 
-    pub fn name(&self, at: PlaceIx) -> &str {
-        self.place(at).map_or("", Place::name)
+    pub fn name(&self, at: NodeIndex) -> &str {
+        self.place(at).map_or("", Node::name)
     }
 
-    pub fn find(&self, name: &str) -> Option<PlaceIx> {
+    pub fn find(&self, name: &str) -> Option<NodeIndex> {
         self.names.get(name).copied()
     }
 
-    pub fn places(&self) -> impl Iterator<Item = (PlaceIx, &Place)> {
+    pub fn places(&self) -> impl Iterator<Item = (NodeIndex, &Node)> {
         self.places.iter().map(|(at, place)| (*at, place.as_ref()))
     }
 
-    pub fn hubs(&self) -> impl Iterator<Item = (PlaceIx, &HubForm)> {
+    pub fn hubs(&self) -> impl Iterator<Item = (NodeIndex, &HubConfig)> {
         self.places().filter_map(|(at, place)| place.hub().map(|hub| (at, hub)))
     }
 
@@ -257,34 +257,34 @@
         self.hubs().map(|(_, hub)| hub.site.as_str()).filter(|site| !site.is_empty()).collect()
     }
 
-    pub fn ties(&self, at: PlaceIx) -> &[PlaceIx] {
+    pub fn ties(&self, at: NodeIndex) -> &[NodeIndex] {
         self.ties.get(&at).map_or(&[], |ties| ties)
     }
 
     /// Hubs that are tied to the archive: each object has its home at one of them.
-    pub fn tops(&self) -> &[PlaceIx] {
+    pub fn tops(&self) -> &[NodeIndex] {
         &self.tops
     }
 
     /// Fills a second that a hub may be asked for at this time without being pushed over, before any margin.
-    pub fn allowance(&self, at: PlaceIx, now: Moment) -> f64 {
-        let Some(hub) = self.place(at).and_then(Place::hub) else { return f64::INFINITY };
+    pub fn allowance(&self, at: NodeIndex, now: Moment) -> f64 {
+        let Some(hub) = self.place(at).and_then(Node::hub) else { return f64::INFINITY };
         let started = Moment::at_micros(hub.since_ms.saturating_mul(1_000));
         let age = if hub.since_ms == 0 { Span::millis(hub.cold_ms) } else { now.since(started) };
-        hub.capacity * warmth(hub, age) * hub.falls_at
+        hub.capacity * warm_fraction(hub, age) * hub.falls_at
     }
 }
 
 /// Part of its capacity that a hub of this age has, from 0 to 1.
-pub fn warmth(hub: &HubForm, age: Span) -> f64 {
+pub fn warm_fraction(hub: &HubConfig, age: Span) -> f64 {
     let part = age / Span::millis(hub.cold_ms);
     (hub.cold_from + (1.0 - hub.cold_from) * part).min(1.0)
 }
 
 /// A shape that is whole and holds, or why it does not.
-pub fn take(form: &ShapeForm) -> Result<Shape, Vec<Complaint>> {
+pub fn validated_shape(form: &ShapeConfig) -> Result<Shape, Vec<Violation>> {
     let shape = Shape::of(form)?;
-    check::check(&shape).map(|_| shape)
+    validation::validate(&shape).map(|_| shape)
 }
 
 /// Versions that are kept at most, whatever still uses them: past it the oldest goes, and what used it goes on by
--- a/crates/shape/src/check.rs
+++ b/crates/shape/src/validation.rs
@@ -1,12 +1,12 @@
 //! Whether a version holds: no loop, everyone with a way to the archive, and nobody asked for more than it carries,
 //! also after the loss of any one hub. A version is taken whole or refused whole, with every complaint said.
-use crate::tree::{ARCHIVE, Place, PlaceIx, Shape};
+use crate::topology::{ARCHIVE, Node, NodeIndex, Shape};
 use std::collections::BTreeMap;
 use std::fmt;
 
 /// What is wrong with a version. Each names the place, and the tie where there is one.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Complaint {
+pub enum Violation {
     Doubled {
         place: String,
     },
@@ -47,7 +47,7 @@
     },
 }
 
-impl fmt::Display for Complaint {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Doubled { place } => write!(f, "{place}: named twice"),
@@ -72,20 +72,20 @@
 
 /// Fills a second that each place is asked for, by its index.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Loads(BTreeMap<PlaceIx, f64>);
+pub struct Loads(BTreeMap<NodeIndex, f64>);
 
 impl Loads {
-    pub fn of(&self, place: PlaceIx) -> f64 {
+    pub fn of(&self, place: NodeIndex) -> f64 {
         self.0.get(&place).copied().unwrap_or(0.0)
     }
 
-    fn add(&mut self, place: PlaceIx, load: f64) {
+    fn add(&mut self, place: NodeIndex, load: f64) {
         *self.0.entry(place).or_insert(0.0) += load;
     }
 }
 
 /// Checks a version whole. The loads come back with it, so that nobody works them out twice.
-pub fn check(shape: &Shape) -> Result<Loads, Vec<Complaint>> {
+pub fn validate(shape: &Shape) -> Result<Loads, Vec<Violation>> {
     let mut wrong = mixed(shape);
     let order = match climb(shape) {
         Ok(order) => order,
@@ -111,21 +111,21 @@
 }
 
 /// Whether a version has a loop, and nothing else: what a step on the way from one version to another must not have.
-pub fn loops(shape: &Shape) -> Vec<Complaint> {
+pub fn cycles(shape: &Shape) -> Vec<Violation> {
     climb(shape).err().unwrap_or_default()
 }
 
-fn mixed(shape: &Shape) -> Vec<Complaint> {
+fn mixed(shape: &Shape) -> Vec<Violation> {
     let tops = shape.tops().iter();
-    let other = |top: &PlaceIx| {
+    let other = |top: &NodeIndex| {
         let tie = shape.ties(*top).iter().find(|tie| **tie != ARCHIVE)?;
-        Some(Complaint::MixedTies { place: shape.name(*top).into(), tie: shape.name(*tie).into() })
+        Some(Violation::MixedTies { place: shape.name(*top).into(), tie: shape.name(*tie).into() })
     };
     tops.filter_map(other).collect()
 }
 
 /// All places, each before those that it is tied to; or every loop, once.
-fn climb(shape: &Shape) -> Result<Vec<PlaceIx>, Vec<Complaint>> {
+fn climb(shape: &Shape) -> Result<Vec<NodeIndex>, Vec<Violation>> {
     let mut climber =
         Climber { shape, mark: BTreeMap::new(), path: Vec::new(), done: Vec::new(), loops: Vec::new() };
     shape.places().for_each(|(at, _)| climber.from(at));
@@ -141,16 +141,16 @@
 
 struct Climber<'a> {
     shape: &'a Shape,
-    mark: BTreeMap<PlaceIx, Mark>,
+    mark: BTreeMap<NodeIndex, Mark>,
     /// The way from where it began, each with the number of its ties that were looked at.
-    path: Vec<(PlaceIx, usize)>,
-    done: Vec<PlaceIx>,
-    loops: Vec<Complaint>,
+    path: Vec<(NodeIndex, usize)>,
+    done: Vec<NodeIndex>,
+    loops: Vec<Violation>,
 }
 
 impl Climber<'_> {
     /// By a stack of its own: a chain of ten thousand hubs must not end the program.
-    fn from(&mut self, start: PlaceIx) {
+    fn from(&mut self, start: NodeIndex) {
         if self.mark.contains_key(&start) {
             return;
         }
@@ -173,29 +173,29 @@
         }
     }
 
-    fn enter(&mut self, at: PlaceIx) {
+    fn enter(&mut self, at: NodeIndex) {
         self.mark.insert(at, Mark::OnPath);
         self.path.push((at, 0));
     }
 
-    fn found(&mut self, tie: PlaceIx) {
+    fn found(&mut self, tie: NodeIndex) {
         let from = self.path.iter().position(|(at, _)| *at == tie).unwrap_or(0);
         let path = self.path[from..].iter().map(|(at, _)| self.shape.name(*at).to_string()).collect();
-        self.loops.push(Complaint::Loop { path });
+        self.loops.push(Violation::Loop { path });
     }
 }
 
-fn no_way(shape: &Shape, order: &[PlaceIx]) -> Vec<Complaint> {
-    let mut reaches: BTreeMap<PlaceIx, bool> = BTreeMap::new();
+fn no_way(shape: &Shape, order: &[NodeIndex]) -> Vec<Violation> {
+    let mut reaches: BTreeMap<NodeIndex, bool> = BTreeMap::new();
     let mut wrong = Vec::new();
     for at in order.iter().rev() {
-        let on = |tie: &PlaceIx| reaches.get(tie).copied().unwrap_or(false);
+        let on = |tie: &NodeIndex| reaches.get(tie).copied().unwrap_or(false);
         let reached = *at == ARCHIVE || shape.ties(*at).iter().any(on);
         reaches.insert(*at, reached);
         // A hub that nobody is tied to, and that is tied to nothing, only waits for its first tie.
         let unused = shape.ties(*at).is_empty() && shape.place(*at).is_some_and(|p| p.hub().is_some());
         if !reached && !unused {
-            wrong.push(Complaint::NoWay { place: shape.name(*at).into() });
+            wrong.push(Violation::NoWay { place: shape.name(*at).into() });
         }
     }
     wrong.reverse();
@@ -207,23 +207,23 @@
 struct Flow<'a> {
     shape: &'a Shape,
     /// Where each place stands in the order, below before above.
-    rank: BTreeMap<PlaceIx, usize>,
+    rank: BTreeMap<NodeIndex, usize>,
     /// Who asks a place.
-    below: BTreeMap<PlaceIx, Vec<PlaceIx>>,
+    below: BTreeMap<NodeIndex, Vec<NodeIndex>>,
     /// Asked from below, without what hubs at the top ask of each other.
-    asked: BTreeMap<PlaceIx, f64>,
+    asked: BTreeMap<NodeIndex, f64>,
 }
 
 /// What hubs at the top ask of each other, and of the archive.
 struct Top {
-    sideways: BTreeMap<PlaceIx, f64>,
+    sideways: BTreeMap<NodeIndex, f64>,
     archive: f64,
 }
 
 impl<'a> Flow<'a> {
-    fn of(shape: &'a Shape, order: &[PlaceIx]) -> Flow<'a> {
+    fn of(shape: &'a Shape, order: &[NodeIndex]) -> Flow<'a> {
         let rank = order.iter().enumerate().map(|(n, at)| (*at, n)).collect();
-        let mut below: BTreeMap<PlaceIx, Vec<PlaceIx>> = BTreeMap::new();
+        let mut below: BTreeMap<NodeIndex, Vec<NodeIndex>> = BTreeMap::new();
         for at in order {
             shape.ties(*at).iter().for_each(|tie| below.entry(*tie).or_default().push(*at));
         }
@@ -238,16 +238,16 @@
     }
 
     /// What a place that is asked for so much asks for itself.
-    fn passes(&self, at: PlaceIx, asked: f64) -> f64 {
+    fn passes(&self, at: NodeIndex, asked: f64) -> f64 {
         match self.shape.place(at) {
-            Some(Place::Branch(branch)) => branch.load,
-            Some(Place::Hub(hub)) => asked * hub.passes,
+            Some(Node::Branch(branch)) => branch.load,
+            Some(Node::Hub(hub)) => asked * hub.passes,
             _ => 0.0,
         }
     }
 
     /// Over its ties but the archive, which is reckoned for all at the top together.
-    fn spread(&self, at: PlaceIx, load: f64) -> Vec<(PlaceIx, f64)> {
+    fn spread(&self, at: NodeIndex, load: f64) -> Vec<(NodeIndex, f64)> {
         let ties = self.shape.ties(at);
         if ties.is_empty() || ties.contains(&ARCHIVE) {
             return Vec::new();
@@ -255,8 +255,9 @@
         ties.iter().map(|tie| (*tie, load / ties.len() as f64)).collect()
     }
 
-    fn top(&self, lost: Option<PlaceIx>, asked: impl Fn(PlaceIx) -> f64, cut_off: f64) -> Top {
-        let left: Vec<PlaceIx> = self.shape.tops().iter().copied().filter(|top| Some(*top) != lost).collect();
+    fn top(&self, lost: Option<NodeIndex>, asked: impl Fn(NodeIndex) -> f64, cut_off: f64) -> Top {
+        let left: Vec<NodeIndex> =
+            self.shape.tops().iter().copied().filter(|top| Some(*top) != lost).collect();
         let homes = left.len().max(1) as f64;
         let passes: Vec<f64> = left.iter().map(|top| self.passes(*top, asked(*top))).collect();
         let all: f64 = passes.iter().sum();
@@ -281,25 +282,25 @@
     fn direct(&self) -> f64 {
         let below = self.below.get(&ARCHIVE).into_iter().flatten();
         let branches = below.filter_map(|at| match self.shape.place(*at) {
-            Some(Place::Branch(branch)) => Some(branch.load / self.shape.ties(*at).len() as f64),
+            Some(Node::Branch(branch)) => Some(branch.load / self.shape.ties(*at).len() as f64),
             _ => None,
         });
         branches.sum()
     }
 
-    fn carries(&self, at: PlaceIx) -> f64 {
+    fn carries(&self, at: NodeIndex) -> f64 {
         match self.shape.place(at) {
-            Some(Place::Hub(hub)) => hub.capacity,
+            Some(Node::Hub(hub)) => hub.capacity,
             // Between its capacity and its stopping point it only slows down; an outage is allowed to use that.
-            Some(Place::Archive(archive)) => archive.capacity,
+            Some(Node::Archive(archive)) => archive.capacity,
             _ => f64::INFINITY,
         }
     }
 
-    fn overloads(&self) -> Vec<Complaint> {
+    fn overloads(&self) -> Vec<Violation> {
         let loads = self.loads();
         let over = loads.0.iter().filter(|(at, asked)| **asked > self.carries(**at) * (1.0 + 1e-9));
-        let complaint = |(at, asked): (&PlaceIx, &f64)| Complaint::Overload {
+        let complaint = |(at, asked): (&NodeIndex, &f64)| Violation::Overload {
             place: self.shape.name(*at).into(),
             asked: *asked,
             carries: self.carries(*at),
@@ -308,19 +309,19 @@
     }
 
     /// One loss after another, each by what it changes: the hubs above those that asked the lost one.
-    fn overloads_after_losses(&self) -> Vec<Complaint> {
+    fn overloads_after_losses(&self) -> Vec<Violation> {
         let mut wrong = Vec::new();
         for (lost, _) in self.shape.hubs() {
             let (changed, archive) = self.after_loss(lost);
             let archive = (ARCHIVE, archive);
-            let limit = |at: PlaceIx| match self.shape.place(at) {
-                Some(Place::Archive(archive)) => archive.capacity * archive.stops_at * 0.8,
+            let limit = |at: NodeIndex| match self.shape.place(at) {
+                Some(Node::Archive(archive)) => archive.capacity * archive.stops_at * 0.8,
                 _ => self.carries(at),
             };
             for (at, asked) in changed.into_iter().chain([archive]) {
                 if asked > limit(at) * (1.0 + 1e-9) {
                     let (place, lost) = (self.shape.name(at).into(), self.shape.name(lost).into());
-                    wrong.push(Complaint::OverloadAfterLoss { place, lost, asked, carries: limit(at) });
+                    wrong.push(Violation::OverloadAfterLoss { place, lost, asked, carries: limit(at) });
                 }
             }
         }
@@ -328,15 +329,16 @@
     }
 
     /// What places whose load differs are asked for once `lost` is gone, and what the archive is.
-    fn after_loss(&self, lost: PlaceIx) -> (Vec<(PlaceIx, f64)>, f64) {
-        let mut more: BTreeMap<PlaceIx, f64> = BTreeMap::new();
-        let mut due: BTreeMap<usize, PlaceIx> = BTreeMap::new();
+    fn after_loss(&self, lost: NodeIndex) -> (Vec<(NodeIndex, f64)>, f64) {
+        let mut more: BTreeMap<NodeIndex, f64> = BTreeMap::new();
+        let mut due: BTreeMap<usize, NodeIndex> = BTreeMap::new();
         let mut cut_off = self.direct();
-        let asked = |at: PlaceIx| self.asked.get(&at).copied().unwrap_or(0.0);
-        let give = |more: &mut BTreeMap<PlaceIx, f64>, due: &mut BTreeMap<usize, PlaceIx>, to, load: f64| {
-            *more.entry(to).or_insert(0.0) += load;
-            due.insert(self.rank[&to], to);
-        };
+        let asked = |at: NodeIndex| self.asked.get(&at).copied().unwrap_or(0.0);
+        let give =
+            |more: &mut BTreeMap<NodeIndex, f64>, due: &mut BTreeMap<usize, NodeIndex>, to, load: f64| {
+                *more.entry(to).or_insert(0.0) += load;
+                due.insert(self.rank[&to], to);
+            };
         for child in self.below.get(&lost).into_iter().flatten() {
             let load = self.passes(*child, asked(*child));
             let others: Vec<_> = self.shape.ties(*child).iter().filter(|tie| **tie != lost).collect();
@@ -352,12 +354,12 @@
         }
         while let Some((_, at)) = due.pop_first() {
             let passes = match self.shape.place(at) {
-                Some(Place::Hub(hub)) => more[&at] * hub.passes,
+                Some(Node::Hub(hub)) => more[&at] * hub.passes,
                 _ => 0.0,
             };
             self.spread(at, passes).into_iter().for_each(|(to, load)| give(&mut more, &mut due, to, load));
         }
-        let now = |at: PlaceIx| (asked(at) + more.get(&at).copied().unwrap_or(0.0)).max(0.0);
+        let now = |at: NodeIndex| (asked(at) + more.get(&at).copied().unwrap_or(0.0)).max(0.0);
         let top = self.top(Some(lost), now, cut_off);
         let mut changed: Vec<_> =
             more.keys().filter(|at| !top.sideways.contains_key(at)).map(|at| (*at, now(*at))).collect();
--- a/crates/shape/src/knots.rs
+++ b/crates/shape/src/wait_cycles.rs
@@ -19,7 +19,7 @@
 /// After it a fill that still waits is chased once more, in case a chase was lost with its connection.
 const AGAIN: Span = Span::millis(200);
 /// Places in a path at most; the wire refuses longer ones too.
-pub const LONGEST: usize = 24;
+pub const MAX_PATH_LEN: usize = 24;
 /// Circles that are remembered, to tell one that comes back from a new one.
 const MOST_REMEMBERED: usize = 256;
 
@@ -34,18 +34,18 @@
 
 /// What follows from a chase.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Send it to the hub that the fill waits for.
     Send { to: String, chase: Chase },
     /// This hub's fill has to leave the hub that it waits for, and fetch for all in the circle.
-    Leave { knot: Knot },
+    Leave { knot: WaitCycle },
     /// The path is longer than any way should be, without coming round.
     TooLong { key: Key, path: Vec<String> },
 }
 
 /// A circle that was found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Knot {
+pub struct WaitCycle {
     pub key: Key,
     /// From the one that breaks it round to the one that waits for it.
     pub path: Vec<String>,
@@ -65,7 +65,7 @@
 }
 
 /// The waits of one hub.
-pub struct Knots {
+pub struct WaitTracker {
     me: String,
     waits: HashMap<Key, Wait>,
     /// Own names of hubs that were addressed by another.
@@ -73,9 +73,9 @@
     found: HashMap<Vec<String>, u32>,
 }
 
-impl Knots {
-    pub fn new(me: &str) -> Knots {
-        Knots { me: me.into(), waits: HashMap::new(), own_names: HashMap::new(), found: HashMap::new() }
+impl WaitTracker {
+    pub fn new(me: &str) -> WaitTracker {
+        WaitTracker { me: me.into(), waits: HashMap::new(), own_names: HashMap::new(), found: HashMap::new() }
     }
 
     pub fn me(&self) -> &str {
@@ -100,7 +100,7 @@
     }
 
     /// A pull that came through these hubs waits for a fill of this one from now on.
-    pub fn joined(&mut self, key: Key, path: &[String], now: Moment) -> Option<Act> {
+    pub fn joined(&mut self, key: Key, path: &[String], now: Moment) -> Option<Action> {
         if let Some(wait) = self.waits.get_mut(&key) {
             wait.waited_for |= !path.is_empty();
         }
@@ -111,7 +111,7 @@
     }
 
     /// A chase has come here: the last of its path waits for this hub's fill.
-    pub fn chased(&mut self, chase: Chase, now: Moment) -> Option<Act> {
+    pub fn chased(&mut self, chase: Chase, now: Moment) -> Option<Action> {
         let wait = self.waits.get(&chase.key)?;
         let on = wait.on.clone()?;
         if let Some(at) = chase.path.iter().position(|name| *name == self.me) {
@@ -121,16 +121,16 @@
         if chase.closed {
             return None;
         }
-        if chase.path.len() >= LONGEST {
-            return Some(Act::TooLong { key: chase.key, path: chase.path });
+        if chase.path.len() >= MAX_PATH_LEN {
+            return Some(Action::TooLong { key: chase.key, path: chase.path });
         }
         let mut path = chase.path;
         path.push(self.me.clone());
-        Some(Act::Send { to: on, chase: Chase { key: chase.key, path, closed: false } })
+        Some(Action::Send { to: on, chase: Chase { key: chase.key, path, closed: false } })
     }
 
     /// This hub stands in a circle. It breaks it, or sends it on to the one that does.
-    fn round(&mut self, key: Key, circle: Vec<String>, on: String, now: Moment) -> Option<Act> {
+    fn round(&mut self, key: Key, circle: Vec<String>, on: String, now: Moment) -> Option<Action> {
         let at = circle.iter().position(|name| *name == self.me)?;
         // What the circle says of this hub has to be so still: its fill may have gone elsewhere meanwhile.
         let next = &circle[(at + 1) % circle.len()];
@@ -139,7 +139,7 @@
         }
         let breaker = circle.iter().max()?;
         if *breaker != self.me {
-            return Some(Act::Send { to: on, chase: Chase { key, path: circle, closed: true } });
+            return Some(Action::Send { to: on, chase: Chase { key, path: circle, closed: true } });
         }
         let path = [&circle[at..], &circle[..at]].concat();
         let waited = self.waits.get(&key).map_or(Span::ZERO, |wait| now.since(wait.since));
@@ -149,7 +149,7 @@
         let found = self.found.entry(path.clone()).or_insert(0);
         let before = *found;
         *found += 1;
-        Some(Act::Leave { knot: Knot { key, path, waited, before } })
+        Some(Action::Leave { knot: WaitCycle { key, path, waited, before } })
     }
 
     fn own_name<'a>(&'a self, addressed: &'a str) -> &'a str {
@@ -157,7 +157,7 @@
     }
 
     /// Fills that others wait for, and that have waited long, are chased again.
-    pub fn beat(&mut self, now: Moment) -> Vec<Act> {
+    pub fn beat(&mut self, now: Moment) -> Vec<Action> {
         let me = &self.me;
         let mut due: Vec<_> = self
             .waits
@@ -166,12 +166,12 @@
             .map(|(key, wait)| {
                 wait.chased = now;
                 let to = wait.on.clone().unwrap_or_default();
-                Act::Send { to, chase: Chase { key: *key, path: vec![me.clone()], closed: false } }
+                Action::Send { to, chase: Chase { key: *key, path: vec![me.clone()], closed: false } }
             })
             .collect();
         // The order of a hash map is no order: the same events must give the same acts.
         due.sort_by(|a, b| match (a, b) {
-            (Act::Send { chase: a, .. }, Act::Send { chase: b, .. }) => a.key.cmp(&b.key),
+            (Action::Send { chase: a, .. }, Action::Send { chase: b, .. }) => a.key.cmp(&b.key),
             _ => std::cmp::Ordering::Equal,
         });
         due
--- a/crates/shape/tests/checks.rs
+++ b/crates/shape/tests/checks.rs
@@ -1,19 +1,19 @@
 //! Shapes are taken whole or refused whole, and each complaint names the place.
 mod common;
 use common::*;
-use harestage_shape::check::{Complaint, check};
-use harestage_shape::form;
-use harestage_shape::route::{self, Next};
-use harestage_shape::tree::{self, ARCHIVE, Place, PlaceIx, Shape, Versions};
+use harestage_shape::config;
+use harestage_shape::route::{self, NextHop};
+use harestage_shape::topology::{self, ARCHIVE, Node, NodeIndex, Shape, Versions};
+use harestage_shape::validation::{Violation, validate};
 
-fn complaints(form: &form::ShapeForm) -> Vec<String> {
-    tree::take(form).err().unwrap_or_default().iter().map(Complaint::to_string).collect()
+fn complaints(form: &config::ShapeConfig) -> Vec<String> {
+    topology::validated_shape(form).err().unwrap_or_default().iter().map(Violation::to_string).collect()
 }
 
 #[test]
 fn a_sound_shape_is_taken_with_its_loads() {
-    let shape = tree::take(&two_hubs()).unwrap();
-    let loads = check(&shape).unwrap();
+    let shape = topology::validated_shape(&two_hubs()).unwrap();
+    let loads = validate(&shape).unwrap();
     let a = shape.find("a").unwrap();
     // 80 fills over two hubs; each passes 12, half of it to the other.
     assert_eq!(loads.of(a), 46.0);
@@ -78,14 +78,14 @@
     form.hubs[1].capacity = 1.0;
     for n in 0..6 {
         let up = [["a", "b"], ["b", "a"], ["a", "b"]][n % 3];
-        form.hubs.push(form::HubForm { capacity: 1.0, ..hub(&format!("m{n}"), &up[..1 + n % 2]) });
+        form.hubs.push(config::HubConfig { capacity: 1.0, ..hub(&format!("m{n}"), &up[..1 + n % 2]) });
     }
     for n in 0..9 {
         let (one, two) = (format!("m{}", n % 6), format!("m{}", (n * 5 + 1) % 6));
         let ties = if one == two { vec![one.as_str()] } else { vec![one.as_str(), two.as_str()] };
         form.branches.push(branch(&format!("br{n}"), 3.0 + n as f64, &ties));
     }
-    let told = tree::take(&form).unwrap_err();
+    let told = topology::validated_shape(&form).unwrap_err();
     for lost in form.hubs.iter().map(|hub| hub.name.clone()) {
         let mut without = form.clone();
         without.hubs.retain(|hub| hub.name != lost);
@@ -102,11 +102,11 @@
         if !orphans.is_empty() || cut_off > 0.0 {
             continue;
         }
-        let Err(alone) = tree::take(&without) else { panic!("all are overloaded") };
+        let Err(alone) = topology::validated_shape(&without) else { panic!("all are overloaded") };
         for complaint in alone {
-            let Complaint::Overload { place, asked, .. } = complaint else { continue };
+            let Violation::Overload { place, asked, .. } = complaint else { continue };
             let same = told.iter().find_map(|c| match c {
-                Complaint::OverloadAfterLoss { place: p, lost: l, asked, .. }
+                Violation::OverloadAfterLoss { place: p, lost: l, asked, .. }
                     if *p == place && *l == lost =>
                 {
                     Some(*asked)
@@ -115,7 +115,7 @@
             });
             // A place whose load does not differ is told of without a loss only.
             let usual = told.iter().find_map(|c| match c {
-                Complaint::Overload { place: p, asked, .. } if *p == place => Some(*asked),
+                Violation::Overload { place: p, asked, .. } if *p == place => Some(*asked),
                 _ => None,
             });
             let found = same.or(usual).unwrap();
@@ -127,12 +127,12 @@
 #[test]
 fn a_file_is_refused_in_one_line_that_names_file_key_and_value() {
     let whole = serde_json::to_string(&two_hubs()).unwrap();
-    let refused = |text: &str| form::read("fleet.json", text.as_bytes()).unwrap_err().to_string();
+    let refused = |text: &str| config::parse("fleet.json", text.as_bytes()).unwrap_err().to_string();
     for cut in 0..whole.len() {
         let line = refused(&whole[..cut]);
         assert!(line.starts_with("fleet.json: ") && !line.contains('\n'), "{line}");
     }
-    assert_eq!(form::read("fleet.json", whole.as_bytes()).unwrap(), two_hubs());
+    assert_eq!(config::parse("fleet.json", whole.as_bytes()).unwrap(), two_hubs());
     let with = |from: &str, to: &str| refused(&whole.replacen(from, to, 1));
     assert_eq!(with("\"load\":20.0", "\"load\":-1"), "fleet.json: key branches[0].load: -1 is not 0 or more");
     assert!(
@@ -147,7 +147,7 @@
 #[test]
 fn versions_come_once_and_in_order_and_stay_while_they_are_used() {
     let mut versions = Versions::default();
-    let numbered = |n| Shape::of(&form::ShapeForm { version: n, ..two_hubs() }).unwrap();
+    let numbered = |n| Shape::of(&config::ShapeConfig { version: n, ..two_hubs() }).unwrap();
     assert!(versions.enter(numbered(1), at_ms(0)));
     let pinned = versions.pin().unwrap();
     for n in 2..9 {
@@ -166,21 +166,22 @@
     let before = Shape::of(&two_hubs()).unwrap();
     let mut form = two_hubs();
     form.hubs.push(hub("c", &["archive"]));
-    let after = before.followed_by(&form::ShapeForm { version: 2, ..form }).unwrap();
+    let after = before.followed_by(&config::ShapeConfig { version: 2, ..form }).unwrap();
     let c = after.find("c").unwrap();
     let mut moved = 0;
     for object in 0..3_000 {
-        let (old, new) = (route::home(&before, object).unwrap(), route::home(&after, object).unwrap());
+        let (old, new) =
+            (route::preferred_hub(&before, object).unwrap(), route::preferred_hub(&after, object).unwrap());
         moved += u32::from(old != new);
         assert!(old == new || new == c);
         for me in ["a", "b", "c"].map(|name| after.find(name).unwrap()) {
-            let expected = if me == new { Next::Archive } else { Next::Hub(new) };
-            assert_eq!(route::next(&after, me, object, &[]), Some(expected));
-            let other: Vec<PlaceIx> = after.tops().iter().copied().filter(|top| *top != me).collect();
-            assert_eq!(route::next(&after, me, object, &other), Some(Next::Archive));
+            let expected = if me == new { NextHop::Archive } else { NextHop::Hub(new) };
+            assert_eq!(route::next_hop(&after, me, object, &[]), Some(expected));
+            let other: Vec<NodeIndex> = after.tops().iter().copied().filter(|top| *top != me).collect();
+            assert_eq!(route::next_hop(&after, me, object, &other), Some(NextHop::Archive));
         }
     }
     assert!((900..1_100).contains(&moved), "a third: {moved}");
     assert_eq!(before.find("a"), after.find("a"), "indices stay from version to version");
-    assert!(matches!(after.place(c), Some(Place::Hub(_))));
+    assert!(matches!(after.place(c), Some(Node::Hub(_))));
 }
--- a/crates/shape/tests/common/mod.rs
+++ b/crates/shape/tests/common/mod.rs
@@ -1,14 +1,14 @@
 //! Shapes to try things on.
 #![allow(dead_code)]
 use harestage::time::Moment;
-use harestage_shape::form::{ArchiveForm, BranchForm, HubForm, ShapeForm};
+use harestage_shape::config::{ArchiveConfig, BranchConfig, HubConfig, ShapeConfig};
 
 pub fn at_ms(ms: u64) -> Moment {
     Moment::at_micros(ms * 1_000)
 }
 
-pub fn hub(name: &str, up: &[&str]) -> HubForm {
-    HubForm {
+pub fn hub(name: &str, up: &[&str]) -> HubConfig {
+    HubConfig {
         name: name.into(),
         address: "127.0.0.1:1".into(),
         site: String::new(),
@@ -23,9 +23,9 @@
     }
 }
 
-pub fn branch(name: &str, load: f64, hubs: &[&str]) -> BranchForm {
+pub fn branch(name: &str, load: f64, hubs: &[&str]) -> BranchConfig {
     let hubs = hubs.iter().map(|name| name.to_string()).collect();
-    BranchForm {
+    BranchConfig {
         name: name.into(),
         site: String::new(),
         load,
@@ -36,28 +36,28 @@
     }
 }
 
-pub fn shape(hubs: Vec<HubForm>, branches: Vec<BranchForm>) -> ShapeForm {
-    let archive = ArchiveForm {
+pub fn shape(hubs: Vec<HubConfig>, branches: Vec<BranchConfig>) -> ShapeConfig {
+    let archive = ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:2".into(),
         capacity: 100.0,
         stops_at: 2.5,
         stops_within_ms: 3_000,
     };
-    ShapeForm { version: 1, archive, hubs, branches, links: Vec::new() }
+    ShapeConfig { version: 1, archive, hubs, branches, links: Vec::new() }
 }
 
 /// Two hubs at the top that four branches share.
-pub fn two_hubs() -> ShapeForm {
+pub fn two_hubs() -> ShapeConfig {
     let hubs = vec![hub("a", &["archive"]), hub("b", &["archive"])];
     let branches = ["n", "e", "s", "w"].map(|name| branch(name, 20.0, &["a", "b"]));
     shape(hubs, branches.into())
 }
 
 /// The same with a third that has just started, and every branch tied to it instead of `b`.
-pub fn third_hub(since_ms: u64) -> ShapeForm {
+pub fn third_hub(since_ms: u64) -> ShapeConfig {
     let mut form = two_hubs();
-    form.hubs.push(HubForm { since_ms, ..hub("c", &["archive"]) });
+    form.hubs.push(HubConfig { since_ms, ..hub("c", &["archive"]) });
     form.branches.iter_mut().for_each(|branch| branch.hubs = vec!["a".into(), "c".into()]);
     form
 }
--- a/crates/shape/tests/control.rs
+++ b/crates/shape/tests/control.rs
@@ -1,9 +1,9 @@
 //! The service: what it writes down before it does it, and who goes on after a death at any point.
 mod common;
 use common::*;
-use harestage_shape::control::{Control, Effect, Entry, Record, Refused, Report, Said};
-use harestage_shape::form::ShapeForm;
-use harestage_shape::run::Stage;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::control::{ChangeError, ChangeEvent, Control, Effect, Entry, HubReport, Record};
+use harestage_shape::rollout::Transition;
 
 const START: u64 = 1_000_000;
 
@@ -12,7 +12,7 @@
     control: Control,
     journal: Vec<Record>,
     published: Vec<u64>,
-    said: Vec<Said>,
+    said: Vec<ChangeEvent>,
     now: u64,
 }
 
@@ -36,7 +36,8 @@
 
     fn turn(&mut self) {
         self.now += 100;
-        let report = Report { version: self.control.shape().version(), slowness: 1.0, ..Report::default() };
+        let report =
+            HubReport { version: self.control.shape().version(), slowness: 1.0, ..HubReport::default() };
         for hub in ["a", "b", "c"] {
             let (_, effects) = self.control.hear(hub, &report, at_ms(self.now));
             self.carry_out(effects);
@@ -55,15 +56,15 @@
         panic!("the change never ended: {:?}", self.said.last());
     }
 
-    fn apply(&mut self, form: &ShapeForm) -> Result<(), Refused> {
+    fn apply(&mut self, form: &ShapeConfig) -> Result<(), ChangeError> {
         let effects = self.control.apply(form, None, "op", at_ms(self.now))?;
         self.carry_out(effects);
         Ok(())
     }
 }
 
-fn wanted(version: u64) -> ShapeForm {
-    ShapeForm { version, ..third_hub(START) }
+fn wanted(version: u64) -> ShapeConfig {
+    ShapeConfig { version, ..third_hub(START) }
 }
 
 #[test]
@@ -74,7 +75,7 @@
     let version = site.control.shape().version();
     assert_eq!(site.control.shape().form(), wanted(version));
     assert!(site.published.windows(2).all(|two| two[0] < two[1]), "{:?}", site.published);
-    assert_eq!(site.said.last(), Some(&Said::Ended { complete: true, version }));
+    assert_eq!(site.said.last(), Some(&ChangeEvent::Ended { complete: true, version }));
     let again = Site::open(site.journal.clone(), site.now);
     assert_eq!(again.control.shape().form(), wanted(version));
     assert_eq!(again.control.term(), 2);
@@ -91,7 +92,8 @@
     for cut in begun + 1..whole.journal.len() {
         let journal = whole.journal[..cut].to_vec();
         let mut next = Site::open(journal, START + cut as u64 * 1_000);
-        let ended = whole.journal[..cut].iter().any(|r| matches!(r.entry, Entry::Stage(Stage::Ended { .. })));
+        let ended =
+            whole.journal[..cut].iter().any(|r| matches!(r.entry, Entry::Stage(Transition::Ended { .. })));
         assert_eq!(next.control.is_changing(), !ended, "cut at {cut}");
         let told = next.published[0];
         next.run();
@@ -123,11 +125,11 @@
 fn one_change_at_a_time_and_only_from_the_version_that_was_looked_at() {
     let mut site = Site::open(Vec::new(), START);
     let moved = site.control.apply(&third_hub(START), Some(7), "op", at_ms(START)).unwrap_err();
-    assert_eq!(moved, Refused::Moved { expected: 7, is: 1 });
-    assert_eq!(site.apply(&two_hubs()), Err(Refused::Same { version: 1 }));
+    assert_eq!(moved, ChangeError::Moved { expected: 7, is: 1 });
+    assert_eq!(site.apply(&two_hubs()), Err(ChangeError::Same { version: 1 }));
     site.apply(&third_hub(START)).unwrap();
     let second = site.apply(&two_hubs()).unwrap_err();
-    assert!(matches!(&second, Refused::Busy { by, .. } if by == "op"), "{second}");
+    assert!(matches!(&second, ChangeError::Busy { by, .. } if by == "op"), "{second}");
     site.run();
     let mut looped = two_hubs();
     looped.hubs[0].up = vec!["b".into()];
@@ -137,6 +139,6 @@
     site.run();
     assert_eq!(
         site.control.shape().form(),
-        ShapeForm { version: site.control.shape().version(), ..two_hubs() }
+        ShapeConfig { version: site.control.shape().version(), ..two_hubs() }
     );
 }
--- a/crates/shape/tests/knots.rs
+++ b/crates/shape/tests/knots.rs
@@ -1,7 +1,7 @@
 //! Fills that wait for each other, in a network without sockets: hubs that disagree, messages that are late or come
 //! twice, and every circle found once and broken by one.
 use harestage::time::{Moment, Span};
-use harestage_shape::knots::{Act, Chase, Key, Knot, Knots};
+use harestage_shape::wait_cycles::{Action, Chase, Key, WaitCycle, WaitTracker};
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -18,13 +18,13 @@
     seed: u64,
     drawn: u64,
     now: u64,
-    knots: BTreeMap<String, Knots>,
+    knots: BTreeMap<String, WaitTracker>,
     filling: HashMap<(String, Key), String>,
     ups: HashMap<(String, Key), String>,
     /// Per pair of hubs in order, as a connection delivers.
     wires: BTreeMap<(u64, u64), (String, String, Message)>,
     free_at: HashMap<(String, String), u64>,
-    broken: Vec<(u64, Knot)>,
+    broken: Vec<(u64, WaitCycle)>,
     messages: usize,
     doubled: bool,
 }
@@ -35,7 +35,7 @@
             seed,
             drawn: 0,
             now: 0,
-            knots: names.iter().map(|name| (name.to_string(), Knots::new(name))).collect(),
+            knots: names.iter().map(|name| (name.to_string(), WaitTracker::new(name))).collect(),
             filling: HashMap::new(),
             ups: HashMap::new(),
             wires: BTreeMap::new(),
@@ -86,25 +86,25 @@
             self.send(hub, up, Message::Pull(key, own));
         }
         // The pull itself carries the path on, so that only what the path closes has to be acted on here.
-        if matches!(act, Some(Act::Leave { .. })) {
+        if matches!(act, Some(Action::Leave { .. })) {
             self.act(hub, act);
         }
     }
 
-    fn act(&mut self, hub: &str, act: Option<Act>) {
+    fn act(&mut self, hub: &str, act: Option<Action>) {
         match act {
-            Some(Act::Send { to, chase }) => {
+            Some(Action::Send { to, chase }) => {
                 if self.doubled {
                     self.send(hub, &to, Message::Chase(chase.clone()));
                 }
                 self.send(hub, &to, Message::Chase(chase));
             }
-            Some(Act::Leave { knot }) => {
+            Some(Action::Leave { knot }) => {
                 let key = knot.key;
                 self.broken.push((self.now, knot));
                 self.fill(hub, key, "archive", Vec::new());
             }
-            Some(Act::TooLong { .. }) => panic!("no path here is long"),
+            Some(Action::TooLong { .. }) => panic!("no path here is long"),
             None => {}
         }
     }
@@ -196,7 +196,7 @@
         net.ups.insert(("a".into(), key), "b".into());
         net.ups.insert(("b".into(), key), "c".into());
     }
-    net.knots.insert("far".into(), Knots::new("far"));
+    net.knots.insert("far".into(), WaitTracker::new("far"));
     net.ups.insert(("far".into(), KEY), "a".into());
     for key in [KEY, (8, 0), (7, 1)] {
         ["far", "a", "b", "c"].into_iter().for_each(|name| net.asked(name, key, Vec::new()));
@@ -230,20 +230,20 @@
 #[test]
 fn a_hub_behind_two_names_is_one_hub() {
     let (now, key) = (Moment::at_micros(0), KEY);
-    let mut a = Knots::new("a");
+    let mut a = WaitTracker::new("a");
     a.known_as("x", "b");
     a.waits(key, Some("x"), now);
-    let Some(Act::Send { to, chase }) = a.joined(key, &["b".into()], now) else { panic!() };
+    let Some(Action::Send { to, chase }) = a.joined(key, &["b".into()], now) else { panic!() };
     assert_eq!((to.as_str(), chase.path.clone()), ("x", vec!["b".into(), "a".into()]));
-    let mut b = Knots::new("b");
+    let mut b = WaitTracker::new("b");
     b.waits(key, Some("a"), now);
-    let Some(Act::Leave { knot }) = b.chased(chase, now + Span::millis(9)) else { panic!() };
+    let Some(Action::Leave { knot }) = b.chased(chase, now + Span::millis(9)) else { panic!() };
     assert_eq!((knot.path, knot.waited), (vec!["b".to_string(), "a".to_string()], Span::millis(9)));
     // A hub that waits for itself under its other name.
-    let mut b = Knots::new("b");
+    let mut b = WaitTracker::new("b");
     b.known_as("x", "b");
     b.waits(key, Some("x"), now);
-    let Some(Act::Leave { knot }) = b.joined(key, &["b".into()], now) else { panic!() };
+    let Some(Action::Leave { knot }) = b.joined(key, &["b".into()], now) else { panic!() };
     assert_eq!(knot.path, ["b"]);
 }
 
@@ -251,7 +251,7 @@
 #[test]
 fn a_circle_that_is_over_breaks_nothing() {
     let (now, key) = (Moment::at_micros(0), KEY);
-    let mut c = Knots::new("c");
+    let mut c = WaitTracker::new("c");
     c.waits(key, Some("a"), now);
     c.waits(key, Some("d"), now);
     let late = Chase { key, path: vec!["c".into(), "a".into(), "b".into()], closed: false };
@@ -265,7 +265,7 @@
 /// A chase lost with its connection is sent again.
 #[test]
 fn what_still_waits_is_chased_again() {
-    let mut a = Knots::new("a");
+    let mut a = WaitTracker::new("a");
     a.waits(KEY, Some("b"), Moment::at_micros(0));
     assert!(a.beat(Moment::at_micros(900_000)).is_empty(), "nobody waits for it");
     a.joined(KEY, &["c".into()], Moment::at_micros(0));
--- a/crates/shape/tests/plans.rs
+++ b/crates/shape/tests/plans.rs
@@ -2,10 +2,10 @@
 mod common;
 use common::*;
 use harestage::time::Span;
-use harestage_shape::check;
-use harestage_shape::plan::{NoPlan, Plan, plan};
-use harestage_shape::run::{Heard, Hold, Runner, Stage, Turn, View};
-use harestage_shape::tree::{Shape, take, warmth};
+use harestage_shape::plan::{Plan, PlanError, plan_change};
+use harestage_shape::rollout::{Decision, HealthView, HoldReason, MemberHealth, Rollout, Transition};
+use harestage_shape::topology::{Shape, validated_shape, warm_fraction};
+use harestage_shape::validation;
 use std::collections::BTreeMap;
 
 const START: u64 = 1_000_000;
@@ -17,22 +17,22 @@
 
 #[test]
 fn a_fresh_hub_is_never_asked_for_more_than_it_can_do() {
-    let from = take(&two_hubs()).unwrap();
+    let from = validated_shape(&two_hubs()).unwrap();
     let to = third_hub(START);
-    let plan = plan(&from, &to, at_ms(START)).unwrap();
+    let plan = plan_change(&from, &to, at_ms(START)).unwrap();
     assert!(plan.steps.len() > 4, "{:#?}", plan.steps);
     let mut last = from.clone();
     for (shape, step) in walk(&from, &plan).iter().zip(&plan.steps) {
-        assert!(check::loops(shape).is_empty());
+        assert!(validation::cycles(shape).is_empty());
         let at = shape.find("c").unwrap();
         let hub = shape.place(at).unwrap().hub().unwrap();
         let age = Span::millis(step.needs.iter().find(|need| need.hub == "c").map_or(0, |need| need.age_ms));
-        let asked = check::loads(shape).unwrap().of(at);
-        assert!(asked <= hub.capacity * warmth(hub, age) * 0.75 + 1e-6, "{asked} at {age:?}");
+        let asked = validation::loads(shape).unwrap().of(at);
+        assert!(asked <= hub.capacity * warm_fraction(hub, age) * 0.75 + 1e-6, "{asked} at {age:?}");
         assert!(step.moved <= 0.1 + 1e-9 || step.moves.len() == 1, "{step:?}");
         last = shape.clone();
     }
-    let mut wanted = take(&to).unwrap().form();
+    let mut wanted = validated_shape(&to).unwrap().form();
     wanted.version = last.version();
     assert_eq!(last.form(), wanted, "the last step is the shape that was asked for");
 }
@@ -40,14 +40,14 @@
 /// A place's ties grow before they shrink, so that an object moves once at most.
 #[test]
 fn an_object_moves_once_at_most_for_each_branch() {
-    let from = take(&two_hubs()).unwrap();
-    let plan = plan(&from, &third_hub(START), at_ms(START + 60_000)).unwrap();
+    let from = validated_shape(&two_hubs()).unwrap();
+    let plan = plan_change(&from, &third_hub(START), at_ms(START + 60_000)).unwrap();
     let shapes = walk(&from, &plan);
     let branch = from.find("n").unwrap();
     for object in 0..500 {
         let hub = |shape: &Shape| {
             let ties = shape.ties(branch).iter().copied();
-            shape.name(harestage_shape::route::first(shape, ties, object).unwrap()).to_string()
+            shape.name(harestage_shape::route::highest_weight(shape, ties, object).unwrap()).to_string()
         };
         let mut homes: Vec<String> = std::iter::once(&from).chain(&shapes).map(hub).collect();
         homes.dedup();
@@ -61,12 +61,12 @@
     let mut form = two_hubs();
     form.hubs.extend([hub("m", &["a"]), hub("k", &["m"])]);
     form.branches.push(branch("far", 5.0, &["k", "m"]));
-    let from = take(&form).unwrap();
+    let from = validated_shape(&form).unwrap();
     form.hubs[2].up = vec!["k".into()];
     form.hubs[3].up = vec!["a".into()];
-    let plan = plan(&from, &form, at_ms(START)).unwrap();
+    let plan = plan_change(&from, &form, at_ms(START)).unwrap();
     for shape in walk(&from, &plan) {
-        assert!(check::loops(&shape).is_empty());
+        assert!(validation::cycles(&shape).is_empty());
     }
 }
 
@@ -74,42 +74,43 @@
 fn what_can_never_be_carried_is_no_plan() {
     let mut to = third_hub(0);
     to.hubs[2].capacity = 10.0;
-    let told = plan(&take(&two_hubs()).unwrap(), &to, at_ms(START)).unwrap_err();
-    assert!(matches!(told, NoPlan::Wrong(_)), "{told}");
+    let told = plan_change(&validated_shape(&two_hubs()).unwrap(), &to, at_ms(START)).unwrap_err();
+    assert!(matches!(told, PlanError::Wrong(_)), "{told}");
 }
 
 struct Watch {
-    members: BTreeMap<String, Heard>,
+    members: BTreeMap<String, MemberHealth>,
     ages: BTreeMap<String, Span>,
 }
 
 impl Watch {
     fn new() -> Watch {
-        let heard = |name: &str| (name.to_string(), Heard { slowness: 1.0, ..Heard::default() });
+        let heard =
+            |name: &str| (name.to_string(), MemberHealth { slowness: 1.0, ..MemberHealth::default() });
         Watch { members: ["a", "b", "c"].map(heard).into(), ages: BTreeMap::new() }
     }
     fn see(&mut self, version: u64, ms: u64) {
         self.members.values_mut().for_each(|heard| (heard.version, heard.at) = (version, at_ms(ms)));
         self.ages.insert("c".into(), Span::millis(ms - START));
     }
-    fn view(&self) -> View<'_> {
-        View { members: &self.members, stopping: 250.0, ages: &self.ages }
+    fn view(&self) -> HealthView<'_> {
+        HealthView { members: &self.members, stopping: 250.0, ages: &self.ages }
     }
 }
 
 /// Turns a runner every 50 ms, as the service does; members follow at once unless `see` says otherwise.
 fn run(
-    runner: &mut Runner,
+    runner: &mut Rollout,
     watch: &mut Watch,
     from: u64,
     to: u64,
     see: impl Fn(&mut Watch, u64, u64),
-) -> Vec<Stage> {
+) -> Vec<Transition> {
     let mut stages = Vec::new();
     for ms in (from..to).step_by(50) {
         see(watch, runner.version(), ms);
         runner.look(&watch.view(), at_ms(ms));
-        if let Turn::Do(stage) = runner.turn(&watch.view(), at_ms(ms)) {
+        if let Decision::Do(stage) = runner.turn(&watch.view(), at_ms(ms)) {
             runner.enter(&stage, at_ms(ms));
             stages.push(stage);
         }
@@ -117,9 +118,9 @@
     stages
 }
 
-fn runner() -> Runner {
-    let from = take(&two_hubs()).unwrap();
-    Runner::begin(plan(&from, &third_hub(START), at_ms(START)).unwrap(), 1, at_ms(START))
+fn runner() -> Rollout {
+    let from = validated_shape(&two_hubs()).unwrap();
+    Rollout::begin(plan_change(&from, &third_hub(START), at_ms(START)).unwrap(), 1, at_ms(START))
 }
 
 #[test]
@@ -129,8 +130,8 @@
     let mut out = Vec::new();
     for ms in (START..START + 60_000).step_by(50) {
         watch.see(runner.version(), ms);
-        if let Turn::Do(stage) = runner.turn(&watch.view(), at_ms(ms)) {
-            if let Stage::Out { step, .. } = stage {
+        if let Decision::Do(stage) = runner.turn(&watch.view(), at_ms(ms)) {
+            if let Transition::Out { step, .. } = stage {
                 for need in &steps[step - 1].needs {
                     assert!(ms - START >= need.age_ms, "step {step} at {ms}, {need:?}");
                 }
@@ -152,11 +153,11 @@
         let slow = (slow_from..slow_from + 1_500).contains(&ms);
         watch.members.get_mut("c").unwrap().slowness = if slow { 20.0 } else { 1.0 };
     });
-    let undone = stages.iter().filter(|stage| matches!(stage, Stage::Undone { .. })).count();
+    let undone = stages.iter().filter(|stage| matches!(stage, Transition::Undone { .. })).count();
     assert_eq!(undone, 1, "{stages:?}");
-    assert_eq!(stages.last(), Some(&Stage::Ended { complete: true }));
+    assert_eq!(stages.last(), Some(&Transition::Ended { complete: true }));
     let versions = stages.iter().filter_map(|stage| match stage {
-        Stage::Out { version, .. } | Stage::Undone { version, .. } => Some(*version),
+        Transition::Out { version, .. } | Transition::Undone { version, .. } => Some(*version),
         _ => None,
     });
     let versions: Vec<u64> = versions.collect();
@@ -172,14 +173,14 @@
     });
     assert!(stages.is_empty(), "{stages:?}");
     let busy = runner.turn(&watch.view(), at_ms(START + 8_000));
-    assert!(matches!(busy, Turn::Hold(Hold::ArchiveBusy { .. })), "{busy:?}");
+    assert!(matches!(busy, Decision::Hold(HoldReason::ArchiveBusy { .. })), "{busy:?}");
     let stages = run(&mut runner, &mut watch, START + 8_000, START + 60_000, |watch, version, ms| {
         watch.see(version, ms);
         let fetches = if version > 1 { 0.9 * 250.0 } else { 1.0 };
         watch.members.get_mut("a").unwrap().fetches = fetches;
     });
     // The undone step brings a version of its own, so that the trouble stays, and the change is given up.
-    assert!(matches!(stages[1], Stage::Undone { .. }), "{stages:?}");
+    assert!(matches!(stages[1], Transition::Undone { .. }), "{stages:?}");
 }
 
 #[test]
@@ -199,7 +200,7 @@
         fetching.for_each(|heard| (heard.fetches, heard.archive_slowness) = (1.0, 4.0));
     });
     let held = runner.turn(&watch.view(), at_ms(START + 4_000));
-    assert!(stages.is_empty() && matches!(held, Turn::Hold(Hold::ArchiveSlow { .. })), "{held:?}");
+    assert!(stages.is_empty() && matches!(held, Decision::Hold(HoldReason::ArchiveSlow { .. })), "{held:?}");
 }
 
 #[test]
@@ -210,13 +211,14 @@
         watch.members.get_mut("c").unwrap().version = 1;
     });
     assert!(
-        stages.iter().any(|stage| matches!(stage, Stage::Undone { why, .. } if why.contains('c'))),
+        stages.iter().any(|stage| matches!(stage, Transition::Undone { why, .. } if why.contains('c'))),
         "{stages:?}"
     );
     let (mut runner, mut watch) = (self::runner(), Watch::new());
     let stages = run(&mut runner, &mut watch, START, START + 90_000, |watch, version, ms| {
         watch.see(version, ms);
-        *watch.members.get_mut("b").unwrap() = Heard { at: at_ms(START - 9_000), ..Heard::default() };
+        *watch.members.get_mut("b").unwrap() =
+            MemberHealth { at: at_ms(START - 9_000), ..MemberHealth::default() };
     });
-    assert_eq!(stages.last(), Some(&Stage::Ended { complete: true }));
+    assert_eq!(stages.last(), Some(&Transition::Ended { complete: true }));
 }
--- a/crates/shape/tests/shares.rs
+++ b/crates/shape/tests/shares.rs
@@ -2,10 +2,12 @@
 mod common;
 use common::*;
 use harestage::time::{Moment, Span};
-use harestage_shape::form::ShapeForm;
-use harestage_shape::parts::{Part, Share, Sharing, TERM};
-use harestage_shape::shield::{HANDOVER, Reply, Right, Shield, TERM as RIGHT_TERM};
-use harestage_shape::tree::{Shape, Versions};
+use harestage_shape::archive_share::{RateShare, SHARE_TERM, ShareAllocator, ShareLimiter};
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::fetch_rights::{
+    CESSION_TERM as RIGHT_TERM, FetchRight, FetchRights, HANDOVER_WINDOW, HandoverReply,
+};
+use harestage_shape::topology::{Shape, Versions};
 use quickcheck::{Gen, QuickCheck};
 
 /// Hubs come, go, die and lose answers as chance has it; the sum of what they may use stays under the whole at every
@@ -13,14 +15,14 @@
 #[test]
 fn old_and_new_parts_never_add_up_to_more_than_the_whole() {
     fn holds(events: Vec<(u8, u16, u8)>) -> bool {
-        let mut sharing = Sharing::new(250.0);
-        let mut hubs: Vec<(Share, Option<(Part, Moment)>)> = Vec::new();
+        let mut sharing = ShareAllocator::new(250.0);
+        let mut hubs: Vec<(ShareLimiter, Option<(RateShare, Moment)>)> = Vec::new();
         let mut now = at_ms(1_000);
         for (what, wants, which) in events {
             now = now + Span::millis(u64::from(what) * 3);
             let at = usize::from(which) % 6;
             while hubs.len() <= at {
-                hubs.push((Share::new(now), None));
+                hubs.push((ShareLimiter::new(now), None));
             }
             let (share, in_use) = &mut hubs[at];
             (0..wants % 50).for_each(|_| {
@@ -31,7 +33,7 @@
             // One answer in four is lost.
             if what % 4 != 0 {
                 share.told(part, now, now + Span::millis(2));
-                *in_use = Some((part, now + TERM));
+                *in_use = Some((part, now + SHARE_TERM));
             }
             let sum: f64 = hubs.iter().filter_map(|(_, u)| *u).filter(|u| u.1 > now).map(|u| u.0.rate).sum();
             if sum > sharing.whole() + 1e-6 || sharing.given_out(now) > sharing.whole() + 1e-6 {
@@ -48,7 +50,7 @@
 
 #[test]
 fn a_hub_that_comes_gets_room_as_others_let_go_and_keeps_its_floor_when_cut_off() {
-    let mut sharing = Sharing::new(250.0);
+    let mut sharing = ShareAllocator::new(250.0);
     let mut taken = [0, 0];
     for round in 0..40u64 {
         let now = at_ms(round * 250);
@@ -60,10 +62,10 @@
     let part = sharing.ask("b", 1_000.0, taken[1], 0.0, 2, at_ms(10_000));
     assert!((part.rate - 75.0).abs() < 1e-6, "{part:?}");
     let now = at_ms(10_000);
-    let mut share = Share::new(now);
+    let mut share = ShareLimiter::new(now);
     share.told(part, now, now);
     let begun =
-        |share: &mut Share, from: u64| (0..1_000u64).filter(|ms| share.lets(at_ms(from + ms))).count();
+        |share: &mut ShareLimiter, from: u64| (0..1_000u64).filter(|ms| share.lets(at_ms(from + ms))).count();
     assert!((70..=95).contains(&begun(&mut share, 10_000)));
     begun(&mut share, 11_000);
     let alone = begun(&mut share, 13_000);
@@ -76,7 +78,7 @@
 /// Whoever takes the service over does not know what was given out.
 #[test]
 fn a_new_service_waits_until_its_forerunners_parts_have_ended() {
-    let mut sharing = Sharing::new(250.0);
+    let mut sharing = ShareAllocator::new(250.0);
     sharing.begin_after(at_ms(0));
     assert!(sharing.ask("c", 100.0, 0, 0.0, 3, at_ms(100)).rate < 1e-6);
     assert!(sharing.ask("c", 100.0, 0, 0.0, 3, at_ms(2_100)).rate > 49.0);
@@ -84,8 +86,8 @@
 
 #[test]
 fn an_older_part_that_comes_late_is_passed_over() {
-    let mut share = Share::new(at_ms(0));
-    let part = |rate, number| Part { rate, floor: 1.0, number };
+    let mut share = ShareLimiter::new(at_ms(0));
+    let part = |rate, number| RateShare { rate, floor: 1.0, number };
     share.told(part(5.0, 2), at_ms(0), at_ms(0));
     share.told(part(500.0, 1), at_ms(0), at_ms(1));
     let begun = (0..1_000u64).filter(|ms| share.lets(at_ms(*ms))).count();
@@ -94,11 +96,11 @@
 
 fn moved_home() -> (Versions, u64) {
     let before = Shape::of(&two_hubs()).unwrap();
-    let mut form = ShapeForm { version: 2, ..two_hubs() };
+    let mut form = ShapeConfig { version: 2, ..two_hubs() };
     form.hubs.push(hub("c", &["archive"]));
     let after = before.followed_by(&form).unwrap();
     let c = after.find("c").unwrap();
-    let object = (0..).find(|o| harestage_shape::route::home(&after, *o) == Some(c)).unwrap();
+    let object = (0..).find(|o| harestage_shape::route::preferred_hub(&after, *o) == Some(c)).unwrap();
     let mut versions = Versions::default();
     assert!(versions.enter(before, at_ms(0)) && versions.enter(after, at_ms(1_000)));
     (versions, object)
@@ -110,39 +112,41 @@
     let (key, now) = ((object, 0), at_ms(1_100));
     let newest = versions.newest().unwrap();
     let c = newest.find("c").unwrap();
-    let old = harestage_shape::route::home(versions.lately(now, HANDOVER).next().unwrap(), object).unwrap();
-    let (mut old_shield, new_shield) = (Shield::default(), Shield::default());
-    assert_eq!(new_shield.right(&versions, c, key, &[], &[], now), Right::Ask(old));
-    assert_eq!(old_shield.asked(key, "c", true, false, now), Reply::Held);
-    assert_eq!(old_shield.asked(key, "c", false, true, now), Reply::UnderWay);
-    let Reply::Ceded { until } = old_shield.asked(key, "c", false, false, now) else { panic!() };
-    assert_eq!(new_shield.right(&versions, c, key, &[old], &[], now), Right::Own);
-    assert_eq!(old_shield.right(&versions, old, key, &[], &[], now), Right::Ceded { until });
+    let old =
+        harestage_shape::route::preferred_hub(versions.lately(now, HANDOVER_WINDOW).next().unwrap(), object)
+            .unwrap();
+    let (mut old_shield, new_shield) = (FetchRights::default(), FetchRights::default());
+    assert_eq!(new_shield.right(&versions, c, key, &[], &[], now), FetchRight::Ask(old));
+    assert_eq!(old_shield.asked(key, "c", true, false, now), HandoverReply::Held);
+    assert_eq!(old_shield.asked(key, "c", false, true, now), HandoverReply::UnderWay);
+    let HandoverReply::Ceded { until } = old_shield.asked(key, "c", false, false, now) else { panic!() };
+    assert_eq!(new_shield.right(&versions, c, key, &[old], &[], now), FetchRight::Own);
+    assert_eq!(old_shield.right(&versions, old, key, &[], &[], now), FetchRight::Ceded { until });
     assert_eq!(
         old_shield.asked(key, "d", false, false, now),
-        Reply::Elsewhere { until },
+        HandoverReply::Elsewhere { until },
         "one holder at a time"
     );
     assert_eq!(
         old_shield.asked(key, "c", false, false, now),
-        Reply::Ceded { until },
+        HandoverReply::Ceded { until },
         "asked again after a break"
     );
     assert_eq!(old_shield.holder(key, now), Some("c"));
     // The holder died: the right comes back by itself.
     let later = until + Span::millis(1);
-    assert_ne!(old_shield.right(&versions, old, key, &[c], &[], later), Right::Ceded { until });
+    assert_ne!(old_shield.right(&versions, old, key, &[c], &[], later), FetchRight::Ceded { until });
     assert_eq!(until.since(now), RIGHT_TERM);
     assert_eq!(
-        new_shield.right(&versions, c, key, &[], &[], at_ms(1_000) + HANDOVER),
-        Right::Own,
+        new_shield.right(&versions, c, key, &[], &[], at_ms(1_000) + HANDOVER_WINDOW),
+        FetchRight::Own,
         "long after"
     );
 }
 
 #[test]
 fn rights_given_away_are_bounded() {
-    let mut shield = Shield::default();
+    let mut shield = FetchRights::default();
     for n in 0..200_000u64 {
         shield.asked((n, 0), "c", false, false, at_ms(n / 100));
     }
@@ -155,8 +159,9 @@
 /// having counted further than the new one.
 #[test]
 fn a_service_that_takes_over_leaves_hubs_what_they_hold() {
-    let (mut old, mut hubs) = (Sharing::new(250.0), [Share::new(at_ms(0)), Share::new(at_ms(0))]);
-    let round = |sharing: &mut Sharing, hubs: &mut [Share; 2], now: Moment| {
+    let (mut old, mut hubs) =
+        (ShareAllocator::new(250.0), [ShareLimiter::new(at_ms(0)), ShareLimiter::new(at_ms(0))]);
+    let round = |sharing: &mut ShareAllocator, hubs: &mut [ShareLimiter; 2], now: Moment| {
         for (n, share) in hubs.iter_mut().enumerate() {
             (0..30).for_each(|_| {
                 share.lets(now);
@@ -169,7 +174,7 @@
     (0..400).for_each(|n| round(&mut old, &mut hubs, at_ms(n * 200)));
     let held: Vec<f64> = hubs.iter().map(|share| share.holds(at_ms(80_000))).collect();
     assert!(held.iter().all(|rate| *rate > 50.0), "{held:?}");
-    let (mut new, from) = (Sharing::new(250.0), 80_800);
+    let (mut new, from) = (ShareAllocator::new(250.0), 80_800);
     new.begin_after(at_ms(from));
     for n in 0..20 {
         let now = at_ms(from + n * 200);
@@ -186,13 +191,13 @@
 /// A third hub that says nothing may hold the rest of it, until the forerunner's term has ended.
 #[test]
 fn what_nobody_speaks_for_is_not_given_out_twice() {
-    let mut sharing = Sharing::new(250.0);
+    let mut sharing = ShareAllocator::new(250.0);
     sharing.begin_after(at_ms(0));
     let one = sharing.ask("a", 1_000.0, 40, 60.0, 3, at_ms(100));
     assert!((one.rate - 60.0).abs() < 1e-6 && one.number > 40, "{one:?}");
     let other = sharing.ask("b", 1_000.0, 0, 0.0, 3, at_ms(100));
     assert_eq!(other.rate, 0.0, "it holds nothing, and the rest may be in use");
-    let later = at_ms(100) + TERM + TERM;
+    let later = at_ms(100) + SHARE_TERM + SHARE_TERM;
     let all = sharing.ask("a", 1_000.0, one.number, 60.0, 3, later);
     assert!(all.rate > 70.0, "{all:?}");
 }
--- a/crates/sites/src/direct.rs
+++ b/crates/sites/src/controller.rs
@@ -1,17 +1,19 @@
 //! The control service's state machine with its sites: evidence in, and versions that leave a lost site out, at once and by
 //! the plan that was made beforehand, or bring one back in the steps of an ordinary change. Like [`Control`], it does no
 //! input or output: effects come back in their order, a record before all that follows from it.
-use crate::plan::{self, Plans, SitePlan};
-use crate::sight::Sighting;
-use crate::standby;
-use crate::standing::{Ask, Standing, Standings, Step, Turned};
-use crate::watch::{Kind, View, Watch};
+use crate::failure_detector::{FailureDetector, SiteView, WitnessKind};
+use crate::fallback;
+use crate::liveness::SiteObservation;
+use crate::plan::{self, SitePlan, SitePlans};
+use crate::site_state::{ShapeStep, SiteCommand, SiteState, SiteStates, StateChange};
 use harestage::time::{Moment, Span};
-use harestage_shape::control::{Control, Effect, Entry, Record, Refused, Report, Said, SitesRecord, Status};
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines::Planned;
-use harestage_shape::parts::Part;
-use harestage_shape::tree::Shape;
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::control::{
+    ChangeError, ChangeEvent, Control, Effect, Entry, HubReport, Record, SitesRecord, Status,
+};
+use harestage_shape::messages::FallbackPlan;
+use harestage_shape::topology::Shape;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,8 +28,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SiteStatus {
     pub site: String,
-    pub view: View,
-    pub standing: Standing,
+    pub view: SiteView,
+    pub standing: SiteState,
     pub hubs: usize,
     /// Witnesses at the site that have a word now.
     pub witnesses: usize,
@@ -41,11 +43,11 @@
 }
 
 /// The whole of it.
-pub struct Director {
+pub struct SiteController {
     control: Control,
-    watch: Watch,
-    standings: Standings,
-    plans: Plans,
+    watch: FailureDetector,
+    standings: SiteStates,
+    plans: SitePlans,
     /// The shape that operators want, with no site left out.
     wanted: Shape,
     /// When a hub of each site was last heard, by the service itself.
@@ -57,13 +59,13 @@
     handed: Vec<SitePlan>,
 }
 
-impl Director {
+impl SiteController {
     /// Takes the service up from its journal. What comes back first is the record of the new term.
     pub fn open(
         journal: &[Record],
-        first: Option<&ShapeForm>,
+        first: Option<&ShapeConfig>,
         now: Moment,
-    ) -> Result<(Director, Vec<Effect>), Refused> {
+    ) -> Result<(SiteController, Vec<Effect>), ChangeError> {
         let (control, effects) = Control::open(journal, first, now)?;
         let kept = journal.iter().rev().find_map(|record| match &record.entry {
             Entry::Sites(kept) => Some(kept.as_ref().clone()),
@@ -74,23 +76,32 @@
         let wanted = kept.wanted.as_ref().and_then(|form| control.shape().followed_by(form).ok());
         let wanted = wanted.unwrap_or_else(|| control.shape().clone());
         let names: Vec<String> = sites_of(&wanted);
-        let mut standings = Standings::default();
+        let mut standings = SiteStates::default();
         standings.set_sites(names.iter().map(String::as_str));
         for (site, to) in kept.standings {
             // Its steps go on in the change that was under way; if there is none, they have ended where they stood.
             let to = match to {
-                Standing::Returning if !control.is_changing() => Standing::Held,
-                Standing::Leaving if !control.is_changing() => Standing::InService,
+                SiteState::Returning if !control.is_changing() => SiteState::Held,
+                SiteState::Leaving if !control.is_changing() => SiteState::InService,
                 other => other,
             };
-            standings.enter(&Turned { site, to, why: String::new() }, now);
+            standings.enter(&StateChange { site, to, why: String::new() }, now);
         }
-        let plans = Plans::of(&wanted, None, true, now);
-        let mut watch = Watch::new(names.iter().map(String::as_str), now);
+        let plans = SitePlans::of(&wanted, None, true, now);
+        let mut watch = FailureDetector::new(names.iter().map(String::as_str), now);
         watch.recall(&losses, now);
         let (heard, since_ms, handed) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-        let mut director =
-            Director { control, watch, standings, plans, wanted, heard, last_beat: now, since_ms, handed };
+        let mut director = SiteController {
+            control,
+            watch,
+            standings,
+            plans,
+            wanted,
+            heard,
+            last_beat: now,
+            since_ms,
+            handed,
+        };
         director.hand_plans(now);
         Ok((director, effects))
     }
@@ -99,17 +110,17 @@
         &self.control
     }
 
-    pub fn plans(&self) -> &Plans {
+    pub fn plans(&self) -> &SitePlans {
         &self.plans
     }
 
-    pub fn standing(&self, site: &str) -> Option<&Standing> {
+    pub fn standing(&self, site: &str) -> Option<&SiteState> {
         self.standings.of(site)
     }
 
     /// The plans for a place, to be handed to it with the version in service.
-    pub fn handed(&self, place: &str) -> Vec<Planned> {
-        standby::for_place(place, self.handed.iter())
+    pub fn handed(&self, place: &str) -> Vec<FallbackPlan> {
+        fallback::plans_for_node(place, self.handed.iter())
     }
 
     /// A plan that is handed out leaves out also those that are out already, whatever it is that is lost.
@@ -117,16 +128,16 @@
         let out = self.standings.out();
         self.handed = match out.is_empty() {
             true => self.plans.all().cloned().collect(),
-            false => plan::beside(&self.wanted, &out, now),
+            false => plan::plans_with_sites_out(&self.wanted, &out, now),
         };
     }
 
     /// A hub has reported; it gets its part of the archive.
-    pub fn hear(&mut self, hub: &str, report: &Report, now: Moment) -> (Option<Part>, Vec<Effect>) {
+    pub fn hear(&mut self, hub: &str, report: &HubReport, now: Moment) -> (Option<RateShare>, Vec<Effect>) {
         if !report.site.is_empty() && (self.heard.len() < MOST_SITES || self.heard.contains_key(&report.site))
         {
             self.heard.insert(report.site.clone(), now);
-            self.watch.hear(hub, &report.site, Kind::Hub, report.sightings.clone(), now);
+            self.watch.hear(hub, &report.site, WitnessKind::Hub, report.sightings.clone(), now);
         }
         self.control.hear(hub, report, now)
     }
@@ -138,12 +149,12 @@
         let ended = self.follow_the_change(&effects, now);
         effects.extend(ended);
         for change in self.watch.beat(now) {
-            effects.push(Effect::Say(Said::Seen {
+            effects.push(Effect::Say(ChangeEvent::Seen {
                 site: change.site.clone(),
-                view: words(&change.to),
+                view: view_label(&change.to),
                 seen_ms: change.seen_for.as_micros() / 1_000,
             }));
-            if change.from == View::Lost {
+            if change.from == SiteView::Lost {
                 self.since_ms.insert(change.site.clone(), now.micros() / 1_000);
             }
             if let Some((turned, step)) = self.standings.seen(&change) {
@@ -170,7 +181,7 @@
         if site.is_empty() {
             return;
         }
-        let sighting = |(other, heard): (&String, &Moment)| Sighting {
+        let sighting = |(other, heard): (&String, &Moment)| SiteObservation {
             site: other.clone(),
             unanswered: (now.since(*heard) / REPORT_MISSED) as u32,
             known: true,
@@ -178,13 +189,13 @@
             leaving: false,
         };
         let sightings = self.heard.iter().filter(|(other, _)| *other != site).map(sighting).collect();
-        self.watch.hear(name, site, Kind::Service, sightings, now);
+        self.watch.hear(name, site, WitnessKind::Service, sightings, now);
     }
 
     /// A change that has come to its end was some site's steps, perhaps.
     fn follow_the_change(&mut self, said: &[Effect], now: Moment) -> Vec<Effect> {
         let ended = said.iter().find_map(|effect| match effect {
-            Effect::Say(Said::Ended { complete, .. }) => Some(*complete),
+            Effect::Say(ChangeEvent::Ended { complete, .. }) => Some(*complete),
             _ => None,
         });
         let Some(complete) = ended else { return Vec::new() };
@@ -196,15 +207,15 @@
     }
 
     /// Writes a standing down, says it, and does what follows.
-    fn turn(&mut self, turned: Turned, step: Option<Step>, now: Moment) -> Vec<Effect> {
+    fn turn(&mut self, turned: StateChange, step: Option<ShapeStep>, now: Moment) -> Vec<Effect> {
         self.standings.enter(&turned, now);
         self.hand_plans(now);
-        let said = Said::Site { site: turned.site.clone(), is: turned.to, why: turned.why.clone() };
+        let said = ChangeEvent::Site { site: turned.site.clone(), is: turned.to, why: turned.why.clone() };
         let mut effects = vec![self.sites_record(), Effect::Say(said)];
         match step {
             None => {}
-            Some(Step::Without(out)) => effects.extend(self.leave_out(&out, now)),
-            Some(Step::Towards { out, site }) => effects.extend(self.go_towards(&out, &site, now)),
+            Some(ShapeStep::Without(out)) => effects.extend(self.leave_out(&out, now)),
+            Some(ShapeStep::Towards { out, site }) => effects.extend(self.go_towards(&out, &site, now)),
         }
         effects
     }
@@ -219,7 +230,7 @@
     fn plan_for(&self, out: &BTreeSet<String>, now: Moment) -> SitePlan {
         let known =
             self.plans.get(out).filter(|plan| self.plans.version == self.wanted.version() && !plan.all_lost);
-        known.cloned().unwrap_or_else(|| plan::plan(&self.wanted, out, now))
+        known.cloned().unwrap_or_else(|| plan::plan_loss(&self.wanted, out, now))
     }
 
     /// At once.
@@ -252,7 +263,7 @@
         }
         match self.control.apply(&form, None, &format!("site {site}"), now) {
             Ok(effects) => effects,
-            Err(Refused::Same { .. }) => self.end_steps(true, now),
+            Err(ChangeError::Same { .. }) => self.end_steps(true, now),
             Err(_) => self.end_steps(false, now),
         }
     }
@@ -267,30 +278,36 @@
     /// Begins a change that an operator wants. Sites that are out stay out: it goes towards the wanted shape without them.
     pub fn apply(
         &mut self,
-        form: &ShapeForm,
+        form: &ShapeConfig,
         expect: Option<u64>,
         by: &str,
         now: Moment,
-    ) -> Result<Vec<Effect>, Refused> {
+    ) -> Result<Vec<Effect>, ChangeError> {
         let out = self.standings.out();
-        let wanted = self.wanted.followed_by(form).map_err(Refused::Wrong)?;
+        let wanted = self.wanted.followed_by(form).map_err(ChangeError::Wrong)?;
         let target = match out.is_empty() {
             true => form.clone(),
-            false => plan::plan(&wanted, &out, now).shape(&wanted, wanted.version()).form(),
+            false => plan::plan_loss(&wanted, &out, now).shape(&wanted, wanted.version()).form(),
         };
         let mut effects = self.control.apply(&target, expect, by, now)?;
         self.wanted = wanted;
         let names = sites_of(&self.wanted);
         self.standings.set_sites(names.iter().map(String::as_str));
         self.watch.set_sites(names.iter().map(String::as_str), now);
-        self.plans = Plans::of(&self.wanted, Some(&self.plans), true, now);
+        self.plans = SitePlans::of(&self.wanted, Some(&self.plans), true, now);
         self.hand_plans(now);
         effects.push(self.sites_record());
         Ok(effects)
     }
 
     /// Staff asks for something of a site.
-    pub fn ask(&mut self, site: &str, ask: Ask, by: &str, now: Moment) -> Result<Vec<Effect>, String> {
+    pub fn ask(
+        &mut self,
+        site: &str,
+        ask: SiteCommand,
+        by: &str,
+        now: Moment,
+    ) -> Result<Vec<Effect>, String> {
         let busy = self.control.is_changing();
         let (turned, step) = self.standings.ask(site, ask, by, busy).map_err(|why| why.to_string())?;
         Ok(self.turn(turned, step, now))
@@ -302,7 +319,7 @@
 
     pub fn sites(&self) -> Vec<SiteStatus> {
         let witnesses = self.watch.witnesses();
-        let status = |(site, standing): (&str, &Standing)| {
+        let status = |(site, standing): (&str, &SiteState)| {
             let plan = self.plans.get(&BTreeSet::from([site.to_string()])).cloned().unwrap_or_default();
             SiteStatus {
                 site: site.into(),
@@ -327,26 +344,26 @@
 }
 
 /// What is held of a site, for lines.
-pub fn words(view: &View) -> String {
+pub fn view_label(view: &SiteView) -> String {
     match view {
-        View::Unknown => "unknown".into(),
-        View::Up => "up".into(),
-        View::Slow { times } => format!("slow, {times:.1} times its usual"),
-        View::CutFromSome { by } => format!("cut off from {}", by.join(" ")),
-        View::CutFromServices => "cut off from the service".into(),
-        View::Leaving => "leaving".into(),
-        View::Lost => "lost".into(),
+        SiteView::Unknown => "unknown".into(),
+        SiteView::Up => "up".into(),
+        SiteView::Slow { times } => format!("slow, {times:.1} times its usual"),
+        SiteView::CutFromSome { by } => format!("cut off from {}", by.join(" ")),
+        SiteView::CutFromServices => "cut off from the service".into(),
+        SiteView::Leaving => "leaving".into(),
+        SiteView::Lost => "lost".into(),
     }
 }
 
 /// What staff asks, as lines of JSON that the control service takes beside its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Call {
+pub enum SiteRequest {
     Sites,
     Site {
         site: String,
-        ask: Ask,
+        ask: SiteCommand,
         by: String,
     },
     /// The plan for the loss of these.
@@ -357,11 +374,11 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answer {
+pub enum SiteResponse {
     Sites(Vec<SiteStatus>),
     SiteBegun {
         site: String,
-        standing: Standing,
+        standing: SiteState,
     },
     SitePlan(Box<SitePlan>),
     Refused(String),
@@ -371,24 +388,24 @@
     },
 }
 
-impl Director {
+impl SiteController {
     /// Answers a call, with what has to be done for it.
-    pub fn answer(&mut self, call: Call, now: Moment) -> (Answer, Vec<Effect>) {
+    pub fn answer(&mut self, call: SiteRequest, now: Moment) -> (SiteResponse, Vec<Effect>) {
         match call {
-            Call::Sites => (Answer::Sites(self.sites()), Vec::new()),
-            Call::SitePlan { lost } => {
+            SiteRequest::Sites => (SiteResponse::Sites(self.sites()), Vec::new()),
+            SiteRequest::SitePlan { lost } => {
                 let unknown = lost.iter().find(|site| self.standings.of(site).is_none());
                 match unknown {
-                    Some(site) => (Answer::Refused(format!("site {site:?} is unknown")), Vec::new()),
-                    None => (Answer::SitePlan(Box::new(self.plan_for(&lost, now))), Vec::new()),
+                    Some(site) => (SiteResponse::Refused(format!("site {site:?} is unknown")), Vec::new()),
+                    None => (SiteResponse::SitePlan(Box::new(self.plan_for(&lost, now))), Vec::new()),
                 }
             }
-            Call::Site { site, ask, by } => match self.ask(&site, ask, &by, now) {
+            SiteRequest::Site { site, ask, by } => match self.ask(&site, ask, &by, now) {
                 Ok(effects) => {
                     let standing = self.standings.of(&site).copied().unwrap_or_default();
-                    (Answer::SiteBegun { site, standing }, effects)
+                    (SiteResponse::SiteBegun { site, standing }, effects)
                 }
-                Err(why) => (Answer::Refused(why), Vec::new()),
+                Err(why) => (SiteResponse::Refused(why), Vec::new()),
             },
         }
     }
--- a/crates/sites/src/watch.rs
+++ b/crates/sites/src/failure_detector.rs
@@ -5,14 +5,14 @@
 //! like the loss of the other. A site is lost when all witnesses whose word counts hear nothing of it, they are at two
 //! other sites at least, and at more than half of the other sites that there are. Whoever hears nobody at all has no word:
 //! it is cut off itself.
-use crate::sight::Sighting;
+use crate::liveness::SiteObservation;
 use harestage::time::{Moment, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Questions in a row without an answer that are silence. With a question each 100 ms and [`crate::sight::ANSWERS_WITHIN`]
 /// for each, a site that died is silent to a witness after 600 to 700 ms.
-pub const SILENCE: u32 = 4;
+pub const SILENCE_THRESHOLD: u32 = 4;
 /// A witness that has not reported for as long says nothing any more.
 const STALE: Span = Span::millis(900);
 /// All this has to be seen for as long before it counts, so that a hiccup is none.
@@ -31,7 +31,7 @@
 /// How a site stands.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "is")]
-pub enum View {
+pub enum SiteView {
     /// Nobody has said anything of it yet.
     #[default]
     Unknown,
@@ -54,30 +54,30 @@
 /// Who reports.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum WitnessKind {
     Hub,
     Service,
 }
 
 struct Witness {
     site: String,
-    kind: Kind,
+    kind: WitnessKind,
     heard: Moment,
-    sightings: Vec<Sighting>,
+    sightings: Vec<SiteObservation>,
 }
 
 impl Witness {
     /// It hears somebody of another site than its own: it is not cut off itself.
     fn hears_anyone(&self) -> bool {
-        self.sightings.iter().any(|s| s.site != self.site && s.known && s.unanswered < SILENCE)
+        self.sightings.iter().any(|s| s.site != self.site && s.known && s.unanswered < SILENCE_THRESHOLD)
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct Site {
-    view: View,
+    view: SiteView,
     /// What the evidence says now, and since when it has said that without a break.
-    says: View,
+    says: SiteView,
     since: Moment,
     /// Losses that are remembered.
     losses: Vec<Moment>,
@@ -86,24 +86,24 @@
 
 /// A change of what is held of a site.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct ViewChange {
     pub site: String,
-    pub from: View,
-    pub to: View,
+    pub from: SiteView,
+    pub to: SiteView,
     /// How long the evidence had said so.
     pub seen_for: Span,
 }
 
 /// All that is known of all sites.
-pub struct Watch {
+pub struct FailureDetector {
     sites: BTreeMap<String, Site>,
     witnesses: BTreeMap<String, Witness>,
 }
 
-impl Watch {
-    pub fn new<'a>(sites: impl Iterator<Item = &'a str>, now: Moment) -> Watch {
+impl FailureDetector {
+    pub fn new<'a>(sites: impl Iterator<Item = &'a str>, now: Moment) -> FailureDetector {
         let site = |name: &str| (name.to_string(), Site { since: now, ..Site::default() });
-        Watch { sites: sites.map(site).collect(), witnesses: BTreeMap::new() }
+        FailureDetector { sites: sites.map(site).collect(), witnesses: BTreeMap::new() }
     }
 
     /// The sites of a new version. What is known of those that stay, stays.
@@ -118,7 +118,14 @@
     }
 
     /// A witness has reported.
-    pub fn hear(&mut self, name: &str, site: &str, kind: Kind, sightings: Vec<Sighting>, now: Moment) {
+    pub fn hear(
+        &mut self,
+        name: &str,
+        site: &str,
+        kind: WitnessKind,
+        sightings: Vec<SiteObservation>,
+        now: Moment,
+    ) {
         if self.witnesses.len() >= MOST_WITNESSES && !self.witnesses.contains_key(name) {
             return;
         }
@@ -127,7 +134,7 @@
     }
 
     /// To be called some times a second; what has changed comes back.
-    pub fn beat(&mut self, now: Moment) -> Vec<Change> {
+    pub fn beat(&mut self, now: Moment) -> Vec<ViewChange> {
         self.witnesses.retain(|_, witness| now.since(witness.heard) < STALE);
         let names: Vec<String> = self.sites.keys().cloned().collect();
         let mut changes = Vec::new();
@@ -144,48 +151,48 @@
     }
 
     /// What the witnesses say of a site at this moment.
-    fn evidence(&self, of: &str) -> View {
+    fn evidence(&self, of: &str) -> SiteView {
         let others: BTreeSet<&str> = self.sites.keys().map(String::as_str).filter(|s| *s != of).collect();
         let (mut reach, mut miss) = (BTreeMap::<&str, u32>::new(), BTreeMap::<&str, u32>::new());
         let (mut hubs_reach, mut services_reach, mut services) = (false, false, false);
         let (mut slowness, mut leaving) = (BTreeMap::<&str, f64>::new(), false);
         for witness in self.witnesses.values().filter(|w| w.site != of && others.contains(w.site.as_str())) {
             let Some(seen) = witness.sightings.iter().find(|s| s.site == of) else { continue };
-            let reaches = seen.unanswered < SILENCE && seen.known;
-            services |= witness.kind == Kind::Service;
+            let reaches = seen.unanswered < SILENCE_THRESHOLD && seen.known;
+            services |= witness.kind == WitnessKind::Service;
             if reaches {
                 *reach.entry(&witness.site).or_default() += 1;
                 match witness.kind {
-                    Kind::Hub => hubs_reach = true,
-                    Kind::Service => services_reach = true,
+                    WitnessKind::Hub => hubs_reach = true,
+                    WitnessKind::Service => services_reach = true,
                 }
                 leaving |= seen.leaving;
                 let least = slowness.entry(&witness.site).or_insert(f64::INFINITY);
                 *least = least.min(seen.slowness);
-            } else if seen.unanswered >= SILENCE && (witness.hears_anyone() || self.only_two()) {
+            } else if seen.unanswered >= SILENCE_THRESHOLD && (witness.hears_anyone() || self.only_two()) {
                 *miss.entry(&witness.site).or_default() += 1;
             }
         }
         if reach.is_empty() {
             let witnesses: u32 = miss.values().sum();
             let enough = miss.len() >= 2 && miss.len() * 2 > others.len() && witnesses >= 2;
-            return if enough { View::Lost } else { View::Unknown };
+            return if enough { SiteView::Lost } else { SiteView::Unknown };
         }
         if leaving {
-            return View::Leaving;
+            return SiteView::Leaving;
         }
         let by: Vec<String> =
             miss.keys().filter(|site| !reach.contains_key(*site)).map(|s| s.to_string()).collect();
         if !by.is_empty() {
-            return View::CutFromSome { by };
+            return SiteView::CutFromSome { by };
         }
         if services && hubs_reach && !services_reach {
-            return View::CutFromServices;
+            return SiteView::CutFromServices;
         }
         let mut times: Vec<f64> = slowness.into_values().collect();
         times.sort_by(f64::total_cmp);
         let middle = times[times.len() / 2];
-        if middle >= SLOW { View::Slow { times: middle } } else { View::Up }
+        if middle >= SLOW { SiteView::Slow { times: middle } } else { SiteView::Up }
     }
 
     /// With two sites a cut and a loss can't be told apart: staff may say what it is.
@@ -193,13 +200,13 @@
         self.sites.len() <= 2
     }
 
-    pub fn view(&self, site: &str) -> &View {
-        self.sites.get(site).map_or(&View::Unknown, |site| &site.view)
+    pub fn view(&self, site: &str) -> &SiteView {
+        self.sites.get(site).map_or(&SiteView::Unknown, |site| &site.view)
     }
 
     /// Whether a site that is heard again may be used again: it has to stay for longer with each loss.
     pub fn is_held(&self, site: &str, now: Moment) -> bool {
-        self.sites.get(site).is_some_and(|site| site.view == View::Lost || now < site.held_until)
+        self.sites.get(site).is_some_and(|site| site.view == SiteView::Lost || now < site.held_until)
     }
 
     /// Losses that are remembered.
@@ -236,28 +243,28 @@
 }
 
 impl Site {
-    fn settle(&mut self, name: &str, now: Moment) -> Option<Change> {
+    fn settle(&mut self, name: &str, now: Moment) -> Option<ViewChange> {
         self.losses.retain(|at| now.since(*at) < REMEMBERED);
         let seen_for = now.since(self.since);
         // Silence of the witnesses proves nothing: what was held of the site stays.
-        if self.says == View::Unknown || self.says == self.view || seen_for < LASTS {
+        if self.says == SiteView::Unknown || self.says == self.view || seen_for < LASTS {
             return None;
         }
-        if self.says == View::Lost {
+        if self.says == SiteView::Lost {
             self.losses.push(now);
             if self.losses.len() > MOST_REMEMBERED {
                 self.losses.remove(0);
             }
-        } else if self.view == View::Lost {
+        } else if self.view == SiteView::Lost {
             let longer = 2f64.powi(self.losses.len().saturating_sub(1).min(16) as i32);
             self.held_until = now + (HELD_FIRST * longer).min(HELD_MOST);
         }
         let from = std::mem::replace(&mut self.view, self.says.clone());
-        Some(Change { site: name.into(), from, to: self.view.clone(), seen_for })
+        Some(ViewChange { site: name.into(), from, to: self.view.clone(), seen_for })
     }
 }
 
 /// Of one kind: how slow, and cut off from whom, may change without a break.
-fn same(a: &View, b: &View) -> bool {
+fn same(a: &SiteView, b: &SiteView) -> bool {
     std::mem::discriminant(a) == std::mem::discriminant(b)
 }
--- a/crates/sites/src/standby.rs
+++ b/crates/sites/src/fallback.rs
@@ -2,33 +2,33 @@
 //! each version, before anything failed; it goes by one of them when the service has been away for longer than a change of
 //! its leader takes, and witnesses of more than one site hear nothing of a site. It goes back to the version as it stands
 //! only when a service speaks again: a site that comes back is cold, and nobody else could pace its way back.
+use crate::failure_detector::{FailureDetector, SiteView, WitnessKind};
+use crate::liveness::SiteObservation;
 use crate::plan::SitePlan;
-use crate::sight::Sighting;
-use crate::watch::{Kind, View, Watch};
 use harestage::time::{Moment, Span};
-pub use harestage_shape::lines::Planned;
+pub use harestage_shape::messages::FallbackPlan;
 use std::collections::BTreeSet;
 
 /// No service has spoken for as long: whoever takes it over after a loss needs less.
-pub const AWAY: Span = Span::millis(2_000);
+pub const SERVICE_TIMEOUT: Span = Span::millis(2_000);
 /// Beats further apart than this: the process itself did not run, and has heard nobody for that reason alone.
 const ASLEEP: Span = Span::millis(700);
 /// Plans that one place is handed at most: each site and each pair of 24.
-pub const MOST_PLANS: usize = 300;
+pub const MAX_PLANS: usize = 300;
 
 /// What a place is handed with a version: a plan for each loss that takes a tie from it. What is not named leaves its
 /// ties as they are.
-pub fn for_place<'a>(place: &str, plans: impl Iterator<Item = &'a SitePlan>) -> Vec<Planned> {
+pub fn plans_for_node<'a>(place: &str, plans: impl Iterator<Item = &'a SitePlan>) -> Vec<FallbackPlan> {
     let planned = plans.filter(|plan| !plan.all_lost).filter_map(|plan| {
         let ties = plan.ties.get(place)?.clone();
-        Some(Planned { lost: plan.lost.iter().cloned().collect(), ties })
+        Some(FallbackPlan { lost: plan.lost.iter().cloned().collect(), ties })
     });
-    planned.take(MOST_PLANS).collect()
+    planned.take(MAX_PLANS).collect()
 }
 
 /// What has changed of what a place goes by.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum FallbackChange {
     /// It goes by the plan for these; by its own order of ties where nobody made one.
     Without { lost: BTreeSet<String>, planned: bool },
     /// A service speaks: its version holds as it is.
@@ -36,11 +36,11 @@
 }
 
 /// One place's readiness.
-pub struct Standby {
-    watch: Watch,
+pub struct FallbackMode {
+    watch: FailureDetector,
     sites: BTreeSet<String>,
     version: u64,
-    plans: Vec<Planned>,
+    plans: Vec<FallbackPlan>,
     /// When a service spoke last.
     spoke: Moment,
     last_beat: Moment,
@@ -48,10 +48,10 @@
     without: BTreeSet<String>,
 }
 
-impl Standby {
-    pub fn new(now: Moment) -> Standby {
-        Standby {
-            watch: Watch::new(std::iter::empty(), now),
+impl FallbackMode {
+    pub fn new(now: Moment) -> FallbackMode {
+        FallbackMode {
+            watch: FailureDetector::new(std::iter::empty(), now),
             sites: BTreeSet::new(),
             version: 0,
             plans: Vec::new(),
@@ -67,7 +67,7 @@
         &mut self,
         version: u64,
         sites: impl Iterator<Item = &'a str>,
-        plans: Vec<Planned>,
+        plans: Vec<FallbackPlan>,
         now: Moment,
     ) {
         if version < self.version {
@@ -77,32 +77,32 @@
         self.watch.set_sites(named.iter().copied(), now);
         self.sites = named.into_iter().map(str::to_string).collect();
         (self.version, self.plans) = (version, plans);
-        self.plans.truncate(MOST_PLANS);
+        self.plans.truncate(MAX_PLANS);
     }
 
     /// A service has said something, whatever it was.
-    pub fn service_spoke(&mut self, now: Moment) -> Option<Turn> {
+    pub fn service_spoke(&mut self, now: Moment) -> Option<FallbackChange> {
         self.spoke = now;
         let was = std::mem::take(&mut self.without);
-        (!was.is_empty()).then_some(Turn::Back)
+        (!was.is_empty()).then_some(FallbackChange::Back)
     }
 
     /// What somebody sees of the sites: this process, or a hub that it has asked.
-    pub fn hear(&mut self, witness: &str, site: &str, sightings: Vec<Sighting>, now: Moment) {
-        self.watch.hear(witness, site, Kind::Hub, sightings, now);
+    pub fn hear(&mut self, witness: &str, site: &str, sightings: Vec<SiteObservation>, now: Moment) {
+        self.watch.hear(witness, site, WitnessKind::Hub, sightings, now);
     }
 
     /// To be called some times a second.
-    pub fn beat(&mut self, now: Moment) -> Option<Turn> {
+    pub fn beat(&mut self, now: Moment) -> Option<FallbackChange> {
         if now.since(std::mem::replace(&mut self.last_beat, now)) > ASLEEP {
             // It was stopped itself: what a service has said meanwhile is read only now.
             self.spoke = now;
         }
         self.watch.beat(now);
-        if now.since(self.spoke) < AWAY {
+        if now.since(self.spoke) < SERVICE_TIMEOUT {
             return None;
         }
-        let lost = |site: &&String| *self.watch.view(site) == View::Lost || self.without.contains(*site);
+        let lost = |site: &&String| *self.watch.view(site) == SiteView::Lost || self.without.contains(*site);
         let lost: BTreeSet<String> = self.sites.iter().filter(lost).cloned().collect();
         // To be tied to nobody helps nobody.
         if lost == self.without || lost.len() == self.sites.len() {
@@ -110,7 +110,7 @@
         }
         self.without = lost.clone();
         let planned = self.plan().is_some();
-        Some(Turn::Without { lost, planned })
+        Some(FallbackChange::Without { lost, planned })
     }
 
     /// The sites that it goes without; none while a service speaks.
@@ -124,12 +124,12 @@
         self.plan().map(|plan| plan.ties.as_slice())
     }
 
-    fn plan(&self) -> Option<&Planned> {
+    fn plan(&self) -> Option<&FallbackPlan> {
         let exact = self.plans.iter().find(|plan| plan.lost == self.without);
         // More sites than any plan is for: the one that leaves out most of them, without the ties that are lost too, is
         // for who reads it.
         exact.or_else(|| {
-            let part = |plan: &&Planned| !plan.lost.is_empty() && plan.lost.is_subset(&self.without);
+            let part = |plan: &&FallbackPlan| !plan.lost.is_empty() && plan.lost.is_subset(&self.without);
             self.plans.iter().filter(part).max_by_key(|plan| plan.lost.len())
         })
     }
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -8,11 +8,11 @@
 //! - [`standby`]: what a hub or a branch does about a loss while no service speaks.
 //! - [`direct`]: the control service's state machine with all of this.
 //! - [`standing`]: a site's way from its loss back into service, and the steps of an evacuation.
-pub mod budget;
-pub mod direct;
+pub mod controller;
+pub mod failure_detector;
+pub mod fallback;
+pub mod liveness;
 pub mod plan;
-pub mod ration;
-pub mod sight;
-pub mod standby;
-pub mod standing;
-pub mod watch;
+pub mod quota;
+pub mod retry_budget;
+pub mod site_state;
--- a/crates/sites/src/sight.rs
+++ b/crates/sites/src/liveness.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// A question that has waited for as long counts as unanswered.
-pub const ANSWERS_WITHIN: Span = Span::millis(300);
+pub const ANSWER_TIMEOUT: Span = Span::millis(300);
 /// Beats further apart than this: the process itself did not run, and what it counted before says nothing.
 const ASLEEP: Span = Span::millis(700);
 /// Of each new time in the usual one.
@@ -16,7 +16,7 @@
 /// Questions to one site that are remembered.
 const MOST_OPEN: usize = 32;
 
-pub use harestage_shape::control::Sighting;
+pub use harestage_shape::control::SiteObservation;
 
 #[derive(Clone, Debug, Default)]
 struct Seen {
@@ -31,13 +31,13 @@
 
 /// One process's eyes.
 #[derive(Clone, Debug, Default)]
-pub struct Sight {
+pub struct LivenessView {
     sites: BTreeMap<String, Seen>,
     last_beat: Option<Moment>,
     number: u64,
 }
 
-impl Sight {
+impl LivenessView {
     /// The sites to be looked at; those that are no longer named are forgotten.
     pub fn look_at<'a>(&mut self, sites: impl Iterator<Item = &'a str>) {
         let named: Vec<&str> = sites.collect();
@@ -59,7 +59,7 @@
                 seen.open.clear();
                 continue;
             }
-            let late = seen.open.extract_if(.., |_, asked| now.since(*asked) >= ANSWERS_WITHIN).count();
+            let late = seen.open.extract_if(.., |_, asked| now.since(*asked) >= ANSWER_TIMEOUT).count();
             seen.unanswered = seen.unanswered.saturating_add(late as u32);
         }
     }
@@ -98,8 +98,8 @@
         }
     }
 
-    pub fn sightings(&self) -> Vec<Sighting> {
-        let sighting = |(site, seen): (&String, &Seen)| Sighting {
+    pub fn sightings(&self) -> Vec<SiteObservation> {
+        let sighting = |(site, seen): (&String, &Seen)| SiteObservation {
             site: site.clone(),
             unanswered: seen.unanswered,
             known: seen.known,
--- a/crates/sites/src/plan.rs
+++ b/crates/sites/src/plan.rs
@@ -8,8 +8,8 @@
 //! Planning touches what the loss touches: the places tied to the site, and a heap of hubs by their room. A plan of the
 //! version before is kept where it still holds, so that plans don't change with every version.
 use harestage::time::{Moment, Span};
-use harestage_shape::check;
-use harestage_shape::tree::{Place, PlaceIx, Shape, warmth};
+use harestage_shape::topology::{Node, NodeIndex, Shape, warm_fraction};
+use harestage_shape::validation;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 
@@ -55,10 +55,10 @@
     /// The shape in service while these sites are away. `version` is its number.
     pub fn shape(&self, from: &Shape, version: u64) -> Shape {
         let ties = |(place, ties): (&String, &Vec<String>)| {
-            let to: Vec<PlaceIx> = ties.iter().filter_map(|tie| from.find(tie)).collect();
+            let to: Vec<NodeIndex> = ties.iter().filter_map(|tie| from.find(tie)).collect();
             Some((from.find(place)?, to))
         };
-        let moved: Vec<(PlaceIx, Vec<PlaceIx>)> = self.ties.iter().filter_map(ties).collect();
+        let moved: Vec<(NodeIndex, Vec<NodeIndex>)> = self.ties.iter().filter_map(ties).collect();
         let lost = from.hubs().filter(|(_, hub)| self.lost.contains(&hub.site));
         // Hubs of a lost site are tied to nothing: no object has its home there.
         let cut = lost.map(|(at, _)| (at, Vec::new()));
@@ -69,16 +69,16 @@
 
 /// Plans for each site, and for each pair.
 #[derive(Clone, Debug, Default)]
-pub struct Plans {
+pub struct SitePlans {
     pub version: u64,
     by_loss: BTreeMap<BTreeSet<String>, SitePlan>,
     /// Plans that were made anew for this version; the others still held.
     pub made: usize,
 }
 
-impl Plans {
+impl SitePlans {
     /// Makes all plans of a version, and keeps those of the version before that still hold.
-    pub fn of(shape: &Shape, before: Option<&Plans>, pairs: bool, now: Moment) -> Plans {
+    pub fn of(shape: &Shape, before: Option<&SitePlans>, pairs: bool, now: Moment) -> SitePlans {
         let base = Base::of(shape, now);
         let sites: Vec<String> = base.sites.iter().filter(|site| !site.is_empty()).cloned().collect();
         let mut losses: Vec<BTreeSet<String>> =
@@ -95,7 +95,7 @@
             let plan = kept.unwrap_or_else(|| base.plan(&lost));
             by_loss.insert(lost, plan);
         }
-        Plans { version: shape.version(), by_loss, made }
+        SitePlans { version: shape.version(), by_loss, made }
     }
 
     /// The plan for these sites; none where nobody made one for so many.
@@ -109,7 +109,7 @@
 }
 
 /// Plans for each site and each pair, each beside those that are out already; `lost` names only what is lost then.
-pub fn beside(shape: &Shape, out: &BTreeSet<String>, now: Moment) -> Vec<SitePlan> {
+pub fn plans_with_sites_out(shape: &Shape, out: &BTreeSet<String>, now: Moment) -> Vec<SitePlan> {
     let base = Base::of(shape, now);
     let left: Vec<&String> = base.sites.iter().filter(|s| !s.is_empty() && !out.contains(*s)).collect();
     let mut losses: Vec<BTreeSet<String>> =
@@ -127,7 +127,7 @@
 }
 
 /// The plan for any set of sites, made now.
-pub fn plan(shape: &Shape, lost: &BTreeSet<String>, now: Moment) -> SitePlan {
+pub fn plan_loss(shape: &Shape, lost: &BTreeSet<String>, now: Moment) -> SitePlan {
     Base::of(shape, now).plan(lost)
 }
 
@@ -176,15 +176,15 @@
         sites.sort();
         sites.dedup();
         let number = |site: &str| sites.binary_search_by(|s| s.as_str().cmp(site)).ok();
-        let loads = check::loads(shape).unwrap_or_default();
-        let tops: BTreeSet<PlaceIx> = shape.tops().iter().copied().collect();
+        let loads = validation::loads(shape).unwrap_or_default();
+        let tops: BTreeSet<NodeIndex> = shape.tops().iter().copied().collect();
         let (mut hubs, mut by_place) = (Vec::new(), BTreeMap::new());
         for (at, hub) in shape.hubs() {
             let age = match hub.since_ms {
                 0 => Span::millis(hub.cold_ms),
                 since_ms => now.since(Moment::at_micros(since_ms.saturating_mul(1_000))),
             };
-            let can = hub.capacity * warmth(hub, age);
+            let can = hub.capacity * warm_fraction(hub, age);
             by_place.insert(at, hubs.len());
             hubs.push(Hub {
                 name: hub.name.clone(),
@@ -200,8 +200,8 @@
             let ties: Vec<HubNo> =
                 shape.ties(at).iter().filter_map(|tie| by_place.get(tie).copied()).collect();
             let (load, site, hub) = match place {
-                Place::Branch(branch) => (branch.load, branch.site.as_str(), None),
-                Place::Hub(hub) if !tops.contains(&at) => {
+                Node::Branch(branch) => (branch.load, branch.site.as_str(), None),
+                Node::Hub(hub) if !tops.contains(&at) => {
                     (loads.of(at) * hub.passes, hub.site.as_str(), by_place.get(&at).copied())
                 }
                 _ => continue,
--- a/crates/sites/src/ration.rs
+++ b/crates/sites/src/quota.rs
@@ -20,7 +20,7 @@
 /// After the line fell, it does not rise for as long.
 const RESTS: Span = Span::millis(500);
 /// The beat at which the line is laid.
-pub const BEAT: Span = Span::millis(100);
+pub const UPDATE_INTERVAL: Span = Span::millis(100);
 /// Branches that are told apart at most; others share one part.
 const MOST_BRANCHES: usize = 1_024;
 /// Until those who are refused come again, at least and at most.
@@ -34,7 +34,7 @@
 
 /// A download that would like to be taken.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Want {
+pub struct QuotaRequest {
     /// Benefit for each unit of what is scarce.
     pub worth: f64,
     /// Units that it takes.
@@ -44,7 +44,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum Admission {
     Taken,
     /// Refused at once; harmless to repeat, and better not before this has passed.
     ComeAgain(Span),
@@ -52,32 +52,32 @@
 
 /// The line: everything above it is taken, `part` of its own rank, nothing below.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
+pub struct Cutoff {
     pub rank: usize,
     pub part: f64,
 }
 
-impl Line {
-    const ALL: Line = Line { rank: 0, part: 1.0 };
+impl Cutoff {
+    const ALL: Cutoff = Cutoff { rank: 0, part: 1.0 };
 
     /// As one number that grows with what is refused.
     fn height(self) -> f64 {
         self.rank as f64 + 1.0 - self.part
     }
 
-    fn at(height: f64) -> Line {
+    fn at(height: f64) -> Cutoff {
         let rank = (height.max(0.0).floor() as usize).min(RANKS - 1);
-        Line { rank, part: (rank as f64 + 1.0 - height).clamp(0.0, 1.0) }
+        Cutoff { rank, part: (rank as f64 + 1.0 - height).clamp(0.0, 1.0) }
     }
 }
 
-pub struct Ration {
+pub struct Quota {
     /// Units a second; none: there is room for all.
     room: Option<f64>,
     asked: Vec<Ring>,
     taken: Ring,
     refused: Ring,
-    line: Line,
+    line: Cutoff,
     fell: Moment,
     /// What each branch asked for at the line's rank.
     by_branch: BTreeMap<u32, Ring>,
@@ -86,12 +86,12 @@
     next: Moment,
     /// The best rank that was refused for want of room in this beat: nothing below it is taken any more.
     full_for: Option<usize>,
-    tally: Tally,
+    tally: QuotaStats,
 }
 
 /// What was decided since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct QuotaStats {
     pub taken: u64,
     pub refused: u64,
     pub second_tries: u64,
@@ -102,14 +102,14 @@
 /// What was refused lately, in two halves of a time: the older half is forgotten at once. Bounded; past the bound a second
 /// try passes for a first one.
 #[derive(Clone, Debug)]
-pub struct Refusals {
+pub struct RecentRefusals {
     halves: [HashSet<u64>; 2],
     turned: Moment,
 }
 
-impl Refusals {
-    pub fn new(now: Moment) -> Refusals {
-        Refusals { halves: Default::default(), turned: now }
+impl RecentRefusals {
+    pub fn new(now: Moment) -> RecentRefusals {
+        RecentRefusals { halves: Default::default(), turned: now }
     }
 
     fn turn(&mut self, now: Moment) {
@@ -134,38 +134,38 @@
     pub fn note(&mut self, of: &impl Hash, now: Moment) {
         self.turn(now);
         if self.halves[0].len() < MOST_REFUSALS {
-            self.halves[0].insert(Refusals::key(of));
+            self.halves[0].insert(RecentRefusals::key(of));
         }
     }
 
     pub fn has(&mut self, of: &impl Hash, now: Moment) -> bool {
         self.turn(now);
-        let key = Refusals::key(of);
+        let key = RecentRefusals::key(of);
         self.halves.iter().any(|half| half.contains(&key))
     }
 }
 
 /// The rank of a download, higher is better.
-pub fn rank(want: &Want) -> usize {
+pub fn rank(want: &QuotaRequest) -> usize {
     let step = (want.worth.max(0.0) / LEAST_WORTH).max(1.0).log2().floor() as usize;
     step.min(STEPS - 1) + if want.second_try { 0 } else { STEPS }
 }
 
-impl Ration {
-    pub fn new(now: Moment) -> Ration {
+impl Quota {
+    pub fn new(now: Moment) -> Quota {
         let ring = || Ring::new(Span::millis(250), 4);
-        Ration {
+        Quota {
             room: None,
             asked: (0..RANKS).map(|_| ring()).collect(),
             taken: ring(),
             refused: ring(),
-            line: Line::ALL,
+            line: Cutoff::ALL,
             fell: Moment::default(),
             by_branch: BTreeMap::new(),
             level: f64::INFINITY,
             next: now,
             full_for: None,
-            tally: Tally::default(),
+            tally: QuotaStats::default(),
         }
     }
 
@@ -174,20 +174,20 @@
         self.room = room.filter(|room| room.is_finite() && *room >= 0.0);
     }
 
-    pub fn line(&self) -> Line {
+    pub fn line(&self) -> Cutoff {
         self.line
     }
 
-    pub fn tally(&self) -> Tally {
+    pub fn tally(&self) -> QuotaStats {
         self.tally
     }
 
     /// Decides on a download. `chance` is drawn evenly from 0 to 1.
-    pub fn ask(&mut self, want: &Want, chance: f64, now: Moment) -> Answer {
+    pub fn ask(&mut self, want: &QuotaRequest, chance: f64, now: Moment) -> Admission {
         let rank = rank(want);
         self.asked[rank].add(now, want.takes);
         if now >= self.next {
-            self.next = now + BEAT;
+            self.next = now + UPDATE_INTERVAL;
             self.full_for = None;
             self.lay(now);
         }
@@ -211,14 +211,14 @@
             self.tally.taken += 1;
             self.tally.out_of_order += u64::from(self.full_for.is_some_and(|best| rank < best));
             self.taken.add(now, want.takes);
-            return Answer::Taken;
+            return Admission::Taken;
         }
         self.tally.refused += 1;
         self.refused.add(now, want.takes);
-        Answer::ComeAgain(self.again(chance, now))
+        Admission::ComeAgain(self.again(chance, now))
     }
 
-    fn above(&self, want: &Want, rank: usize, chance: f64, now: Moment) -> bool {
+    fn above(&self, want: &QuotaRequest, rank: usize, chance: f64, now: Moment) -> bool {
         if rank != self.line.rank {
             return rank > self.line.rank;
         }
@@ -233,7 +233,7 @@
         if known { branch } else { u32::MAX }
     }
 
-    fn note(&mut self, want: &Want, now: Moment) {
+    fn note(&mut self, want: &QuotaRequest, now: Moment) {
         let key = self.key(want.branch);
         let ring = self.by_branch.entry(key).or_insert_with(|| Ring::new(Span::millis(250), 4));
         ring.add(now, want.takes);
@@ -242,14 +242,14 @@
     /// Lays the line where what is above it fills the room.
     fn lay(&mut self, now: Moment) {
         let Some(room) = self.room else {
-            (self.line, self.level) = (Line::ALL, f64::INFINITY);
+            (self.line, self.level) = (Cutoff::ALL, f64::INFINITY);
             return self.by_branch.clear();
         };
-        let (mut above, mut wanted) = (0.0, Line::ALL);
+        let (mut above, mut wanted) = (0.0, Cutoff::ALL);
         for rank in (0..RANKS).rev() {
             let asked = self.asked[rank].sum(now);
             if asked > 0.0 && above + asked > room {
-                wanted = Line { rank, part: ((room - above) / asked).clamp(0.0, 1.0) };
+                wanted = Cutoff { rank, part: ((room - above) / asked).clamp(0.0, 1.0) };
                 break;
             }
             above += asked;
@@ -259,7 +259,7 @@
             self.fell = if wanted.height() > before.height() { now } else { self.fell };
             self.line = wanted;
         } else if now.since(self.fell) >= RESTS {
-            self.line = Line::at((before.height() - self.rise(before, wanted)).max(wanted.height()));
+            self.line = Cutoff::at((before.height() - self.rise(before, wanted)).max(wanted.height()));
         }
         if self.line.rank != before.rank {
             self.by_branch.clear();
@@ -269,7 +269,7 @@
     }
 
     /// Ranks that nobody asks at are passed over at once: there is nothing there that could flutter.
-    fn rise(&self, from: Line, to: Line) -> f64 {
+    fn rise(&self, from: Cutoff, to: Cutoff) -> f64 {
         let empty =
             (to.rank..from.rank).rev().take_while(|rank| self.asked[*rank].peak_rate(self.next) <= 0.0);
         RISE + empty.count() as f64
--- a/crates/sites/src/budget.rs
+++ b/crates/sites/src/retry_budget.rs
@@ -4,14 +4,14 @@
 use harestage::time::{Moment, Span};
 
 /// Repeats that a first attempt pays for.
-pub const SHARE: f64 = 0.1;
+pub const RETRIES_PER_ATTEMPT: f64 = 0.1;
 /// Repeats a second that are always there, so that a quiet process can repeat at all.
 const LEAST: f64 = 1.0;
 /// What was paid in is forgotten after it: a quiet hour must not pay for a storm.
 const KEPT: Span = Span::millis(5_000);
 
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     share: f64,
     /// Repeats that may be made now.
     tokens: f64,
@@ -21,9 +21,9 @@
     pub refused: u64,
 }
 
-impl Budget {
-    pub fn new(share: f64, now: Moment) -> Budget {
-        Budget { share, tokens: LEAST, filled: now, rate: 0.0, refused: 0 }
+impl RetryBudget {
+    pub fn new(share: f64, now: Moment) -> RetryBudget {
+        RetryBudget { share, tokens: LEAST, filled: now, rate: 0.0, refused: 0 }
     }
 
     /// What may be saved up: the payments of a few seconds.
--- a/crates/sites/src/standing.rs
+++ b/crates/sites/src/site_state.rs
@@ -5,7 +5,7 @@
 //! ties come back in the steps of an ordinary change, each only while hubs and archive are well. A second loss, of this
 //! site or of one that carried it, ends those steps where they stand and is answered like any other. An evacuation is the
 //! same steps the other way, begun by staff.
-use crate::watch::{Change, View};
+use crate::failure_detector::{SiteView, ViewChange};
 use harestage::time::{Moment, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,12 +14,12 @@
 const AGAIN_FIRST: Span = Span::millis(5_000);
 const AGAIN_MOST: Span = Span::millis(300_000);
 
-pub use harestage_shape::control::Standing;
+pub use harestage_shape::control::SiteState;
 
 /// What staff may ask for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ask {
+pub enum SiteCommand {
     /// Evacuate it, in steps.
     Leave,
     /// Let it come back, in steps, though it was kept out.
@@ -30,14 +30,14 @@
 
 /// Why an ask is not followed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refused {
+pub enum CommandError {
     Unknown {
         site: String,
     },
     /// It is on that way, or at its end, already.
     Already {
         site: String,
-        standing: Standing,
+        standing: SiteState,
     },
     /// Nobody hears it.
     IsLost {
@@ -51,11 +51,11 @@
     },
 }
 
-impl std::fmt::Display for Refused {
+impl std::fmt::Display for CommandError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
             Self::Unknown { site } => write!(f, "site {site:?} is unknown"),
-            Self::Already { site, standing } => write!(f, "site {site} is {} already", word(standing)),
+            Self::Already { site, standing } => write!(f, "site {site} is {} already", state_label(standing)),
             Self::IsLost { site } => write!(f, "site {site} is lost: nobody hears it"),
             Self::Busy => write!(f, "another change is under way"),
             Self::LastOne { site } => write!(f, "site {site} is the last one in service"),
@@ -64,20 +64,20 @@
 }
 
 /// For lines and tables.
-pub fn word(standing: &Standing) -> &'static str {
+pub fn state_label(standing: &SiteState) -> &'static str {
     match standing {
-        Standing::InService => "in service",
-        Standing::Lost => "lost",
-        Standing::Held => "held",
-        Standing::Returning => "returning",
-        Standing::Leaving => "leaving",
-        Standing::Out => "out",
+        SiteState::InService => "in service",
+        SiteState::Lost => "lost",
+        SiteState::Held => "held",
+        SiteState::Returning => "returning",
+        SiteState::Leaving => "leaving",
+        SiteState::Out => "out",
     }
 }
 
 /// What is to be done with the shape in service.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum ShapeStep {
     /// At once: the shape without these sites, by the plan for them.
     Without(BTreeSet<String>),
     /// In steps: towards the wanted shape without these sites.
@@ -86,7 +86,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Site {
-    standing: Standing,
+    standing: SiteState,
     /// Ways back that were given up.
     given_up: u32,
     not_before: Moment,
@@ -94,19 +94,19 @@
 
 /// All sites' standings. What was decided comes back to be written down; `enter` takes it in, also after a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Standings {
+pub struct SiteStates {
     sites: BTreeMap<String, Site>,
 }
 
 /// A line of the journal: this site stands so from now on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Turned {
+pub struct StateChange {
     pub site: String,
-    pub to: Standing,
+    pub to: SiteState,
     pub why: String,
 }
 
-impl Standings {
+impl SiteStates {
     pub fn set_sites<'a>(&mut self, sites: impl Iterator<Item = &'a str>) {
         let named: BTreeSet<&str> = sites.filter(|site| !site.is_empty()).collect();
         self.sites.retain(|site, _| named.contains(site.as_str()));
@@ -117,17 +117,17 @@
         }
     }
 
-    pub fn of(&self, site: &str) -> Option<&Standing> {
+    pub fn of(&self, site: &str) -> Option<&SiteState> {
         self.sites.get(site).map(|site| &site.standing)
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (&str, &Standing)> {
+    pub fn all(&self) -> impl Iterator<Item = (&str, &SiteState)> {
         self.sites.iter().map(|(name, site)| (name.as_str(), &site.standing))
     }
 
     /// Sites that nobody is to be tied to.
     pub fn out(&self) -> BTreeSet<String> {
-        let is_out = |site: &Site| !matches!(site.standing, Standing::InService | Standing::Returning);
+        let is_out = |site: &Site| !matches!(site.standing, SiteState::InService | SiteState::Returning);
         self.sites.iter().filter(|(_, site)| is_out(site)).map(|(name, _)| name.clone()).collect()
     }
 
@@ -135,8 +135,8 @@
     /// stays, and one that was returning goes out again, unless nobody else is left.
     fn out_after_a_loss(&self, lost: &str) -> BTreeSet<String> {
         let is_out = |(name, site): &(&String, &Site), returning: bool| {
-            let gone = matches!(site.standing, Standing::Lost | Standing::Held | Standing::Out);
-            name.as_str() == lost || gone || returning && site.standing == Standing::Returning
+            let gone = matches!(site.standing, SiteState::Lost | SiteState::Held | SiteState::Out);
+            name.as_str() == lost || gone || returning && site.standing == SiteState::Returning
         };
         let out = |returning| -> BTreeSet<String> {
             self.sites.iter().filter(|site| is_out(site, returning)).map(|(name, _)| name.clone()).collect()
@@ -146,31 +146,32 @@
     }
 
     /// What was written down, now or by a forerunner.
-    pub fn enter(&mut self, turned: &Turned, now: Moment) {
+    pub fn enter(&mut self, turned: &StateChange, now: Moment) {
         let Some(site) = self.sites.get_mut(&turned.site) else { return };
-        if site.standing == Standing::Returning && matches!(turned.to, Standing::Held | Standing::Lost) {
+        if site.standing == SiteState::Returning && matches!(turned.to, SiteState::Held | SiteState::Lost) {
             site.given_up += 1;
             let longer = 2f64.powi(site.given_up.saturating_sub(1).min(16) as i32);
             site.not_before = now + (AGAIN_FIRST * longer).min(AGAIN_MOST);
         }
-        if turned.to == Standing::InService {
+        if turned.to == SiteState::InService {
             site.given_up = 0;
         }
         site.standing = turned.to;
     }
 
     /// The watch holds something else of a site than before.
-    pub fn seen(&self, change: &Change) -> Option<(Turned, Option<Step>)> {
+    pub fn seen(&self, change: &ViewChange) -> Option<(StateChange, Option<ShapeStep>)> {
         let standing = self.of(&change.site)?;
-        let turned = |to: Standing, why: &str| Turned { site: change.site.clone(), to, why: why.into() };
+        let turned =
+            |to: SiteState, why: &str| StateChange { site: change.site.clone(), to, why: why.into() };
         match (&change.to, standing) {
-            (View::Lost, Standing::Lost | Standing::Out) => None,
-            (View::Lost, _) => {
+            (SiteView::Lost, SiteState::Lost | SiteState::Out) => None,
+            (SiteView::Lost, _) => {
                 let out = self.out_after_a_loss(&change.site);
                 let why = format!("not heard by any other site for {:.1} s", change.seen_for.seconds());
-                Some((turned(Standing::Lost, &why), Some(Step::Without(out))))
+                Some((turned(SiteState::Lost, &why), Some(ShapeStep::Without(out))))
             }
-            (_, Standing::Lost) => Some((turned(Standing::Held, "heard again"), None)),
+            (_, SiteState::Lost) => Some((turned(SiteState::Held, "heard again"), None)),
             _ => None,
         }
     }
@@ -181,54 +182,63 @@
         busy: bool,
         is_held: impl Fn(&str) -> bool,
         now: Moment,
-    ) -> Option<(Turned, Step)> {
-        if busy || self.sites.values().any(|s| matches!(s.standing, Standing::Returning | Standing::Leaving))
+    ) -> Option<(StateChange, ShapeStep)> {
+        if busy
+            || self.sites.values().any(|s| matches!(s.standing, SiteState::Returning | SiteState::Leaving))
         {
             return None;
         }
         let ready = |(name, site): &(&String, &Site)| {
-            site.standing == Standing::Held && now >= site.not_before && !is_held(name)
+            site.standing == SiteState::Held && now >= site.not_before && !is_held(name)
         };
         let (name, _) = self.sites.iter().find(ready)?;
-        Some(self.towards(name, Standing::Returning, "it has stayed for as long as it was held"))
+        Some(self.towards(name, SiteState::Returning, "it has stayed for as long as it was held"))
     }
 
-    fn towards(&self, site: &str, to: Standing, why: &str) -> (Turned, Step) {
+    fn towards(&self, site: &str, to: SiteState, why: &str) -> (StateChange, ShapeStep) {
         let mut out = self.out();
         match to {
-            Standing::Returning => out.remove(site),
+            SiteState::Returning => out.remove(site),
             _ => out.insert(site.into()),
         };
-        let turned = Turned { site: site.into(), to, why: why.into() };
-        (turned, Step::Towards { out, site: site.into() })
+        let turned = StateChange { site: site.into(), to, why: why.into() };
+        (turned, ShapeStep::Towards { out, site: site.into() })
     }
 
     /// Staff asks for something.
-    pub fn ask(&self, site: &str, ask: Ask, by: &str, busy: bool) -> Result<(Turned, Option<Step>), Refused> {
-        let standing = self.of(site).ok_or_else(|| Refused::Unknown { site: site.into() })?;
-        let already = || Refused::Already { site: site.into(), standing: *standing };
-        let turned = |to| Turned { site: site.into(), to, why: format!("asked for by {by}") };
+    pub fn ask(
+        &self,
+        site: &str,
+        ask: SiteCommand,
+        by: &str,
+        busy: bool,
+    ) -> Result<(StateChange, Option<ShapeStep>), CommandError> {
+        let standing = self.of(site).ok_or_else(|| CommandError::Unknown { site: site.into() })?;
+        let already = || CommandError::Already { site: site.into(), standing: *standing };
+        let turned = |to| StateChange { site: site.into(), to, why: format!("asked for by {by}") };
         match (ask, standing) {
-            (Ask::Hold, Standing::Out) => Err(already()),
-            (Ask::Hold, Standing::Lost | Standing::Held) => Ok((turned(Standing::Out), None)),
-            (Ask::Hold | Ask::Leave, Standing::InService) if self.is_last(site) => {
-                Err(Refused::LastOne { site: site.into() })
+            (SiteCommand::Hold, SiteState::Out) => Err(already()),
+            (SiteCommand::Hold, SiteState::Lost | SiteState::Held) => Ok((turned(SiteState::Out), None)),
+            (SiteCommand::Hold | SiteCommand::Leave, SiteState::InService) if self.is_last(site) => {
+                Err(CommandError::LastOne { site: site.into() })
             }
-            (Ask::Leave, Standing::InService) | (Ask::Hold, Standing::InService) if busy => {
-                Err(Refused::Busy)
+            (SiteCommand::Leave, SiteState::InService) | (SiteCommand::Hold, SiteState::InService)
+                if busy =>
+            {
+                Err(CommandError::Busy)
             }
-            (Ask::Hold | Ask::Leave, Standing::InService) => {
-                let (turned, step) = self.towards(site, Standing::Leaving, &format!("asked for by {by}"));
+            (SiteCommand::Hold | SiteCommand::Leave, SiteState::InService) => {
+                let (turned, step) = self.towards(site, SiteState::Leaving, &format!("asked for by {by}"));
                 Ok((turned, Some(step)))
             }
             // Its steps end where they stand, and it is out at once.
-            (Ask::Hold, Standing::Returning) => {
+            (SiteCommand::Hold, SiteState::Returning) => {
                 let mut out = self.out();
                 out.insert(site.into());
-                Ok((turned(Standing::Out), Some(Step::Without(out))))
+                Ok((turned(SiteState::Out), Some(ShapeStep::Without(out))))
             }
-            (Ask::Return, Standing::Out) => Ok((turned(Standing::Held), None)),
-            (Ask::Return, Standing::Lost) => Err(Refused::IsLost { site: site.into() }),
+            (SiteCommand::Return, SiteState::Out) => Ok((turned(SiteState::Held), None)),
+            (SiteCommand::Return, SiteState::Lost) => Err(CommandError::IsLost { site: site.into() }),
             _ => Err(already()),
         }
     }
@@ -239,16 +249,16 @@
     }
 
     /// The steps of a change have come to their end, or were given up.
-    pub fn ended(&self, complete: bool) -> Option<Turned> {
+    pub fn ended(&self, complete: bool) -> Option<StateChange> {
         let moving =
-            |(_, site): &(&String, &Site)| matches!(site.standing, Standing::Returning | Standing::Leaving);
+            |(_, site): &(&String, &Site)| matches!(site.standing, SiteState::Returning | SiteState::Leaving);
         let (name, site) = self.sites.iter().find(moving)?;
         let (to, why) = match (&site.standing, complete) {
-            (Standing::Returning, true) => (Standing::InService, "its ties are back"),
-            (Standing::Returning, false) => (Standing::Held, "its way back was given up"),
-            (Standing::Leaving, true) => (Standing::Out, "nobody is tied to it any more"),
-            _ => (Standing::InService, "its evacuation was given up"),
+            (SiteState::Returning, true) => (SiteState::InService, "its ties are back"),
+            (SiteState::Returning, false) => (SiteState::Held, "its way back was given up"),
+            (SiteState::Leaving, true) => (SiteState::Out, "nobody is tied to it any more"),
+            _ => (SiteState::InService, "its evacuation was given up"),
         };
-        Some(Turned { site: name.clone(), to, why: why.into() })
+        Some(StateChange { site: name.clone(), to, why: why.into() })
     }
 }
--- a/crates/sites/tests/model.rs
+++ b/crates/sites/tests/model.rs
@@ -1,8 +1,8 @@
 //! All ways that three sites can take through losses, returns, staff and changes that end or are given up, up to a depth,
 //! on the state machine that runs.
 use harestage::time::{Moment, Span};
-use harestage_sites::standing::{Ask, Standing, Standings, Step};
-use harestage_sites::watch::{Change, View};
+use harestage_sites::failure_detector::{SiteView, ViewChange};
+use harestage_sites::site_state::{ShapeStep, SiteCommand, SiteState, SiteStates};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    standings: Standings,
+    standings: SiteStates,
     /// Sites that nobody hears.
     dead: BTreeSet<&'static str>,
     /// Sites that the shape in service ties nobody to, and those that a change under way leads to.
@@ -41,7 +41,7 @@
 
 /// Then whatever is tied to anyone is tied to a site that is out.
 fn all_are_out(world: &World) -> bool {
-    SITES.into_iter().all(|site| world.standings.of(site) != Some(&Standing::InService))
+    SITES.into_iter().all(|site| world.standings.of(site) != Some(&SiteState::InService))
 }
 
 impl World {
@@ -49,19 +49,20 @@
         Moment::at_micros(self.ms * 1_000)
     }
 
-    fn seen(&mut self, site: &str, to: View) {
-        let change = Change { site: site.into(), from: View::Unknown, to, seen_for: Span::millis(200) };
+    fn seen(&mut self, site: &str, to: SiteView) {
+        let change =
+            ViewChange { site: site.into(), from: SiteView::Unknown, to, seen_for: Span::millis(200) };
         if let Some((turned, step)) = self.standings.seen(&change) {
             self.standings.enter(&turned, self.now());
             self.step(step);
         }
     }
 
-    fn step(&mut self, step: Option<Step>) {
+    fn step(&mut self, step: Option<ShapeStep>) {
         match step {
             None => {}
             // A version at once ends whatever was under way, and nobody is tied to nobody.
-            Some(Step::Without(out)) if out.len() < SITES.len() => {
+            Some(ShapeStep::Without(out)) if out.len() < SITES.len() => {
                 if self.towards.take().is_some()
                     && let Some(turned) = self.standings.ended(false)
                 {
@@ -69,8 +70,8 @@
                 }
                 self.out = out;
             }
-            Some(Step::Without(_)) => {}
-            Some(Step::Towards { out, .. }) => self.towards = Some(out),
+            Some(ShapeStep::Without(_)) => {}
+            Some(ShapeStep::Towards { out, .. }) => self.towards = Some(out),
         }
     }
 }
@@ -80,7 +81,7 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let mut standings = Standings::default();
+        let mut standings = SiteStates::default();
         standings.set_sites(SITES.into_iter());
         let (dead, out) = (BTreeSet::new(), BTreeSet::new());
         vec![World { standings, dead, out, towards: None, ms: 1_000, left: DEPTH }]
@@ -105,17 +106,17 @@
         match act {
             Act::Dies(site) => {
                 world.dead.insert(site);
-                world.seen(site, View::Lost);
+                world.seen(site, SiteView::Lost);
             }
             Act::IsHeard(site) => {
                 world.dead.remove(site);
-                world.seen(site, View::Up);
+                world.seen(site, SiteView::Up);
             }
             Act::Staff(site, staff) => {
                 let ask = match staff {
-                    Staff::Leave => Ask::Leave,
-                    Staff::Return => Ask::Return,
-                    Staff::Hold => Ask::Hold,
+                    Staff::Leave => SiteCommand::Leave,
+                    Staff::Return => SiteCommand::Return,
+                    Staff::Hold => SiteCommand::Hold,
                 };
                 let (turned, step) = world.standings.ask(site, ask, "anna", world.towards.is_some()).ok()?;
                 world.standings.enter(&turned, world.now());
@@ -148,20 +149,20 @@
         vec![
             Property::always("one site moves at a time", |_, world: &World| {
                 let moves =
-                    |(_, is): &(&str, &Standing)| matches!(is, Standing::Returning | Standing::Leaving);
+                    |(_, is): &(&str, &SiteState)| matches!(is, SiteState::Returning | SiteState::Leaving);
                 world.standings.all().filter(moves).count() <= 1
             }),
             Property::always("nobody is tied to a lost site", |_, world: &World| {
-                let lost = |(_, is): &(&str, &Standing)| matches!(is, Standing::Lost);
-                let tied = |(site, _): (&str, &Standing)| !world.out.contains(site);
+                let lost = |(_, is): &(&str, &SiteState)| matches!(is, SiteState::Lost);
+                let tied = |(site, _): (&str, &SiteState)| !world.out.contains(site);
                 all_are_out(world) || !world.standings.all().filter(lost).any(tied)
             }),
             Property::always("a site in service is in the shape", |_, world: &World| {
-                let serves = |(_, is): &(&str, &Standing)| matches!(is, Standing::InService);
+                let serves = |(_, is): &(&str, &SiteState)| matches!(is, SiteState::InService);
                 world.standings.all().filter(serves).all(|(site, _)| !world.out.contains(site))
             }),
             Property::always("a dead site is never in service", |_, world: &World| {
-                world.dead.iter().all(|site| world.standings.of(site) != Some(&Standing::InService))
+                world.dead.iter().all(|site| world.standings.of(site) != Some(&SiteState::InService))
             }),
             Property::sometimes("a site goes out and comes back", |_, world: &World| {
                 world.ms > 1_000 && world.out.is_empty() && world.left < DEPTH - 4
--- a/crates/sites/tests/plans.rs
+++ b/crates/sites/tests/plans.rs
@@ -1,14 +1,14 @@
 //! Plans for the loss of sites, against a plain reading of what they have to keep.
 use harestage::time::Moment;
-use harestage_shape::form::{ArchiveForm, BranchForm, HubForm, LinkForm, ShapeForm};
-use harestage_shape::tree::Shape;
-use harestage_sites::plan::{self, HUB_SHARE, Plans, SitePlan};
+use harestage_shape::config::{ArchiveConfig, BranchConfig, HubConfig, LinkConfig, ShapeConfig};
+use harestage_shape::topology::Shape;
+use harestage_sites::plan::{self, HUB_SHARE, SitePlan, SitePlans};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn hub(name: String, site: &str, capacity: f64) -> HubForm {
-    HubForm {
+fn hub(name: String, site: &str, capacity: f64) -> HubConfig {
+    HubConfig {
         name,
         address: "127.0.0.1:1".into(),
         site: site.into(),
@@ -23,12 +23,20 @@
     }
 }
 
-fn branch(name: String, site: &str, load: f64, hubs: Vec<String>) -> BranchForm {
-    BranchForm { name, site: site.into(), load, hubs, feed: None, feeds: BTreeMap::new(), caches: Vec::new() }
+fn branch(name: String, site: &str, load: f64, hubs: Vec<String>) -> BranchConfig {
+    BranchConfig {
+        name,
+        site: site.into(),
+        load,
+        hubs,
+        feed: None,
+        feeds: BTreeMap::new(),
+        caches: Vec::new(),
+    }
 }
 
-fn archive(capacity: f64) -> ArchiveForm {
-    ArchiveForm {
+fn archive(capacity: f64) -> ArchiveConfig {
+    ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:1".into(),
         capacity,
@@ -38,7 +46,7 @@
 }
 
 /// Sites with so many hubs each, and branches tied to two hubs of different sites.
-fn drawn(sites: usize, hubs: usize, branches: usize, load: f64, seed: u64) -> ShapeForm {
+fn drawn(sites: usize, hubs: usize, branches: usize, load: f64, seed: u64) -> ShapeConfig {
     let mut dice = StdRng::seed_from_u64(seed);
     let site = |n: usize| format!("site-{n}");
     let name = |s: usize, h: usize| format!("h-{s}-{h}");
@@ -53,7 +61,7 @@
         let own = capacity * load / branches as f64 * dice.random_range(0.5..1.5);
         branch(format!("br-{n}"), &site(first), own, ties)
     });
-    ShapeForm {
+    ShapeConfig {
         version: 1,
         archive: archive(capacity),
         hubs: hub_forms,
@@ -71,7 +79,7 @@
 }
 
 /// What each hub is asked for by branches while a plan is in force.
-fn asked(form: &ShapeForm, plan: &SitePlan) -> BTreeMap<String, f64> {
+fn asked(form: &ShapeConfig, plan: &SitePlan) -> BTreeMap<String, f64> {
     let mut asked = BTreeMap::new();
     for branch in &form.branches {
         let ties = plan.ties.get(&branch.name).unwrap_or(&branch.hubs);
@@ -88,7 +96,7 @@
         let load = 0.2 + 0.02 * seed as f64;
         let form = drawn(4, 5, 120, load, seed);
         let shape = Shape::of(&form).unwrap();
-        let plans = Plans::of(&shape, None, true, now());
+        let plans = SitePlans::of(&shape, None, true, now());
         assert_eq!(plans.all().count(), 4 + 6);
         for plan in plans.all() {
             let asked = asked(&form, plan);
@@ -127,7 +135,7 @@
 #[test]
 fn ties_that_are_left_are_kept_where_they_bear_it() {
     let form = drawn(4, 6, 200, 0.25, 3);
-    let plan = plan::plan(&Shape::of(&form).unwrap(), &lost(&["site-1"]), now());
+    let plan = plan::plan_loss(&Shape::of(&form).unwrap(), &lost(&["site-1"]), now());
     assert!(plan.fits(), "{plan:?}");
     let site = |hub: &String| form.hubs.iter().find(|h| h.name == *hub).unwrap().site.clone();
     let kept = plan.ties.iter().filter(|(branch, ties)| {
@@ -141,9 +149,9 @@
 fn a_fleet_that_is_full_says_beforehand_what_would_be_refused() {
     let form = drawn(3, 4, 60, 0.8, 5);
     let shape = Shape::of(&form).unwrap();
-    let plan = plan::plan(&shape, &lost(&["site-0"]), now());
+    let plan = plan::plan_loss(&shape, &lost(&["site-0"]), now());
     assert!(!plan.fits() && plan.refused_share > 0.1, "{}", plan.refused_share);
-    let all = plan::plan(&shape, &lost(&["site-0", "site-1", "site-2"]), now());
+    let all = plan::plan_loss(&shape, &lost(&["site-0", "site-1", "site-2"]), now());
     assert!(all.all_lost && !all.fits());
     assert!((all.refused_share - 1.0).abs() < 1e-6 || all.refused.contains_key("-"), "{all:?}");
 }
@@ -152,9 +160,9 @@
 fn cold_hubs_and_narrow_links_bear_less() {
     let ms = now().micros() / 1_000;
     let mut form = drawn(3, 3, 30, 0.3, 6);
-    let warm = plan::plan(&Shape::of(&form).unwrap(), &lost(&["site-0"]), now());
+    let warm = plan::plan_loss(&Shape::of(&form).unwrap(), &lost(&["site-0"]), now());
     form.hubs.iter_mut().filter(|h| h.site == "site-1").for_each(|h| h.since_ms = ms - 100);
-    let cold = plan::plan(&Shape::of(&form).unwrap(), &lost(&["site-0"]), now());
+    let cold = plan::plan_loss(&Shape::of(&form).unwrap(), &lost(&["site-0"]), now());
     let at = |plan: &SitePlan, site: &str| -> f64 {
         asked(&form, plan)
             .iter()
@@ -164,11 +172,11 @@
     };
     assert!(at(&cold, "site-2") > at(&warm, "site-2"), "what is cold is spared");
     form.hubs.iter_mut().for_each(|h| h.since_ms = 0);
-    form.links = vec![LinkForm { between: ["site-0".into(), "site-1".into()], fills: 1.0 }];
-    let narrow = plan::plan(&Shape::of(&form).unwrap(), &lost(&["site-0"]), now());
+    form.links = vec![LinkConfig { between: ["site-0".into(), "site-1".into()], fills: 1.0 }];
+    let narrow = plan::plan_loss(&Shape::of(&form).unwrap(), &lost(&["site-0"]), now());
     let over_link = |plan: &SitePlan| -> f64 {
         let own = form.branches.iter().filter(|b| b.site == "site-0");
-        let part = |b: &BranchForm| {
+        let part = |b: &BranchConfig| {
             let ties = plan.ties.get(&b.name).unwrap_or(&b.hubs).clone();
             ties.iter().filter(|t| t.starts_with("h-1")).count() as f64 * b.load / ties.len() as f64
         };
@@ -180,10 +188,14 @@
 #[test]
 fn plans_that_still_hold_are_kept_and_others_are_made_anew() {
     let form = drawn(4, 5, 120, 0.15, 8);
-    let first = Plans::of(&Shape::of(&form).unwrap(), None, true, now());
+    let first = SitePlans::of(&Shape::of(&form).unwrap(), None, true, now());
     assert_eq!(first.made, 10);
-    let same =
-        Plans::of(&Shape::of(&ShapeForm { version: 2, ..form.clone() }).unwrap(), Some(&first), true, now());
+    let same = SitePlans::of(
+        &Shape::of(&ShapeConfig { version: 2, ..form.clone() }).unwrap(),
+        Some(&first),
+        true,
+        now(),
+    );
     assert_eq!(same.made, 0);
     for (a, b) in first.all().zip(same.all()) {
         assert_eq!((&a.ties, &a.lost), (&b.ties, &b.lost));
@@ -191,7 +203,7 @@
     let mut moved = form.clone();
     moved.version = 3;
     moved.branches[0].hubs = vec!["h-2-0".into(), "h-3-0".into()];
-    let moved = Plans::of(&Shape::of(&moved).unwrap(), Some(&same), true, now());
+    let moved = SitePlans::of(&Shape::of(&moved).unwrap(), Some(&same), true, now());
     assert!(moved.made > 0 && moved.made < 10, "{} of 10", moved.made);
 }
 
@@ -199,11 +211,11 @@
 fn the_shape_of_a_plan_has_no_tie_to_a_lost_site_and_holds() {
     let form = drawn(3, 4, 50, 0.3, 9);
     let shape = Shape::of(&form).unwrap();
-    let plan = plan::plan(&shape, &lost(&["site-1"]), now());
+    let plan = plan::plan_loss(&shape, &lost(&["site-1"]), now());
     let without = plan.shape(&shape, 7);
     assert_eq!(without.version(), 7);
     assert!(without.tops().iter().all(|top| !without.name(*top).starts_with("h-1")));
-    assert!(harestage_shape::check::loops(&without).is_empty());
+    assert!(harestage_shape::validation::cycles(&without).is_empty());
     let tied = without
         .places()
         .flat_map(|(at, _)| without.ties(at))
--- a/crates/sites/tests/rations.rs
+++ b/crates/sites/tests/rations.rs
@@ -1,9 +1,9 @@
 //! What is refused first, how often is repeated, and how a site stands, by chance and by hand.
 use harestage::time::{Moment, Span};
-use harestage_sites::budget::{Budget, SHARE};
-use harestage_sites::ration::{Answer, Ration, Want, rank};
-use harestage_sites::standing::{Ask, Refused, Standing, Standings, Step, Turned};
-use harestage_sites::watch::{Change, View};
+use harestage_sites::failure_detector::{SiteView, ViewChange};
+use harestage_sites::quota::{Admission, Quota, QuotaRequest, rank};
+use harestage_sites::retry_budget::{RETRIES_PER_ATTEMPT, RetryBudget};
+use harestage_sites::site_state::{CommandError, ShapeStep, SiteCommand, SiteState, SiteStates, StateChange};
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -15,7 +15,7 @@
 
 /// Branches that ask for two kinds, the dear one worth eight times as much.
 struct Load {
-    ration: Ration,
+    ration: Quota,
     dice: StdRng,
     ms: u64,
     taken: BTreeMap<(u32, bool), f64>,
@@ -26,7 +26,7 @@
 
 impl Load {
     fn new(room: f64, seed: u64) -> Load {
-        let mut ration = Ration::new(at(0));
+        let mut ration = Quota::new(at(0));
         ration.set_room(Some(room));
         let (dice, ms) = (StdRng::seed_from_u64(seed), 0);
         Load {
@@ -61,11 +61,11 @@
 
     fn ask(&mut self, branch: u32, dear: bool) {
         let worth = if dear { 8.0 } else { 1.0 };
-        let want = Want { worth, takes: 1.0, second_try: false, branch };
+        let want = QuotaRequest { worth, takes: 1.0, second_try: false, branch };
         *self.asked.entry((branch, dear)).or_default() += 1.0;
         match self.ration.ask(&want, self.dice.random(), at(self.ms)) {
-            Answer::Taken => *self.taken.entry((branch, dear)).or_default() += 1.0,
-            Answer::ComeAgain(span) => self.again.push(span),
+            Admission::Taken => *self.taken.entry((branch, dear)).or_default() += 1.0,
+            Admission::ComeAgain(span) => self.again.push(span),
         }
     }
 
@@ -141,10 +141,10 @@
     #[test]
     fn nobody_is_refused_out_of_order(seed in 0u64..1_000, room in 20.0f64..400.0) {
         let mut dice = StdRng::seed_from_u64(seed);
-        let mut ration = Ration::new(at(0));
+        let mut ration = Quota::new(at(0));
         ration.set_room(Some(room));
         for step in 0..4_000u64 {
-            let want = Want {
+            let want = QuotaRequest {
                 worth: 2f64.powi(dice.random_range(-6..6)),
                 takes: 1.0,
                 second_try: dice.random::<f64>() < 0.2,
@@ -153,7 +153,7 @@
             let now = at(step * 2);
             let answer = ration.ask(&want, dice.random(), now);
             let line = ration.line();
-            if answer == Answer::Taken {
+            if answer == Admission::Taken {
                 prop_assert!(rank(&want) >= line.rank, "taken below the line");
             }
         }
@@ -162,7 +162,7 @@
     /// Tiers that each have a budget add a bounded part to what is asked, however much fails.
     #[test]
     fn a_budget_bounds_what_repeats_add(firsts in 200u32..2_000, every_ms in 1u64..20) {
-        let mut budget = Budget::new(SHARE, at(0));
+        let mut budget = RetryBudget::new(RETRIES_PER_ATTEMPT, at(0));
         let mut repeats = 0.0;
         for n in 0..firsts {
             let now = at(u64::from(n) * every_ms);
@@ -171,29 +171,29 @@
             repeats += (0..3).filter(|_| budget.lets(now)).count() as f64;
         }
         let seconds = f64::from(firsts) * every_ms as f64 / 1e3;
-        prop_assert!(repeats <= f64::from(firsts) * SHARE + seconds + 3.0, "{repeats} of {firsts}");
+        prop_assert!(repeats <= f64::from(firsts) * RETRIES_PER_ATTEMPT + seconds + 3.0, "{repeats} of {firsts}");
     }
 }
 
 #[test]
 fn a_quiet_hour_pays_for_no_storm() {
-    let mut budget = Budget::new(SHARE, at(0));
+    let mut budget = RetryBudget::new(RETRIES_PER_ATTEMPT, at(0));
     (0..1_000).for_each(|n| budget.first(at(n)));
     let storm = at(3_600_000);
     let lets = (0..1_000).filter(|_| budget.lets(storm)).count();
     assert!(lets <= 2, "{lets}");
 }
 
-fn change(site: &str, to: View) -> Change {
-    Change { site: site.into(), from: View::Up, to, seen_for: Span::millis(300) }
+fn change(site: &str, to: SiteView) -> ViewChange {
+    ViewChange { site: site.into(), from: SiteView::Up, to, seen_for: Span::millis(300) }
 }
 
-fn enter(standings: &mut Standings, turned: &Turned, ms: u64) {
+fn enter(standings: &mut SiteStates, turned: &StateChange, ms: u64) {
     standings.enter(turned, at(ms));
 }
 
-fn three() -> Standings {
-    let mut standings = Standings::default();
+fn three() -> SiteStates {
+    let mut standings = SiteStates::default();
     standings.set_sites(["east", "north", "west"].into_iter());
     standings
 }
@@ -205,22 +205,22 @@
 #[test]
 fn a_site_goes_out_at_once_and_comes_back_in_steps() {
     let mut standings = three();
-    let (lost, step) = standings.seen(&change("west", View::Lost)).unwrap();
-    assert_eq!((&lost.to, step), (&Standing::Lost, Some(Step::Without(out(&["west"])))));
+    let (lost, step) = standings.seen(&change("west", SiteView::Lost)).unwrap();
+    assert_eq!((&lost.to, step), (&SiteState::Lost, Some(ShapeStep::Without(out(&["west"])))));
     enter(&mut standings, &lost, 0);
-    assert!(standings.seen(&change("west", View::Lost)).is_none());
+    assert!(standings.seen(&change("west", SiteView::Lost)).is_none());
     assert!(standings.next_return(false, |_| false, at(100)).is_none(), "nobody hears it");
-    let (held, step) = standings.seen(&change("west", View::Up)).unwrap();
-    assert_eq!((&held.to, step), (&Standing::Held, None));
+    let (held, step) = standings.seen(&change("west", SiteView::Up)).unwrap();
+    assert_eq!((&held.to, step), (&SiteState::Held, None));
     enter(&mut standings, &held, 200);
     assert!(standings.next_return(false, |_| true, at(300)).is_none(), "it is held");
     assert!(standings.next_return(true, |_| false, at(300)).is_none(), "something else changes");
     let (returning, step) = standings.next_return(false, |_| false, at(5_000)).unwrap();
-    assert_eq!(step, Step::Towards { out: out(&[]), site: "west".into() });
+    assert_eq!(step, ShapeStep::Towards { out: out(&[]), site: "west".into() });
     enter(&mut standings, &returning, 5_000);
     let back = standings.ended(true).unwrap();
     enter(&mut standings, &back, 9_000);
-    assert_eq!(standings.of("west"), Some(&Standing::InService));
+    assert_eq!(standings.of("west"), Some(&SiteState::InService));
 }
 
 #[test]
@@ -228,9 +228,9 @@
     let mut standings = three();
     let mut waits = Vec::new();
     let mut now = 0;
-    let turned = standings.seen(&change("west", View::Lost)).unwrap().0.clone();
+    let turned = standings.seen(&change("west", SiteView::Lost)).unwrap().0.clone();
     enter(&mut standings, &turned, now);
-    let turned = standings.seen(&change("west", View::Up)).unwrap().0.clone();
+    let turned = standings.seen(&change("west", SiteView::Up)).unwrap().0.clone();
     enter(&mut standings, &turned, now);
     for _ in 0..3 {
         let from = now;
@@ -247,15 +247,15 @@
     now += 60_000;
     let (returning, _) = standings.next_return(false, |_| false, at(now)).unwrap();
     enter(&mut standings, &returning, now);
-    let (lost, step) = standings.seen(&change("east", View::Lost)).unwrap();
+    let (lost, step) = standings.seen(&change("east", SiteView::Lost)).unwrap();
     assert_eq!(
         step,
-        Some(Step::Without(out(&["east", "west"]))),
+        Some(ShapeStep::Without(out(&["east", "west"]))),
         "the one that returns goes out again with its steps"
     );
     enter(&mut standings, &lost, now);
-    let (lost, step) = standings.seen(&change("west", View::Lost)).unwrap();
-    assert_eq!(step, Some(Step::Without(out(&["east", "west"]))));
+    let (lost, step) = standings.seen(&change("west", SiteView::Lost)).unwrap();
+    assert_eq!(step, Some(ShapeStep::Without(out(&["east", "west"]))));
     enter(&mut standings, &lost, now);
     assert_eq!(standings.out(), out(&["east", "west"]));
 }
@@ -263,29 +263,41 @@
 #[test]
 fn staff_evacuates_holds_and_lets_back() {
     let mut standings = three();
-    assert!(matches!(standings.ask("mars", Ask::Leave, "anna", false), Err(Refused::Unknown { .. })));
-    assert_eq!(standings.ask("east", Ask::Leave, "anna", true), Err(Refused::Busy));
-    let (leaving, step) = standings.ask("east", Ask::Leave, "anna", false).unwrap();
-    assert_eq!(step, Some(Step::Towards { out: out(&["east"]), site: "east".into() }));
+    assert!(matches!(
+        standings.ask("mars", SiteCommand::Leave, "anna", false),
+        Err(CommandError::Unknown { .. })
+    ));
+    assert_eq!(standings.ask("east", SiteCommand::Leave, "anna", true), Err(CommandError::Busy));
+    let (leaving, step) = standings.ask("east", SiteCommand::Leave, "anna", false).unwrap();
+    assert_eq!(step, Some(ShapeStep::Towards { out: out(&["east"]), site: "east".into() }));
     enter(&mut standings, &leaving, 0);
     let turned = standings.ended(true).unwrap().clone();
     enter(&mut standings, &turned, 100);
-    assert_eq!(standings.of("east"), Some(&Standing::Out));
-    assert!(standings.seen(&change("east", View::Lost)).is_none(), "it is out already");
-    assert!(matches!(standings.ask("east", Ask::Hold, "anna", false), Err(Refused::Already { .. })));
-    let turned = standings.seen(&change("north", View::Lost)).unwrap().0.clone();
+    assert_eq!(standings.of("east"), Some(&SiteState::Out));
+    assert!(standings.seen(&change("east", SiteView::Lost)).is_none(), "it is out already");
+    assert!(matches!(
+        standings.ask("east", SiteCommand::Hold, "anna", false),
+        Err(CommandError::Already { .. })
+    ));
+    let turned = standings.seen(&change("north", SiteView::Lost)).unwrap().0.clone();
     enter(&mut standings, &turned, 200);
-    assert!(matches!(standings.ask("west", Ask::Leave, "anna", false), Err(Refused::LastOne { .. })));
-    assert!(matches!(standings.ask("north", Ask::Return, "anna", false), Err(Refused::IsLost { .. })));
-    let (back, step) = standings.ask("east", Ask::Return, "anna", false).unwrap();
-    assert_eq!((&back.to, step), (&Standing::Held, None));
+    assert!(matches!(
+        standings.ask("west", SiteCommand::Leave, "anna", false),
+        Err(CommandError::LastOne { .. })
+    ));
+    assert!(matches!(
+        standings.ask("north", SiteCommand::Return, "anna", false),
+        Err(CommandError::IsLost { .. })
+    ));
+    let (back, step) = standings.ask("east", SiteCommand::Return, "anna", false).unwrap();
+    assert_eq!((&back.to, step), (&SiteState::Held, None));
 }
 
 /// Whoever was refused and asks again makes a second try, for a while, and only so many are remembered.
 #[test]
 fn second_tries_are_told_by_what_was_refused_lately() {
-    use harestage_sites::ration::Refusals;
-    let mut refusals = Refusals::new(Moment::at_micros(0));
+    use harestage_sites::quota::RecentRefusals;
+    let mut refusals = RecentRefusals::new(Moment::at_micros(0));
     let at = |ms: u64| Moment::at_micros(ms * 1_000);
     refusals.note(&(1, 7), at(100));
     assert!(refusals.has(&(1, 7), at(200)) && !refusals.has(&(2, 7), at(200)));
@@ -305,7 +317,7 @@
 #[test]
 fn nothing_is_taken_past_something_better_that_was_refused() {
     for seed in 0..40u64 {
-        let mut ration = Ration::new(Moment::at_micros(0));
+        let mut ration = Quota::new(Moment::at_micros(0));
         ration.set_room(Some(50.0));
         let (mut taken_second, mut refused_first) = (0, 0);
         for n in 0..4_000u64 {
@@ -314,14 +326,14 @@
             let drawn = std::hash::Hasher::finish(&hasher);
             let worth = [0.25, 1.0, 4.0][(drawn % 3) as usize];
             let second_try = drawn >> 8 & 3 == 0;
-            let want = Want { worth, takes: 1.0, second_try, branch: (drawn >> 16) as u32 % 3 };
+            let want = QuotaRequest { worth, takes: 1.0, second_try, branch: (drawn >> 16) as u32 % 3 };
             let chance = (drawn >> 11) as f64 / (1u64 << 53) as f64;
             // Quiet at first, then twenty times as much.
             let ms = if n < 100 { n * 25 } else { 2_500 + n };
             let answer = ration.ask(&want, chance, Moment::at_micros(ms * 1_000));
             if n > 1_000 {
-                taken_second += u64::from(second_try && answer == Answer::Taken);
-                refused_first += u64::from(!second_try && worth == 4.0 && answer != Answer::Taken);
+                taken_second += u64::from(second_try && answer == Admission::Taken);
+                refused_first += u64::from(!second_try && worth == 4.0 && answer != Admission::Taken);
             }
         }
         let tally = ration.tally();
--- a/crates/sites/tests/standby.rs
+++ b/crates/sites/tests/standby.rs
@@ -1,7 +1,7 @@
 //! A place that was handed plans, with no service to ask: when it goes by them, and when it does not.
 use harestage::time::{Moment, Span};
-use harestage_sites::sight::Sighting;
-use harestage_sites::standby::{AWAY, Planned, Standby, Turn};
+use harestage_sites::fallback::{FallbackChange, FallbackMode, FallbackPlan, SERVICE_TIMEOUT};
+use harestage_sites::liveness::SiteObservation;
 use std::collections::BTreeSet;
 
 const SITES: [&str; 3] = ["east", "north", "west"];
@@ -10,20 +10,20 @@
     sites.iter().map(|site| site.to_string()).collect()
 }
 
-fn planned(lost: &[&str], ties: &[&str]) -> Planned {
-    Planned { lost: set(lost), ties: ties.iter().map(|tie| tie.to_string()).collect() }
+fn planned(lost: &[&str], ties: &[&str]) -> FallbackPlan {
+    FallbackPlan { lost: set(lost), ties: ties.iter().map(|tie| tie.to_string()).collect() }
 }
 
 struct Play {
-    standby: Standby,
+    standby: FallbackMode,
     now: Moment,
-    turns: Vec<Turn>,
+    turns: Vec<FallbackChange>,
 }
 
 impl Play {
     fn new() -> Play {
         let now = Moment::at_micros(1_000_000);
-        let mut standby = Standby::new(now);
+        let mut standby = FallbackMode::new(now);
         let plans = vec![
             planned(&["west"], &["hub-east-1", "hub-north-1"]),
             planned(&["north", "west"], &["hub-east-1", "hub-east-2"]),
@@ -40,7 +40,7 @@
                 self.turns.extend(self.standby.service_spoke(self.now));
             }
             for site in by {
-                let sight = |other: &&str| Sighting {
+                let sight = |other: &&str| SiteObservation {
                     site: other.to_string(),
                     unanswered: if missing.contains(other) { 9 } else { 0 },
                     known: true,
@@ -59,14 +59,14 @@
 fn with_no_service_it_goes_by_the_plan_and_back_when_one_speaks() {
     let mut play = Play::new();
     play.run(1_000, &SITES, &[], true);
-    play.run(AWAY.as_micros() / 1_000 + 1_500, &["east", "north"], &["west"], false);
-    assert_eq!(play.turns, [Turn::Without { lost: set(&["west"]), planned: true }]);
+    play.run(SERVICE_TIMEOUT.as_micros() / 1_000 + 1_500, &["east", "north"], &["west"], false);
+    assert_eq!(play.turns, [FallbackChange::Without { lost: set(&["west"]), planned: true }]);
     assert_eq!(play.standby.ties().unwrap(), ["hub-east-1", "hub-north-1"]);
     // It is heard again: nobody could pace its way back.
     play.run(20_000, &SITES, &[], false);
     assert_eq!(play.standby.without(), &set(&["west"]));
     play.run(100, &SITES, &[], true);
-    assert_eq!(play.turns.last(), Some(&Turn::Back));
+    assert_eq!(play.turns.last(), Some(&FallbackChange::Back));
     assert!(play.standby.ties().is_none() && play.turns.len() == 2);
 }
 
@@ -100,7 +100,7 @@
     // One site that is left is no proof of the loss of another: it may be cut off.
     assert_eq!(play.standby.without(), &set(&["west"]));
     play.run(100, &["east"], &[], true);
-    assert_eq!(play.turns.last(), Some(&Turn::Back));
+    assert_eq!(play.turns.last(), Some(&FallbackChange::Back));
 }
 
 #[test]
@@ -116,7 +116,7 @@
 
 #[test]
 fn more_losses_than_were_planned_for_go_by_the_widest_plan_within_them() {
-    let mut standby = Standby::new(Moment::at_micros(1));
+    let mut standby = FallbackMode::new(Moment::at_micros(1));
     let names = ["a", "b", "c", "d", "e"];
     let plans = vec![planned(&["a"], &["x"]), planned(&["a", "b"], &["y"])];
     standby.handed(1, names.into_iter(), plans, Moment::at_micros(1));
@@ -124,7 +124,7 @@
     for _ in 0..60 {
         now = now + Span::millis(100);
         for by in ["d", "e"] {
-            let sight = |other: &&str| Sighting {
+            let sight = |other: &&str| SiteObservation {
                 site: other.to_string(),
                 unanswered: u32::from(["a", "b", "c"].contains(other)) * 9,
                 known: true,
@@ -141,7 +141,7 @@
     for _ in 0..60 {
         now = now + Span::millis(100);
         for by in ["c", "d", "e"] {
-            let sight = |other: &&str| Sighting {
+            let sight = |other: &&str| SiteObservation {
                 site: other.to_string(),
                 unanswered: u32::from(["a", "b"].contains(other)) * 9,
                 known: true,
--- a/crates/sites/tests/watching.rs
+++ b/crates/sites/tests/watching.rs
@@ -1,7 +1,7 @@
 //! What is held of a site, in virtual time: witnesses at several sites ask each other, and faults come between them.
 use harestage::time::{Moment, Span};
-use harestage_sites::sight::Sight;
-use harestage_sites::watch::{Change, Kind, View, Watch};
+use harestage_sites::failure_detector::{FailureDetector, SiteView, ViewChange, WitnessKind};
+use harestage_sites::liveness::LivenessView;
 use std::collections::{BTreeMap, BTreeSet};
 
 const SITES: [&str; 3] = ["east", "north", "west"];
@@ -9,8 +9,8 @@
 struct Witness {
     name: String,
     site: &'static str,
-    kind: Kind,
-    sight: Sight,
+    kind: WitnessKind,
+    sight: LivenessView,
     stopped: bool,
 }
 
@@ -18,14 +18,14 @@
 struct World {
     now: Moment,
     witnesses: Vec<Witness>,
-    watch: Watch,
+    watch: FailureDetector,
     /// Sites that are down, and pairs of which the first does not hear the second.
     down: BTreeSet<&'static str>,
     deaf: BTreeSet<(&'static str, &'static str)>,
     /// Milliseconds that an answer of a site takes.
     takes: BTreeMap<&'static str, u64>,
     owed: Vec<(Moment, usize, &'static str, u64)>,
-    changes: Vec<(Moment, Change)>,
+    changes: Vec<(Moment, ViewChange)>,
     leaving: BTreeSet<&'static str>,
     /// Where the watch is: reports of sites that it does not hear never come.
     watch_at: &'static str,
@@ -36,8 +36,10 @@
         let now = Moment::at_micros(10_000_000);
         let mut witnesses = Vec::new();
         for site in SITES {
-            for (n, kind) in [Kind::Hub, Kind::Hub, Kind::Service].into_iter().enumerate() {
-                let mut sight = Sight::default();
+            for (n, kind) in
+                [WitnessKind::Hub, WitnessKind::Hub, WitnessKind::Service].into_iter().enumerate()
+            {
+                let mut sight = LivenessView::default();
                 sight.look_at(SITES.into_iter().filter(|s| *s != site));
                 witnesses.push(Witness { name: format!("{site}-{n}"), site, kind, sight, stopped: false });
             }
@@ -45,7 +47,7 @@
         World {
             now,
             witnesses,
-            watch: Watch::new(SITES.into_iter(), now),
+            watch: FailureDetector::new(SITES.into_iter(), now),
             down: BTreeSet::new(),
             deaf: BTreeSet::new(),
             takes: BTreeMap::new(),
@@ -97,13 +99,13 @@
         }
     }
 
-    fn became(&self, site: &str, after: Moment, to: impl Fn(&View) -> bool) -> Option<Span> {
+    fn became(&self, site: &str, after: Moment, to: impl Fn(&SiteView) -> bool) -> Option<Span> {
         let found = self.changes.iter().find(|(at, c)| c.site == site && *at >= after && to(&c.to));
         found.map(|(at, _)| at.since(after))
     }
 
     fn losses(&self) -> Vec<&str> {
-        self.changes.iter().filter(|(_, c)| c.to == View::Lost).map(|(_, c)| c.site.as_str()).collect()
+        self.changes.iter().filter(|(_, c)| c.to == SiteView::Lost).map(|(_, c)| c.site.as_str()).collect()
     }
 }
 
@@ -111,11 +113,11 @@
 fn a_site_that_dies_is_lost_within_two_seconds_and_no_other_is() {
     let mut world = World::new("east");
     world.run(2_000);
-    assert!(SITES.iter().all(|site| *world.watch.view(site) == View::Up));
+    assert!(SITES.iter().all(|site| *world.watch.view(site) == SiteView::Up));
     world.down.insert("west");
     let died = world.now;
     world.run(3_000);
-    let decided = world.became("west", died, |to| *to == View::Lost).expect("it is lost");
+    let decided = world.became("west", died, |to| *to == SiteView::Lost).expect("it is lost");
     assert!(decided <= Span::millis(2_000), "{decided:?}");
     assert_eq!(world.losses(), ["west"]);
 }
@@ -129,10 +131,14 @@
     world.run(4_000);
     assert!(world.losses().is_empty());
     assert!(
-        world.became("west", cut, |to| matches!(to, View::CutFromSome { by } if by == &["east"])).is_some()
+        world
+            .became("west", cut, |to| matches!(to, SiteView::CutFromSome { by } if by == &["east"]))
+            .is_some()
     );
     assert!(
-        world.became("east", cut, |to| matches!(to, View::CutFromSome { by } if by == &["west"])).is_some()
+        world
+            .became("east", cut, |to| matches!(to, SiteView::CutFromSome { by } if by == &["west"]))
+            .is_some()
     );
     // One way only: questions or answers get lost, and the one who asks can't tell which.
     let mut world = World::new("north");
@@ -140,7 +146,7 @@
     world.deaf.insert(("east", "west"));
     world.run(4_000);
     assert!(world.losses().is_empty());
-    assert!(matches!(world.watch.view("west"), View::CutFromSome { .. }));
+    assert!(matches!(world.watch.view("west"), SiteView::CutFromSome { .. }));
 }
 
 #[test]
@@ -176,14 +182,14 @@
     world.takes.insert("west", 180);
     let slow = world.now;
     world.run(3_000);
-    assert!(world.became("west", slow, |to| matches!(to, View::Slow { .. })).is_some());
+    assert!(world.became("west", slow, |to| matches!(to, SiteView::Slow { .. })).is_some());
     world.takes.clear();
     world.run(6_000);
-    assert_eq!(*world.watch.view("west"), View::Up);
+    assert_eq!(*world.watch.view("west"), SiteView::Up);
     world.leaving.insert("west");
     let leaves = world.now;
     world.run(2_000);
-    assert!(world.became("west", leaves, |to| *to == View::Leaving).is_some());
+    assert!(world.became("west", leaves, |to| *to == SiteView::Leaving).is_some());
     assert!(world.losses().is_empty());
 }
 
