--- a/crates/audit/src/keep.rs
+++ b/crates/audit/src/keep.rs
@@ -102,7 +102,7 @@
 
     /// A version of the shape is in service.
     pub fn version(&mut self, form: &ShapeConfig, now: Moment) {
-        let Ok(shape) = Shape::of(form) else { return };
+        let Ok(shape) = Shape::from_config(form) else { return };
         self.owed.published(Kind::Shape, form.version, now);
         self.file.version(form.version, may_pull_from(form));
         self.shapes.insert(form.version, shape);
@@ -217,7 +217,7 @@
 
     /// The newest version before that one: what is gone back to when it is withdrawn.
     pub fn before(&self, shape: u64) -> Option<ShapeConfig> {
-        self.shapes.range(..shape).next_back().map(|(_, shape)| shape.form())
+        self.shapes.range(..shape).next_back().map(|(_, shape)| shape.to_config())
     }
 
     /// The log anew: how everybody is held back now.
@@ -286,7 +286,7 @@
     }
     let differs = due.hubs().filter_map(|(_, hub)| {
         let at = own.find(&hub.name)?;
-        let was = own.place(at).and_then(Node::hub)?;
+        let was = own.node(at).and_then(Node::as_hub)?;
         (was.up != hub.up).then(|| (hub.name.clone(), hub.up.clone()))
     });
     Some(Bring::Difference { from: own.version(), to: due.version(), ties: differs.collect() })
--- a/crates/branch/src/board.rs
+++ b/crates/branch/src/board.rs
@@ -152,14 +152,14 @@
         let turn = self.service_spoke(now);
         let shape = match &self.version {
             Some(version) if form.version <= version.version() => return turn,
-            Some(version) => version.followed_by(form),
-            None => Shape::of(form),
+            Some(version) => version.successor(form),
+            None => Shape::from_config(form),
         };
         let Ok(shape) = shape else { return turn };
         if shape.find(&self.branch).is_none() {
             return turn;
         }
-        self.standby.handed(shape.version(), shape.sites().into_iter(), plans, now);
+        self.standby.set_version(shape.version(), shape.sites().into_iter(), plans, now);
         self.version = Some(shape);
         self.show();
         turn
@@ -167,7 +167,7 @@
 
     /// The control service has said something, whatever it was.
     pub fn service_spoke(&mut self, now: Moment) -> Option<FallbackChange> {
-        let turn = self.standby.service_spoke(now);
+        let turn = self.standby.on_service_message(now);
         if turn.is_some() {
             self.show();
         }
@@ -177,7 +177,7 @@
     /// A hub has answered, and named the sites from which it hears nothing.
     pub fn seen(&mut self, hub: &str, unseen: &[String], leaving: bool, now: Moment) {
         let Some(shape) = &self.version else { return };
-        let Some(own) = shape.find(hub).and_then(|at| shape.place(at)?.hub()) else { return };
+        let Some(own) = shape.find(hub).and_then(|at| shape.node(at)?.as_hub()) else { return };
         let site = own.site.clone();
         let others = shape.sites().into_iter().filter(|other| *other != site);
         let sightings = others.map(|other| SiteObservation {
@@ -188,7 +188,7 @@
             leaving,
         });
         let sightings = sightings.collect();
-        self.standby.hear(hub, &site, sightings, now);
+        self.standby.on_observations(hub, &site, sightings, now);
     }
 
     /// To be called some times a second.
@@ -202,7 +202,7 @@
             self.groups_tidied = now;
             self.purged_groups.retain(|_, known| known.at_ms >= oldest_ms);
         }
-        let turn = self.standby.beat(now)?;
+        let turn = self.standby.tick(now)?;
         self.show();
         Some(turn)
     }
@@ -210,19 +210,19 @@
     /// The ties as they are to be shown: the version's, or while no service speaks those of the plan for what is lost; and
     /// where nobody made one, those that are left.
     fn ties(&self, shape: &Shape) -> Option<Vec<NodeIndex>> {
-        if self.standby.without().is_empty() {
+        if self.standby.excluded_sites().is_empty() {
             return None;
         }
         let lost = |at: &NodeIndex| {
-            let hub = shape.place(*at).and_then(|place| place.hub());
-            hub.is_some_and(|hub| self.standby.without().contains(&hub.site))
+            let hub = shape.node(*at).and_then(|place| place.as_hub());
+            hub.is_some_and(|hub| self.standby.excluded_sites().contains(&hub.site))
         };
-        let of_plan = self.standby.ties().map(|ties| {
+        let of_plan = self.standby.upstreams().map(|ties| {
             let found = ties.iter().filter_map(|tie| shape.find(tie));
             found.filter(|at| !lost(at)).collect::<Vec<_>>()
         });
         let own = || {
-            let own = shape.find(&self.branch).map(|at| shape.ties(at).to_vec()).unwrap_or_default();
+            let own = shape.find(&self.branch).map(|at| shape.upstreams(at).to_vec()).unwrap_or_default();
             own.into_iter().filter(|at| !lost(at)).collect::<Vec<_>>()
         };
         Some(of_plan.filter(|ties| !ties.is_empty()).unwrap_or_else(own)).filter(|ties| !ties.is_empty())
@@ -231,7 +231,9 @@
     fn show(&mut self) {
         let Some(version) = &self.version else { return };
         let now = match (self.ties(version), version.find(&self.branch)) {
-            (Some(ties), Some(branch)) => version.with_ties(version.version(), [(branch, ties.as_slice())]),
+            (Some(ties), Some(branch)) => {
+                version.with_upstreams(version.version(), [(branch, ties.as_slice())])
+            }
             _ => version.clone(),
         };
         let now = Rc::new(now);
@@ -249,7 +251,7 @@
 
     /// The sites that it goes without, for marks.
     pub fn plan(&self) -> String {
-        self.standby.without().iter().cloned().collect::<Vec<_>>().join("+")
+        self.standby.excluded_sites().iter().cloned().collect::<Vec<_>>().join("+")
     }
 
     fn say_marks(&mut self) {
--- a/crates/branch/src/net.rs
+++ b/crates/branch/src/net.rs
@@ -179,8 +179,8 @@
     fn say(&self, turn: Option<FallbackChange>) {
         match turn {
             None => {}
-            Some(FallbackChange::Back) => info!(self.log, "goes by its version again"),
-            Some(FallbackChange::Without { lost, planned }) => {
+            Some(FallbackChange::Left) => info!(self.log, "goes by its version again"),
+            Some(FallbackChange::Entered { lost, planned }) => {
                 let lost = lost.into_iter().collect::<Vec<_>>().join(" ");
                 warn!(self.log, "goes without a site, with no service"; "lost" => lost, "planned" => planned);
             }
--- a/crates/branch/tests/boards.rs
+++ b/crates/branch/tests/boards.rs
@@ -69,7 +69,7 @@
 
 fn planned(lost: &[&str], ties: &[&str]) -> FallbackPlan {
     let owned = |list: &[&str]| list.iter().map(|name| name.to_string()).collect::<Vec<_>>();
-    FallbackPlan { lost: owned(lost).into_iter().collect(), ties: owned(ties) }
+    FallbackPlan { lost: owned(lost).into_iter().collect(), upstreams: owned(ties) }
 }
 
 /// East and north say for so long that they hear nothing of west, and no service says anything.
--- a/crates/branch/tests/feeds.rs
+++ b/crates/branch/tests/feeds.rs
@@ -31,7 +31,7 @@
                 let first = ToFollower::Version { term: 1, shape, plans: Vec::new() };
                 let _ = to.write_all(&messages::encode_line(&first));
                 for _ in BufReader::new(stream).lines().map_while(Result::ok).skip(1) {
-                    let _ = to.write_all(&messages::encode_line(&ToFollower::Beat { term: 1, last: 5 }));
+                    let _ = to.write_all(&messages::encode_line(&ToFollower::Heartbeat { term: 1, last: 5 }));
                 }
             });
         }
--- a/crates/cli/src/draw.rs
+++ b/crates/cli/src/draw.rs
@@ -12,12 +12,12 @@
 /// The rows of a shape, the archive's first; a place stands one row under the lowest that it is tied to.
 fn rows(shape: &Shape) -> Vec<Vec<NodeIndex>> {
     let mut level: BTreeMap<NodeIndex, usize> = BTreeMap::from([(ARCHIVE, 0)]);
-    let many = shape.places().count();
+    let many = shape.nodes().count();
     // As often as there are tiers, and never for good: a picture is drawn of what has loops, too.
     for _ in 0..many {
         let mut moved = false;
-        for (at, _) in shape.places().filter(|(at, _)| *at != ARCHIVE) {
-            let above = shape.ties(at).iter().filter_map(|tie| level.get(tie)).max().copied();
+        for (at, _) in shape.nodes().filter(|(at, _)| *at != ARCHIVE) {
+            let above = shape.upstreams(at).iter().filter_map(|tie| level.get(tie)).max().copied();
             let own = above.map_or(1, |above| (above + 1).min(many));
             moved |= level.insert(at, own) != Some(own);
         }
@@ -27,7 +27,7 @@
     }
     let lowest = level.values().copied().max().unwrap_or(0);
     let mut rows = vec![Vec::new(); lowest + 1];
-    for (at, place) in shape.places() {
+    for (at, place) in shape.nodes() {
         let row = if matches!(place, Node::Branch(_)) { lowest } else { level[&at] };
         rows[row].push(at);
     }
@@ -50,7 +50,7 @@
          font-family=\"sans-serif\" font-size=\"11\">\n<rect width=\"100%\" height=\"100%\" fill=\"white\"/>\n"
     );
     for (at, (x, y)) in &spot {
-        for tie in shape.ties(*at) {
+        for tie in shape.upstreams(*at) {
             let Some((to_x, to_y)) = spot.get(tie) else { continue };
             let (from, to) = (x + BOX.0 / 2, to_x + BOX.0 / 2);
             let _ = writeln!(
@@ -61,7 +61,7 @@
         }
     }
     for (at, (x, y)) in &spot {
-        let Some(place) = shape.place(*at) else { continue };
+        let Some(place) = shape.node(*at) else { continue };
         let (fill, figures) = match place {
             Node::Archive(a) => ("#fde9c9", format!("{:.0} of {:.0}", loads.of(*at), a.capacity)),
             Node::Hub(hub) => ("#d6e6f7", format!("{:.0} of {:.0}", loads.of(*at), hub.capacity)),
@@ -86,14 +86,14 @@
 
 pub fn dot(shape: &Shape) -> String {
     let mut text = String::from("digraph shape {\n  rankdir=BT;\n");
-    for (at, place) in shape.places() {
+    for (at, place) in shape.nodes() {
         let form = match place {
             Node::Archive(_) => "cylinder",
             Node::Hub(_) => "box",
             Node::Branch(_) => "ellipse",
         };
         let _ = writeln!(text, "  \"{}\" [shape={form}];", place.name());
-        for tie in shape.ties(at) {
+        for tie in shape.upstreams(at) {
             let _ = writeln!(text, "  \"{}\" -> \"{}\";", place.name(), shape.name(*tie));
         }
     }
@@ -103,7 +103,7 @@
 /// A plan over time: a row a step, its length the load that it moves.
 pub fn plan_svg(plan: &Plan) -> String {
     let height = plan.steps.len() * 22 + 40;
-    let lasts = plan.lasts().seconds().max(1.0);
+    let lasts = plan.min_duration().seconds().max(1.0);
     let mut text = format!(
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"760\" height=\"{height}\" \
          font-family=\"sans-serif\" font-size=\"11\">\n<rect width=\"100%\" height=\"100%\" fill=\"white\"/>\n"
@@ -111,7 +111,7 @@
     for (n, step) in plan.steps.iter().enumerate() {
         let (y, at) = (20 + n * 22, step.not_before_ms as f64 / 1e3);
         let x = 60.0 + at / lasts * 400.0;
-        let places: Vec<&str> = step.moves.iter().map(|one| one.place.as_str()).take(6).collect();
+        let places: Vec<&str> = step.moves.iter().map(|one| one.node.as_str()).take(6).collect();
         let _ = writeln!(
             text,
             "<text x=\"8\" y=\"{}\">{}</text><rect x=\"{x:.0}\" y=\"{y}\" width=\"{:.0}\" height=\"16\" \
--- a/crates/cli/src/shape.rs
+++ b/crates/cli/src/shape.rs
@@ -220,7 +220,12 @@
 }
 
 fn print_plan(plan: &Plan) {
-    println!("from version {}, {} steps, {:.1} s", plan.from, plan.steps.len(), plan.lasts().seconds());
+    println!(
+        "from version {}, {} steps, {:.1} s",
+        plan.from,
+        plan.steps.len(),
+        plan.min_duration().seconds()
+    );
     for step in &plan.steps {
         let needs: Vec<_> = step
             .needs
@@ -230,7 +235,7 @@
         let needs = if needs.is_empty() { String::new() } else { format!(", needs {}", needs.join(", ")) };
         println!("step {}: {:.1}% of the load{needs}", step.number, step.moved * 100.0);
         for one in &step.moves {
-            println!("  {}: {} -> {}", one.place, one.from.join(" "), one.to.join(" "));
+            println!("  {}: {} -> {}", one.node, one.from.join(" "), one.to.join(" "));
         }
     }
 }
@@ -248,7 +253,7 @@
     });
     loop {
         let said = match reading.next().map_err(Failure::Away)? {
-            Response::Said(said) => said,
+            Response::Event(said) => said,
             Response::Refused(lines) => return Err(Failure::Refused(lines.join("\n"))),
             other => return Err(Failure::Away(format!("an answer of another kind: {other:?}"))),
         };
@@ -272,7 +277,7 @@
 
 fn show(bar: &ProgressBar, said: &ChangeEvent) {
     match said {
-        ChangeEvent::Begun { steps, .. } => bar.set_length(*steps as u64),
+        ChangeEvent::Started { steps, .. } => bar.set_length(*steps as u64),
         ChangeEvent::StepSettled { step, .. } => bar.set_position(*step as u64),
         _ => {}
     }
@@ -281,25 +286,25 @@
 
 fn worded(said: &ChangeEvent) -> String {
     match said {
-        ChangeEvent::Begun { from, steps, by } => format!("from version {from}, {steps} steps, by {by}"),
-        ChangeEvent::StepOut { step, of, version } => {
+        ChangeEvent::Started { from, steps, by } => format!("from version {from}, {steps} steps, by {by}"),
+        ChangeEvent::StepPublished { step, of, version } => {
             format!("step {step} of {of} is out as version {version}")
         }
         ChangeEvent::StepSettled { step, of } => format!("step {step} of {of} has settled"),
-        ChangeEvent::StepUndone { step, version, why } => {
-            format!("step {step} undone by version {version}: {why}")
+        ChangeEvent::StepReverted { step, version, reason } => {
+            format!("step {step} undone by version {version}: {reason}")
         }
-        ChangeEvent::Held { step, of, why } => format!("after step {step} of {of}: {why}"),
+        ChangeEvent::Held { step, of, reason } => format!("after step {step} of {of}: {reason}"),
         ChangeEvent::Ended { complete: true, version } => format!("complete at version {version}"),
         ChangeEvent::Ended { complete: false, version } => format!("given up at version {version}"),
-        ChangeEvent::Site { site, is, why } => {
-            format!("site {site} is {} now: {why}", harestage_sites::site_state::state_label(is))
+        ChangeEvent::Site { site, state, reason } => {
+            format!("site {site} is {} now: {reason}", harestage_sites::site_state::state_label(state))
         }
-        ChangeEvent::Seen { site, view, .. } => format!("site {site} is held to be {view}"),
-        ChangeEvent::Loop { hub, object, path, waited_ms, before } => {
+        ChangeEvent::ViewChanged { site, view, .. } => format!("site {site} is held to be {view}"),
+        ChangeEvent::WaitCycle { hub, object, path, waited_ms, seen_before } => {
             let path = path.join(" -> ");
             format!(
-                "{hub} broke loop {path} of object {object} after {waited_ms:.0} ms, seen {before} times before"
+                "{hub} broke loop {path} of object {object} after {waited_ms:.0} ms, seen {seen_before} times before"
             )
         }
     }
@@ -336,7 +341,7 @@
     }
     println!(
         "archive: {:.2} of its stopping point, parts given out {:.1}",
-        status.archive_share, status.given_out
+        status.archive_share, status.allocated
     );
     for member in &status.members {
         println!(
@@ -344,12 +349,12 @@
             member.name, member.version, member.silent_ms, member.slowness, member.fetches
         );
     }
-    println!("loops broken: {}", status.loops);
-    status.last_loops.iter().for_each(|said| println!("  {}", worded(said)));
+    println!("loops broken: {}", status.wait_cycles);
+    status.last_wait_cycles.iter().for_each(|said| println!("  {}", worded(said)));
 }
 
 fn draw_file(file: &Path, dot: bool) -> Result<(), Failure> {
-    let shape = topology::Shape::of(&read(file)?).map_err(|complaints| {
+    let shape = topology::Shape::from_config(&read(file)?).map_err(|complaints| {
         Failure::Refused(complaints.iter().map(|c| c.to_string()).collect::<Vec<_>>().join("\n"))
     })?;
     print!("{}", if dot { draw::dot(&shape) } else { draw::svg(&shape) });
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -99,7 +99,7 @@
 }
 
 fn print_status(status: &SiteStatus) {
-    let SiteStatus { site, standing, view, hubs, witnesses, .. } = status;
+    let SiteStatus { site, state: standing, view, hubs, witnesses, .. } = status;
     println!(
         "{site:<12} {}, seen as {}; {hubs} hubs, {witnesses} witnesses",
         state_label(standing),
@@ -128,16 +128,16 @@
         return Ok(());
     }
     print_plan(&plan);
-    for (place, ties) in &plan.ties {
+    for (place, ties) in &plan.upstreams {
         println!("  {place}: {}", ties.join(" "));
     }
     Ok(())
 }
 
 fn ask(service: &Service, site: String, ask: SiteCommand, by: String) -> Result<(), Failure> {
-    match call(service, &controller::SiteRequest::Site { site, ask, by })? {
-        SiteResponse::SiteBegun { site, standing } => {
-            println!("site {site} is {} now", state_label(&standing));
+    match call(service, &controller::SiteRequest::Site { site, command: ask, by })? {
+        SiteResponse::SiteBegun { site, state } => {
+            println!("site {site} is {} now", state_label(&state));
             Ok(())
         }
         other => Err(unexpected(&other)),
@@ -155,7 +155,7 @@
     };
     println!(
         "{lost:<28} {says}; {} places move, fullest {} at {:.2}, archive {:.2} at first and {:.2} then",
-        plan.ties.len(),
+        plan.upstreams.len(),
         plan.fullest,
         plan.fullest_share,
         plan.archive_first,
@@ -173,7 +173,8 @@
         return Err(Failure::Refused(format!("{}: no hub names a site", file.display())));
     }
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let plans = SitePlans::of(&shape, None, which == Lose::Each, Moment::at_micros(unix.as_micros() as u64));
+    let plans =
+        SitePlans::build(&shape, None, which == Lose::Each, Moment::at_micros(unix.as_micros() as u64));
     let borne = plans.all().all(SitePlan::fits);
     if json {
         let plans: Vec<&SitePlan> = plans.all().collect();
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -136,7 +136,7 @@
     fn entry(effect: &Effect) -> Option<Vec<u8>> {
         match effect {
             Effect::Write(record) => Some(journal::bytes(record)),
-            Effect::Publish(_) | Effect::Say(_) => None,
+            Effect::Publish(_) | Effect::Announce(_) => None,
         }
     }
 
@@ -147,9 +147,9 @@
                 info!(host.log(), "published"; "version" => version);
                 host.hosted.told.set(host.hosted.told.get().max(version));
             }
-            Effect::Say(said) => {
-                if let ChangeEvent::Site { site, is, why } = &said {
-                    info!(host.log(), "site"; "site" => site, "is" => standing(is), "why" => why);
+            Effect::Announce(said) => {
+                if let ChangeEvent::Site { site, state, reason } = &said {
+                    info!(host.log(), "site"; "site" => site, "is" => standing(state), "why" => reason);
                 }
                 info!(host.log(), "change"; "said" => serde_json::to_string(&said).unwrap_or_default());
                 let mut all = host.hosted.said.borrow_mut();
@@ -175,7 +175,7 @@
         while !host.council.is_broken() {
             Timer::after(BEAT).await;
             let now = host.now();
-            let beat = |director: &mut SiteController| director.beat(host.name(), &host.hosted.site, now);
+            let beat = |director: &mut SiteController| director.tick(host.name(), &host.hosted.site, now);
             let effects = host.with(beat).unwrap_or_default();
             if !effects.is_empty() {
                 host.carry_out(effects);
@@ -223,18 +223,18 @@
 
 fn of_sites(service: &Service, call: controller::SiteRequest) -> controller::SiteResponse {
     let now = service.now();
-    match service.with(|director| director.answer(call, now)) {
+    match service.with(|director| director.handle_request(call, now)) {
         Some((answer, effects)) => {
             service.carry_out(effects);
             answer
         }
-        None => controller::SiteResponse::Elsewhere { serves: service.council.elsewhere() },
+        None => controller::SiteResponse::NotLeader { leader: service.council.elsewhere() },
     }
 }
 
 /// Tells a member or an operator who does speak; whether they take it says nothing.
 async fn elsewhere(service: &Service, stream: &Stream) -> Result<(), String> {
-    let _ = say(stream, &ToMember::Elsewhere { serves: service.council.elsewhere() }).await;
+    let _ = say(stream, &ToMember::NotLeader { leader: service.council.elsewhere() }).await;
     Ok(())
 }
 
@@ -258,9 +258,11 @@
             let control = director.control();
             let shape = control.version(told).filter(|shape| shape.version() > last)?;
             let (form, plans) = match place {
-                Place::Hub(hub) => (feed::config_for_hubs(shape), director.handed(hub)),
-                Place::Branch(branch) => (feed::config_for_branch(shape, branch)?, director.handed(branch)),
-                Place::All => (shape.form(), Vec::new()),
+                Place::Hub(hub) => (feed::config_for_hubs(shape), director.plans_for_node(hub)),
+                Place::Branch(branch) => {
+                    (feed::config_for_branch(shape, branch)?, director.plans_for_node(branch))
+                }
+                Place::All => (shape.to_config(), Vec::new()),
             };
             Some(ToMember::Version { term: control.term(), shape: Box::new(form), plans })
         });
@@ -283,10 +285,10 @@
         };
         let now = service.now();
         let heard = service.with(|director| {
-            let (part, effects) = director.hear(name, &report, now);
+            let (part, effects) = director.on_report(name, &report, now);
             let control = director.control();
-            let beat = ToMember::Beat { term: control.term(), last: control.shape().version() };
-            (part.map_or(beat, ToMember::Part), effects)
+            let beat = ToMember::Heartbeat { term: control.term(), last: control.shape().version() };
+            (part.map_or(beat, ToMember::Share), effects)
         });
         let Some((answer, effects)) = heard else { return elsewhere(service, lines.stream()).await };
         if !effects.is_empty() {
@@ -302,7 +304,7 @@
     let answer = match call {
         Request::Status => service.with(|director| Response::Status(Box::new(director.status(now)))),
         Request::Shape => {
-            service.with(|director| Response::Shape(Box::new(director.control().shape().form())))
+            service.with(|director| Response::Shape(Box::new(director.control().shape().to_config())))
         }
         Request::Plan { form } => {
             service.with(|director| match plan::plan_change(director.control().shape(), &form, now) {
@@ -326,7 +328,7 @@
         }
         Request::Watch => None,
     };
-    let answer = answer.unwrap_or_else(|| Response::Elsewhere { serves: service.council.elsewhere() });
+    let answer = answer.unwrap_or_else(|| Response::NotLeader { leader: service.council.elsewhere() });
     say(stream, &answer).await
 }
 
@@ -340,13 +342,13 @@
         after = last;
         for said in new {
             let ended = matches!(said, ChangeEvent::Ended { .. });
-            say(stream, &Response::Said(said)).await?;
+            say(stream, &Response::Event(said)).await?;
             if ended && to_the_end {
                 return Ok(());
             }
         }
         if !service.speaks() {
-            let answer = Response::Elsewhere { serves: service.council.elsewhere() };
+            let answer = Response::NotLeader { leader: service.council.elsewhere() };
             return say(stream, &answer).await;
         }
         service.until_news(LOOK).await;
--- a/crates/control/tests/journals.rs
+++ b/crates/control/tests/journals.rs
@@ -10,8 +10,8 @@
 use std::path::PathBuf;
 
 fn record(n: u64) -> Record {
-    let stage = Transition::Out { step: n as usize, version: n + 1 };
-    Record { term: 1, entry: if n == 0 { Entry::Opened } else { Entry::Stage(stage) } }
+    let stage = Transition::Published { step: n as usize, version: n + 1 };
+    Record { term: 1, entry: if n == 0 { Entry::Opened } else { Entry::Transition(stage) } }
 }
 
 fn shape() -> Record {
--- a/crates/following/src/control.rs
+++ b/crates/following/src/control.rs
@@ -156,14 +156,14 @@
                 info!(self.log, "version"; "number" => shape.version, "term" => its, "plans" => plans.len());
                 self.member.hear(Heard::Version { term: its, shape, plans }).await;
             }
-            ToMember::Part(part) => {
+            ToMember::Share(part) => {
                 self.is_up();
                 let asked = self.asked.borrow_mut().pop_front();
                 if let Some(asked) = asked {
                     self.member.hear(Heard::Part { part, asked }).await;
                 }
             }
-            ToMember::Beat { term: its, .. } => {
+            ToMember::Heartbeat { term: its, .. } => {
                 self.asked.borrow_mut().pop_front();
                 if let Some(why) = self.stale(its) {
                     return Some(why);
@@ -171,8 +171,8 @@
                 self.is_up();
                 self.member.hear(Heard::Beat).await;
             }
-            ToMember::Elsewhere { serves } => {
-                self.leader.borrow_mut().elsewhere(serves.as_deref());
+            ToMember::NotLeader { leader } => {
+                self.leader.borrow_mut().elsewhere(leader.as_deref());
                 return Some("this member does not speak".into());
             }
         }
--- a/crates/hub/src/desk/above.rs
+++ b/crates/hub/src/desk/above.rs
@@ -108,7 +108,7 @@
             }
             return self.advance(key, now);
         }
-        self.archive.shield.filled(key);
+        self.archive.shield.on_filled(key);
         let Some(mut fill) = self.end(key) else { return };
         let lasted = now.since(fill.begun).seconds();
         self.gauges.lasted.add(now, lasted);
--- a/crates/hub/src/desk/archive.rs
+++ b/crates/hub/src/desk/archive.rs
@@ -37,10 +37,10 @@
             false => {
                 let fenced = self.sources.fenced(shape);
                 let asked: Vec<NodeIndex> = fill.asked.iter().copied().chain(fenced).collect();
-                self.archive.shield.right(&self.versions, me, key, &asked, &silent, now)
+                self.archive.shield.check(&self.versions, me, key, &asked, &silent, now)
             }
         };
-        self.circles.knots.waits(key, None, now);
+        self.circles.knots.wait_started(key, None, now);
         match right {
             FetchRight::Ask(whom) => {
                 let way = self.way(&[], shape.version(), true);
@@ -60,10 +60,14 @@
                 if !self.climbs(now) {
                     return self.stage(key, Stage::Resting, Some(now + BEAT), now);
                 }
-                let lets = if queued { self.archive.share.again(now) } else { self.archive.share.lets(now) };
+                let lets = if queued {
+                    self.archive.share.retry_fetch(now)
+                } else {
+                    self.archive.share.try_fetch(now)
+                };
                 self.fills.get_mut(key).into_iter().for_each(|fill| fill.queued = !lets);
                 if !lets {
-                    let next = self.archive.share.next(now);
+                    let next = self.archive.share.next_fetch_at(now);
                     return self.stage(key, Stage::Resting, Some(next), now);
                 }
                 self.gauges.fetches.add(now, 1.0);
--- a/crates/hub/src/desk/below.rs
+++ b/crates/hub/src/desk/below.rs
@@ -31,7 +31,7 @@
         if let Some(way) = asked.way.as_ref().filter(|way| way.hand_over) {
             let by = way.path.last().cloned().unwrap_or_default();
             let under_way = self.fills.has(key);
-            let reply = self.archive.shield.asked(key, &by, good.is_some(), under_way, now);
+            let reply = self.archive.shield.on_request(key, &by, good.is_some(), under_way, now);
             return self.hand_over(conn, asked.id, reply, good);
         }
         if let Some(copy) = good {
@@ -143,7 +143,7 @@
         if new {
             self.advance_by(key, &path, now);
         } else {
-            let act = self.circles.knots.joined(key, &path, now);
+            let act = self.circles.knots.on_join(key, &path, now);
             self.act(act, now);
         }
     }
--- a/crates/hub/src/desk/circles.rs
+++ b/crates/hub/src/desk/circles.rs
@@ -32,12 +32,12 @@
     pub(super) fn chased(&mut self, chase: Chase, now: Moment) {
         let key = (chase.object.number(), chase.part);
         let chase = wait_cycles::Chase { key, path: chase.path, closed: chase.closed };
-        let act = self.circles.knots.chased(chase, now);
+        let act = self.circles.knots.on_chase(chase, now);
         self.act(act, now);
     }
 
     pub(super) fn circles_beat(&mut self, now: Moment) {
-        for act in self.circles.knots.beat(now) {
+        for act in self.circles.knots.tick(now) {
             self.act(Some(act), now);
         }
     }
@@ -45,7 +45,7 @@
     pub(super) fn act(&mut self, act: Option<Action>, now: Moment) {
         match act {
             Some(Action::Send { to, chase }) => self.send_chase(&to, chase),
-            Some(Action::Leave { knot }) => self.leave(knot, now),
+            Some(Action::Leave { cycle }) => self.leave(cycle, now),
             // A way that long is no way: whoever waits gives up by its own deadline.
             Some(Action::TooLong { .. }) | None => {}
         }
@@ -73,7 +73,7 @@
                 object: format!("{:016x}", knot.key.0),
                 path: knot.path.clone(),
                 waited_ms: knot.waited.as_micros() as f64 / 1e3,
-                before: knot.before,
+                seen_before: knot.seen_before,
             });
         }
         let key = knot.key;
--- a/crates/hub/src/desk/fills.rs
+++ b/crates/hub/src/desk/fills.rs
@@ -270,7 +270,7 @@
     pub(super) fn end(&mut self, key: Key) -> Option<Fill> {
         let fill = self.fills.remove(key)?;
         self.versions.unpin(fill.version);
-        self.circles.knots.over(key);
+        self.circles.knots.wait_ended(key);
         fill.bell.into_iter().for_each(|bell| self.bells.stop(bell));
         Some(fill)
     }
--- a/crates/hub/src/desk/gauges.rs
+++ b/crates/hub/src/desk/gauges.rs
@@ -64,7 +64,8 @@
 impl Desk {
     /// For the control service, some times a second.
     pub fn report(&mut self, now: Moment) -> HubReport {
-        let ((wants, part), holds) = (self.archive.share.ask(now), self.archive.share.holds(now));
+        let ((wants, part), holds) =
+            (self.archive.share.take_demand(now), self.archive.share.granted_rate(now));
         let (slowness, archive_slowness) =
             (self.gauges.lasted.slowness(now), self.gauges.fetched.slowness(now));
         let (fetches, asked) = (self.gauges.fetches.count(now), self.gauges.asked.count(now));
@@ -74,14 +75,14 @@
             version: self.version(),
             slowness,
             archive_slowness,
-            asked,
-            fetches,
-            wants,
-            part,
-            holds,
-            loops,
+            request_rate: asked,
+            fetch_rate: fetches,
+            wanted_rate: wants,
+            share_number: part,
+            granted_rate: holds,
+            wait_cycles: loops,
             site,
-            sightings,
+            observations: sightings,
         }
     }
 
--- a/crates/hub/src/desk/mod.rs
+++ b/crates/hub/src/desk/mod.rs
@@ -129,7 +129,7 @@
             }
             News::Part { part, asked } => {
                 self.service_spoke(now);
-                self.archive.share.told(part, asked, now);
+                self.archive.share.on_share(part, asked, now);
             }
             News::Plans { version, term, plans } => {
                 self.term = self.term.max(term);
@@ -154,7 +154,7 @@
                 self.start.hear(Fact::PurgesKnown);
             }
             News::Seen { ask, leaving, unseen } => self.seen(ask, leaving, &unseen, now),
-            News::Named { addressed, own } => self.circles.knots.known_as(&addressed, &own),
+            News::Named { addressed, own } => self.circles.knots.add_alias(&addressed, &own),
         }
     }
 
--- a/crates/hub/src/desk/rationing.rs
+++ b/crates/hub/src/desk/rationing.rs
@@ -53,12 +53,12 @@
     /// ran; each connection from below, a branch's cache, has a fair part where the line falls. None: it is taken.
     pub fn refuses(&mut self, conn: ConnNo, key: Key, worth: f64, chance: f64, now: Moment) -> Option<Span> {
         // The protocol of the caches has no word for a second try: who was refused and asks again makes one.
-        let second_try = self.refusals.has(&(conn, key), now);
-        let want = QuotaRequest { worth, takes: 1.0, second_try, branch: conn as u32 };
-        match self.ration.ask(&want, chance, now) {
-            Admission::Taken => None,
-            Admission::ComeAgain(after) => {
-                self.refusals.note(&(conn, key), now);
+        let second_try = self.refusals.contains(&(conn, key), now);
+        let want = QuotaRequest { value: worth, units: 1.0, is_retry: second_try, branch: conn as u32 };
+        match self.ration.admit(&want, chance, now) {
+            Admission::Admitted => None,
+            Admission::RetryAfter(after) => {
+                self.refusals.record(&(conn, key), now);
                 Some(after)
             }
         }
@@ -66,29 +66,29 @@
 
     /// A first attempt pays for a part of a repeated one.
     pub fn first(&mut self, now: Moment) {
-        self.budget.first(now);
+        self.budget.on_first_attempt(now);
     }
 
     pub fn lets_repeat(&mut self, now: Moment) -> bool {
-        self.budget.lets(now)
+        self.budget.allow_retry(now)
     }
 }
 
 impl Desk {
     /// What was refused here lately, and how much of it out of its order.
     pub fn refused(&self) -> QuotaStats {
-        self.rationing.ration.tally()
+        self.rationing.ration.stats()
     }
 
     pub(super) fn ration_beats(&mut self, now: Moment) {
         let room = self.room(now);
-        self.rationing.ration.set_room(room);
+        self.rationing.ration.set_capacity(room);
     }
 
     /// What it can do at its age, by the newest version; none where no version names it.
     fn room(&self, now: Moment) -> Option<f64> {
         let shape = self.versions.newest()?;
-        let hub = shape.place(shape.find(&self.name)?).and_then(Node::hub)?;
+        let hub = shape.node(shape.find(&self.name)?).and_then(Node::as_hub)?;
         let age = match hub.since_ms {
             0 => Span::millis(hub.cold_ms),
             since_ms => now.since(Moment::at_micros(since_ms.saturating_mul(1_000))),
--- a/crates/hub/src/desk/sites.rs
+++ b/crates/hub/src/desk/sites.rs
@@ -51,7 +51,7 @@
     }
 
     pub fn sightings(&self) -> Vec<SiteObservation> {
-        self.sight.sightings()
+        self.sight.observations()
     }
 
     /// That version with the ties of the plan that it goes by.
@@ -61,18 +61,18 @@
 
     /// The sites that are lost by the plan that it goes by.
     pub fn lost_by_plan(&self) -> String {
-        self.standby.without().iter().cloned().collect::<Vec<_>>().join("+")
+        self.standby.excluded_sites().iter().cloned().collect::<Vec<_>>().join("+")
     }
 
     fn unseen(&self) -> Vec<String> {
-        let silent = self.sight.sightings().into_iter().filter(|seen| seen.unanswered >= SITE_SILENT);
+        let silent = self.sight.observations().into_iter().filter(|seen| seen.unanswered >= SITE_SILENT);
         silent.map(|seen| seen.site).collect()
     }
 
     /// Hubs of sites from which nothing is heard: to ask them one by one would cost a time-out each.
     pub fn silent_hubs(&self, shape: &Shape) -> Vec<NodeIndex> {
         let mut silent = self.unseen();
-        silent.extend(self.standby.without().iter().cloned());
+        silent.extend(self.standby.excluded_sites().iter().cloned());
         if silent.is_empty() {
             return Vec::new();
         }
@@ -94,14 +94,14 @@
         self.bells.set(now + LOOKS_EVERY, Bell::Look);
         let Some(shape) = self.versions.newest().cloned() else { return };
         let others: Vec<&str> = shape.sites().into_iter().filter(|site| *site != self.sites.site).collect();
-        self.sites.sight.look_at(others.iter().copied());
-        self.sites.sight.beat(now);
+        self.sites.sight.set_sites(others.iter().copied());
+        self.sites.sight.tick(now);
         self.sites.asked_next += 1;
         for site in others {
             let there: Vec<NodeIndex> =
                 shape.hubs().filter(|(_, hub)| hub.site == site).map(|(at, _)| at).collect();
             let to = there.get(self.sites.asked_next % there.len().max(1)).and_then(|at| peer(&shape, *at));
-            let (Some(to), Some(number)) = (to, self.sites.sight.asks(site, now)) else { continue };
+            let (Some(to), Some(number)) = (to, self.sites.sight.on_query(site, now)) else { continue };
             let ask = self.next_pull();
             self.sites.asks.insert(ask, (to.name.clone(), site.into(), number));
             self.orders.push(Order::Look { ask, to });
@@ -115,7 +115,7 @@
     /// Somebody at another site has answered; what it misses itself counts as its word.
     pub(super) fn seen(&mut self, ask: PullNo, leaving: bool, unseen: &[String], now: Moment) {
         let Some((hub, site, number)) = self.sites.asks.remove(&ask) else { return };
-        self.sites.sight.answered(&site, number, leaving, now);
+        self.sites.sight.on_answer(&site, number, leaving, now);
         let Some(shape) = self.versions.newest() else { return };
         let others = shape.sites().into_iter().filter(|other| *other != site);
         let sightings = others.map(|other| SiteObservation {
@@ -126,7 +126,7 @@
             leaving: false,
         });
         let sightings = sightings.collect();
-        self.sites.standby.hear(&hub, &site, sightings, now);
+        self.sites.standby.on_observations(&hub, &site, sightings, now);
     }
 
     /// Sites from which it hears nothing, for whoever asks.
@@ -138,22 +138,22 @@
         let Some(shape) = self.versions.newest().filter(|shape| shape.version() == version).cloned() else {
             return;
         };
-        self.sites.standby.handed(version, shape.sites().into_iter(), plans, now);
+        self.sites.standby.set_version(version, shape.sites().into_iter(), plans, now);
         self.go_by_plan();
     }
 
     pub(super) fn service_spoke(&mut self, now: Moment) {
-        if let Some(turn) = self.sites.standby.service_spoke(now) {
+        if let Some(turn) = self.sites.standby.on_service_message(now) {
             self.sites.planned = None;
             self.orders.push(Order::Turned(turn));
         }
     }
 
     fn stand_by(&mut self, now: Moment) {
-        let sightings = self.sites.sight.sightings();
+        let sightings = self.sites.sight.observations();
         let (name, site) = (self.name.clone(), self.sites.site.clone());
-        self.sites.standby.hear(&name, &site, sightings, now);
-        let turn = self.sites.standby.beat(now).filter(|_| !self.alone);
+        self.sites.standby.on_observations(&name, &site, sightings, now);
+        let turn = self.sites.standby.tick(now).filter(|_| !self.alone);
         if let Some(turn) = turn {
             self.go_by_plan();
             self.orders.push(Order::Turned(turn));
@@ -163,10 +163,10 @@
     /// The newest version with the ties that the plan names for this hub.
     fn go_by_plan(&mut self) {
         self.sites.planned = self.versions.newest().and_then(|shape| {
-            let ties = self.sites.standby.ties()?;
+            let ties = self.sites.standby.upstreams()?;
             let ties: Vec<NodeIndex> = ties.iter().filter_map(|tie| shape.find(tie)).collect();
             let me = shape.find(&self.name).filter(|_| !ties.is_empty())?;
-            Some(shape.with_ties(shape.version(), [(me, ties.as_slice())]))
+            Some(shape.with_upstreams(shape.version(), [(me, ties.as_slice())]))
         });
     }
 }
--- a/crates/hub/src/desk/versions.rs
+++ b/crates/hub/src/desk/versions.rs
@@ -13,8 +13,8 @@
     pub(super) fn told(&mut self, form: &ShapeConfig, now: Moment) {
         let shape = match self.versions.newest() {
             Some(newest) if form.version <= newest.version() => return,
-            Some(newest) => newest.followed_by(form),
-            None => Shape::of(form),
+            Some(newest) => newest.successor(form),
+            None => Shape::from_config(form),
         };
         let shape = match shape {
             Ok(shape) => shape,
@@ -23,9 +23,9 @@
                 return self.audit.iter_mut().for_each(|audit| audit.acting.refuses(form.version, &why));
             }
         };
-        let (archive, tops) = (shape.archive(), shape.tops().len());
-        self.archive.share.known(archive.capacity * archive.stops_at, tops, self.alone);
-        self.versions.enter(shape, now);
+        let (archive, tops) = (shape.archive(), shape.top_hubs().len());
+        self.archive.share.configure(archive.capacity * archive.stops_at, tops, self.alone);
+        self.versions.insert(shape, now);
         self.start.hear(Fact::Shape);
         // What rests may have another way now.
         let resting = self.fills.each(|fill| matches!(fill.stage, Stage::Resting).then_some(()));
@@ -49,7 +49,7 @@
             }
             Bring::Difference { from, to, ties } => {
                 let Some(own) = self.versions.newest().filter(|own| own.version() == from) else { return };
-                let mut form = own.form();
+                let mut form = own.to_config();
                 form.version = to;
                 for (place, up) in ties {
                     form.hubs.iter_mut().filter(|hub| hub.name == place).for_each(|hub| hub.up = up.clone());
--- a/crates/hub/src/desk/ways.rs
+++ b/crates/hub/src/desk/ways.rs
@@ -116,9 +116,9 @@
 
     pub(super) fn wait_on(&mut self, key: Key, hub: NodeIndex, path: &[String], shape: &Shape, now: Moment) {
         let name = shape.name(hub).to_string();
-        self.circles.knots.waits(key, Some(&name), now);
+        self.circles.knots.wait_started(key, Some(&name), now);
         // The path of the pull that began it; those who join later are followed by chases.
-        let act = self.circles.knots.joined(key, path, now);
+        let act = self.circles.knots.on_join(key, path, now);
         let way = self.way(path, shape.version(), false);
         let pull = self.pull(key, hub, shape, false, Some(way), now);
         self.stage(key, Stage::Waiting { pull, on: hub }, Some(now + STALLED), now);
@@ -199,7 +199,7 @@
 }
 
 pub(super) fn peer(shape: &Shape, at: NodeIndex) -> Option<Peer> {
-    let (name, address) = match shape.place(at)? {
+    let (name, address) = match shape.node(at)? {
         Node::Archive(archive) => (&archive.name, &archive.address),
         Node::Hub(hub) => (&hub.name, &hub.address),
         Node::Branch(_) => return None,
--- a/crates/hub/src/net/mod.rs
+++ b/crates/hub/src/net/mod.rs
@@ -222,7 +222,7 @@
         let tally = shared.desk.borrow().refused();
         if tally.refused > before.refused {
             info!(log, "refused"; "refused" => tally.refused - before.refused,
-                "taken" => tally.taken - before.taken, "second_tries" => tally.second_tries - before.second_tries,
+                "taken" => tally.admitted - before.admitted, "second_tries" => tally.retries - before.retries,
                 "out_of_order" => tally.out_of_order - before.out_of_order);
             before = tally;
         }
@@ -297,8 +297,8 @@
                     shared.ends.notify(usize::MAX);
                     shared.anew.set(true);
                 }
-                Order::Turned(FallbackChange::Back) => info!(log, "goes by its version again"),
-                Order::Turned(FallbackChange::Without { lost, planned }) => {
+                Order::Turned(FallbackChange::Left) => info!(log, "goes by its version again"),
+                Order::Turned(FallbackChange::Entered { lost, planned }) => {
                     let lost = lost.into_iter().collect::<Vec<_>>().join(" ");
                     warn!(log, "goes without a site, with no service"; "lost" => lost, "planned" => planned);
                 }
@@ -306,7 +306,7 @@
                     let (path, object) = (knot.path.join(" -> "), format!("{:016x}", knot.key.0));
                     let waited_ms = knot.waited.as_micros() as f64 / 1e3;
                     warn!(log, "loop broken"; "path" => path, "object" => object, "waited_ms" => waited_ms,
-                        "seen_before" => knot.before);
+                        "seen_before" => knot.seen_before);
                 }
             }
         }
--- a/crates/keeper/src/serve.rs
+++ b/crates/keeper/src/serve.rs
@@ -320,7 +320,7 @@
             serde_json::from_slice::<shape_lines::Response>(&line).map_err(|why| why.to_string())
         };
         match said.await {
-            Ok(shape_lines::Response::Said(_)) => {
+            Ok(shape_lines::Response::Event(_)) => {
                 info!(service.log(), "goes back"; "from" => shape);
                 return;
             }
--- a/crates/measure/src/capacity/slopes.rs
+++ b/crates/measure/src/capacity/slopes.rs
@@ -116,30 +116,30 @@
 /// All plans of a version, those beside a site that is out, and what each place is handed.
 fn plans(sites: usize) -> Found {
     let form = form(sites);
-    let shape = Shape::of(&form).expect("the run's shape is right");
+    let shape = Shape::from_config(&form).expect("the run's shape is right");
     let begun = Busy::now();
-    let first = SitePlans::of(&shape, None, true, BEGIN);
+    let first = SitePlans::build(&shape, None, true, BEGIN);
     let of_ms = ms(begun);
     let mut moved = form.clone();
     moved.version = 2;
     moved.branches[0].hubs = vec!["hub-1".into(), "hub-2".into()];
-    let moved = shape.followed_by(&moved).expect("the run's shape is right");
+    let moved = shape.successor(&moved).expect("the run's shape is right");
     let begun = Busy::now();
-    let again = SitePlans::of(&moved, Some(&first), true, BEGIN);
+    let again = SitePlans::build(&moved, Some(&first), true, BEGIN);
     let again_ms = ms(begun);
     let begun = Busy::now();
     let beside = plan::plans_with_sites_out(&shape, &BTreeSet::from(["site-00".to_string()]), BEGIN);
     let beside_ms = ms(begun);
     let all: Vec<_> = again.all().cloned().collect();
     let (begun, mut bytes, mut most, mut handed) = (Busy::now(), 0, 0, 0);
-    for (_, place) in shape.places() {
+    for (_, place) in shape.nodes() {
         let planned = fallback::plans_for_node(place.name(), all.iter());
         let own = serde_json::to_vec(&planned).unwrap_or_default().len();
         handed += planned.len();
         bytes += own;
         most = most.max(own);
     }
-    let places = shape.places().count() as f64;
+    let places = shape.nodes().count() as f64;
     Found::from([
         ("of_ms".into(), of_ms),
         ("again_ms".into(), again_ms),
@@ -155,7 +155,7 @@
 }
 
 fn fresh_board(sites: usize, now: Moment) -> Board {
-    let shape = Shape::of(&form(sites)).expect("the run's shape is right");
+    let shape = Shape::from_config(&form(sites)).expect("the run's shape is right");
     let form = feed::config_for_branch(&shape, "br-0").expect("it is a branch");
     let mut board = Board::new("br-0", 256, false, now);
     board.told(&form, Vec::new(), now);
@@ -463,16 +463,16 @@
                     version,
                     slowness: 1.0,
                     archive_slowness: 1.0,
-                    asked: 1.0,
-                    fetches: 0.1,
-                    wants: 0.1,
-                    part: 0,
-                    holds: 0.0,
-                    loops: Vec::new(),
+                    request_rate: 1.0,
+                    fetch_rate: 0.1,
+                    wanted_rate: 0.1,
+                    share_number: 0,
+                    granted_rate: 0.0,
+                    wait_cycles: Vec::new(),
                     site: site.clone(),
-                    sightings: Vec::new(),
+                    observations: Vec::new(),
                 };
-                effects.extend(director.hear(name, &report, now).1);
+                effects.extend(director.on_report(name, &report, now).1);
             }
         }
         if !under_way && asked < BURST {
@@ -491,7 +491,7 @@
                 Err(why) => panic!("change {asked}: {why}"),
             }
         }
-        effects.extend(director.beat("control-1", "site-00", now));
+        effects.extend(director.tick("control-1", "site-00", now));
         let took = Span::micros(clock.elapsed().as_micros() as u64);
         reckoned += took.seconds();
         now = now + took;
@@ -501,7 +501,7 @@
                     steps += 1;
                     version.iter_mut().for_each(|known| *known = (number, now + WAY));
                 }
-                Effect::Say(ChangeEvent::Ended { .. }) => {
+                Effect::Announce(ChangeEvent::Ended { .. }) => {
                     under_way = false;
                     done.push((now + WAY).since(BEGIN).seconds() * 1e3);
                 }
--- a/crates/measure/src/effects.rs
+++ b/crates/measure/src/effects.rs
@@ -136,12 +136,12 @@
         now = now + harestage::time::Span::millis(4_000);
         let effects = match decision {
             Decision::Change => control.apply(&form(&["a", "b"]), None, "anna", now).unwrap_or_default(),
-            Decision::Beat => control.beat(now),
+            Decision::Beat => control.tick(now),
             Decision::Jump => {
                 let shape = control.shape();
                 let (branch, to) = (shape.find("br")?, shape.find("b")?);
-                let next = shape.with_ties(shape.version() + 1, [(branch, [to].as_slice())]);
-                control.jump(next)
+                let next = shape.with_upstreams(shape.version() + 1, [(branch, [to].as_slice())]);
+                control.replace_shape(next)
             }
         };
         wait(effects);
--- a/crates/measure/src/rig.rs
+++ b/crates/measure/src/rig.rs
@@ -254,8 +254,8 @@
     let mut lines = open_call(control, &apply).map_err(|why| why.to_string())?;
     loop {
         match next(&mut lines).map_err(|why| why.to_string())? {
-            Response::Said(ChangeEvent::Ended { complete, .. }) => return Ok(complete),
-            Response::Said(_) => {}
+            Response::Event(ChangeEvent::Ended { complete, .. }) => return Ok(complete),
+            Response::Event(_) => {}
             Response::Refused(lines) => return Err(lines.join("\n")),
             other => return Err(format!("{other:?}")),
         }
--- a/crates/measure/src/script.rs
+++ b/crates/measure/src/script.rs
@@ -44,13 +44,13 @@
         self.members.lock().expect("no holder panics").push((name.to_string(), stream.try_clone().ok()?));
         for (number, text) in lines.enumerate() {
             let FromMember::Report(report) = serde_json::from_str(&text).ok()?;
-            let HubReport { loops, .. } = report;
+            let HubReport { wait_cycles: loops, .. } = report;
             let now = Instant::now();
             let mut reported = self.reported.lock().expect("no holder panics");
             reported.extend(loops.into_iter().map(|seen| (now, name.to_string(), seen)));
             drop(reported);
             let part = RateShare { rate: self.part, floor: self.part, number: number as u64 + 1 };
-            (&stream).write_all(&encode_line(&ToMember::Part(part))).ok()?;
+            (&stream).write_all(&encode_line(&ToMember::Share(part))).ok()?;
         }
         Some(())
     }
--- a/crates/measure/src/shape.rs
+++ b/crates/measure/src/shape.rs
@@ -315,7 +315,7 @@
         branch.hubs.dedup();
     }
     let begun = Instant::now();
-    let shape = topology::Shape::of(&from).expect("it holds");
+    let shape = topology::Shape::from_config(&from).expect("it holds");
     figures.set("check_ms", ms(|| validation::validate(&shape).map(|_| ()).expect("it holds")));
     let plan = plan::plan_change(&shape, &to, Moment::at_micros(0)).expect("there is a way");
     let versions: Vec<topology::Shape> =
@@ -335,8 +335,8 @@
     let mut kept = vec![shape.clone()];
     for n in 0..ALIVE {
         let last = kept.last().expect("the first is there");
-        let ties = [last.ties(moved)[0], topology::NodeIndex(1 + n as u32)];
-        kept.push(last.with_ties(2 + n as u64, [(moved, &ties[..])]));
+        let ties = [last.upstreams(moved)[0], topology::NodeIndex(1 + n as u32)];
+        kept.push(last.with_upstreams(2 + n as u64, [(moved, &ties[..])]));
     }
     figures.set("version_kb", (resident_kb() - before) / ALIVE as f64);
     let before = resident_kb();
--- a/crates/measure/src/site.rs
+++ b/crates/measure/src/site.rs
@@ -287,23 +287,23 @@
 fn plans(quick: bool, figures: &mut Figures) {
     let (branches, hubs, sites) = if quick { (2_000, 120, 12) } else { (10_000, 500, 12) };
     let form = large(branches, hubs, sites);
-    let shape = Shape::of(&form).expect("the measurement's shape is right");
+    let shape = Shape::from_config(&form).expect("the measurement's shape is right");
     let now = Moment::at_micros(1);
-    let first = SitePlans::of(&shape, None, true, now);
+    let first = SitePlans::build(&shape, None, true, now);
     let mut moved = form.clone();
     moved.version = 2;
     // One branch, which is tied to two sites before and after.
     for n in 0..1 {
         moved.branches[n * 7].hubs = vec![format!("h-{}", n * 5 + 1), format!("h-{}", n * 5 + 2)];
     }
-    let moved = shape.followed_by(&moved).expect("the measurement's shape is right");
+    let moved = shape.successor(&moved).expect("the measurement's shape is right");
     let begun = Instant::now();
-    let again = SitePlans::of(&moved, Some(&first), true, now);
+    let again = SitePlans::build(&moved, Some(&first), true, now);
     figures.set("plan_10k_ms", begun.elapsed().as_secs_f64() * 1e3);
-    figures.set("plans_made_anew", again.made as f64);
+    figures.set("plans_made_anew", again.recomputed as f64);
     figures.set("plans", again.all().count() as f64);
     let begun = Instant::now();
-    let refused = plain_solve(&moved.form());
+    let refused = plain_solve(&moved.to_config());
     figures.set("plan_10k_plain_ms", begun.elapsed().as_secs_f64() * 1e3);
     figures.set("plain_refused", refused);
     figures.set("plan_refused", again.all().map(|plan| plan.refused_share).sum());
--- a/crates/measure/tests/shape.rs
+++ b/crates/measure/tests/shape.rs
@@ -215,7 +215,7 @@
         &Request::Apply { form: Box::new(wanted.clone()), expect: None, by: "one".into() },
     )
     .unwrap();
-    assert!(matches!(next(&mut first), Ok(Response::Said(ChangeEvent::Begun { .. }))));
+    assert!(matches!(next(&mut first), Ok(Response::Event(ChangeEvent::Started { .. }))));
     let refused = apply(control, &wanted, "two").unwrap_err();
     assert!(refused.starts_with("a change by one is under way"), "{refused}");
     // A second service on the same journal does not begin.
--- a/crates/shape/src/archive_share.rs
+++ b/crates/shape/src/archive_share.rs
@@ -34,9 +34,9 @@
 #[derive(Clone, Debug, Default)]
 struct Member {
     wants: f64,
-    heard: Moment,
+    last_request: Moment,
     /// Parts that may still be in use; the last is the one in force.
-    given: Vec<Given>,
+    grants: Vec<Given>,
 }
 
 /// What a hub is told.
@@ -53,32 +53,32 @@
 /// The service's side.
 pub struct ShareAllocator {
     /// Fetches a second at which the archive stops.
-    stopping: f64,
+    stop_rate: f64,
     members: BTreeMap<String, Member>,
     number: u64,
     /// Until when parts of a forerunner may be in use, and how much of them no hub has spoken for.
-    forerunner: Option<(Moment, f64)>,
+    predecessor: Option<(Moment, f64)>,
 }
 
 impl ShareAllocator {
     pub fn new(stopping: f64) -> ShareAllocator {
-        ShareAllocator { stopping, members: BTreeMap::new(), number: 0, forerunner: None }
+        ShareAllocator { stop_rate: stopping, members: BTreeMap::new(), number: 0, predecessor: None }
     }
 
     /// The archive's figures have changed. What was given out stays until its term ends.
-    pub fn set_stopping(&mut self, stopping: f64) {
-        self.stopping = stopping;
+    pub fn set_stop_rate(&mut self, stopping: f64) {
+        self.stop_rate = stopping;
     }
 
     /// After a start the service does not know what its forerunner gave out: the whole is taken for given out until that
     /// has ended. A hub that says what it holds of it may go on with that at once, since it was part of the whole.
-    pub fn begin_after(&mut self, now: Moment) {
-        self.forerunner = Some((now + SHARE_TERM, self.stopping * GIVEN_OUT));
+    pub fn start_after_predecessor(&mut self, now: Moment) {
+        self.predecessor = Some((now + SHARE_TERM, self.stop_rate * GIVEN_OUT));
     }
 
     /// A hub says what it would use, in fetches a second, which part it has taken in, and what rate it holds by it, and
     /// gets its part. `most` is how many hubs may be at the top, for their floors.
-    pub fn ask(
+    pub fn request(
         &mut self,
         hub: &str,
         wants: f64,
@@ -87,43 +87,43 @@
         most: usize,
         now: Moment,
     ) -> RateShare {
-        self.tidy(now);
+        self.drop_expired(now);
         let taken = taken.min(LAST_NUMBER);
         if !self.members.contains_key(hub)
-            && let Some((until, rest)) = &mut self.forerunner
+            && let Some((until, rest)) = &mut self.predecessor
         {
             let rate = if holds.is_finite() { holds.clamp(0.0, *rest) } else { 0.0 };
             *rest -= rate;
             let given = vec![Given { rate, until: *until, number: taken }];
-            self.members.insert(hub.into(), Member { given, ..Member::default() });
+            self.members.insert(hub.into(), Member { grants: given, ..Member::default() });
         }
         let member = self.members.entry(hub.into()).or_default();
         member.wants = if wants.is_finite() { wants.max(0.0) } else { 0.0 };
-        member.heard = now;
+        member.last_request = now;
         // An answer may have been lost, and the part before it still be in use: only what the hub has taken in since
         // proves that an older one is not.
-        member.given.retain(|given| given.number >= taken);
-        let fair = self.fair(hub);
+        member.grants.retain(|given| given.number >= taken);
+        let fair = self.fair_share(hub);
         let others: f64 = self.members.iter().filter(|(name, _)| *name != hub).map(|(_, m)| m.in_use()).sum();
-        let unknown = self.forerunner.map_or(0.0, |(_, rest)| rest);
-        let free = (self.stopping * GIVEN_OUT - others - unknown).max(0.0);
+        let unknown = self.predecessor.map_or(0.0, |(_, rest)| rest);
+        let free = (self.stop_rate * GIVEN_OUT - others - unknown).max(0.0);
         let rate = fair.min(free);
         // Also past what a forerunner counted to: a hub passes by what is older than what it has.
         self.number = self.number.max(taken) + 1;
-        let floor = self.stopping * FLOORS / most.max(1) as f64;
+        let floor = self.stop_rate * FLOORS / most.max(1) as f64;
         if let Some(member) = self.members.get_mut(hub) {
-            member.given.push(Given { rate, until: now + SHARE_TERM, number: self.number });
+            member.grants.push(Given { rate, until: now + SHARE_TERM, number: self.number });
         }
         RateShare { rate, floor, number: self.number }
     }
 
     /// Max-min fair: who wants less than an equal part gets what it wants, and the others share what that leaves.
-    fn fair(&self, hub: &str) -> f64 {
+    fn fair_share(&self, hub: &str) -> f64 {
         let want = |m: &Member| (m.wants * HEADROOM).max(LEAST_WANT);
         let mut wants: Vec<(f64, &str)> =
             self.members.iter().map(|(name, m)| (want(m), name.as_str())).collect();
         wants.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
-        let (mut left, mut heads) = (self.stopping * GIVEN_OUT, wants.len());
+        let (mut left, mut heads) = (self.stop_rate * GIVEN_OUT, wants.len());
         for (want, name) in wants {
             let part = want.min(left / heads as f64);
             if name == hub {
@@ -135,33 +135,33 @@
         0.0
     }
 
-    fn tidy(&mut self, now: Moment) {
-        self.forerunner = self.forerunner.filter(|(until, _)| *until > now);
+    fn drop_expired(&mut self, now: Moment) {
+        self.predecessor = self.predecessor.filter(|(until, _)| *until > now);
         self.members.retain(|_, member| {
-            member.given.retain(|given| given.until > now);
-            !member.given.is_empty() || now.since(member.heard) < SHARE_TERM
+            member.grants.retain(|given| given.until > now);
+            !member.grants.is_empty() || now.since(member.last_request) < SHARE_TERM
         });
     }
 
     /// All that may be in use now.
-    pub fn given_out(&self, now: Moment) -> f64 {
+    pub fn allocated(&self, now: Moment) -> f64 {
         let alive = |m: &Member| Member {
-            given: m.given.iter().filter(|g| g.until > now).copied().collect(),
+            grants: m.grants.iter().filter(|g| g.until > now).copied().collect(),
             ..m.clone()
         };
-        let unknown = self.forerunner.filter(|(until, _)| *until > now).map_or(0.0, |(_, rest)| rest);
+        let unknown = self.predecessor.filter(|(until, _)| *until > now).map_or(0.0, |(_, rest)| rest);
         self.members.values().map(|m| alive(m).in_use()).sum::<f64>() + unknown
     }
 
-    pub fn whole(&self) -> f64 {
-        self.stopping * GIVEN_OUT
+    pub fn budget(&self) -> f64 {
+        self.stop_rate * GIVEN_OUT
     }
 }
 
 impl Member {
     /// One of its parts at a time, and nobody knows which.
     fn in_use(&self) -> f64 {
-        self.given.iter().map(|given| given.rate).fold(0.0, f64::max)
+        self.grants.iter().map(|given| given.rate).fold(0.0, f64::max)
     }
 }
 
@@ -172,10 +172,10 @@
 
 /// The hub's side: a bucket that fills at the rate of its part.
 pub struct ShareLimiter {
-    part: RateShare,
+    share: RateShare,
     until: Moment,
     tokens: f64,
-    filled: Moment,
+    refilled_at: Moment,
     /// Fetches that it would have begun since it last asked.
     wanted: f64,
     asked: Moment,
@@ -184,63 +184,63 @@
 impl ShareLimiter {
     pub fn new(now: Moment) -> ShareLimiter {
         let part = RateShare { rate: 0.0, floor: UNTOLD, number: 0 };
-        ShareLimiter { part, until: now, tokens: 1.0, filled: now, wanted: 0.0, asked: now }
+        ShareLimiter { share: part, until: now, tokens: 1.0, refilled_at: now, wanted: 0.0, asked: now }
     }
 
     /// A hub that follows no service has an equal part of the whole, by the shape that it was given; one that follows a
     /// service has its floor of it until it hears from it.
-    pub fn known(&mut self, stopping: f64, most: usize, alone: bool) {
+    pub fn configure(&mut self, stopping: f64, most: usize, alone: bool) {
         let whole = if alone { GIVEN_OUT + FLOORS } else { FLOORS };
-        if self.part.number == 0 {
-            self.part.floor = stopping * whole / most.max(1) as f64;
+        if self.share.number == 0 {
+            self.share.floor = stopping * whole / most.max(1) as f64;
         }
     }
 
     /// What to ask the service for: fetches a second wanted since the last time, and the number of the part that was
     /// taken in last.
-    pub fn ask(&mut self, now: Moment) -> (f64, u64) {
+    pub fn take_demand(&mut self, now: Moment) -> (f64, u64) {
         let seconds = now.since(self.asked).seconds().max(0.05);
         let wants = self.wanted / seconds;
         (self.wanted, self.asked) = (0.0, now);
-        (wants, self.part.number)
+        (wants, self.share.number)
     }
 
     /// Fetches a second that it may begin by its part, while that lasts.
-    pub fn holds(&self, now: Moment) -> f64 {
-        if now < self.until { self.part.rate } else { 0.0 }
+    pub fn granted_rate(&self, now: Moment) -> f64 {
+        if now < self.until { self.share.rate } else { 0.0 }
     }
 
-    pub fn told(&mut self, part: RateShare, asked: Moment, now: Moment) {
-        if part.number > self.part.number {
-            self.fill(now);
-            (self.part, self.until) = (part, asked + SHARE_TERM);
+    pub fn on_share(&mut self, part: RateShare, asked: Moment, now: Moment) {
+        if part.number > self.share.number {
+            self.refill(now);
+            (self.share, self.until) = (part, asked + SHARE_TERM);
         }
     }
 
     /// Fetches a second that it may begin at a moment, by its part or by its floor.
     pub fn rate(&self, at: Moment) -> f64 {
-        if at < self.until { self.part.rate.max(self.part.floor) } else { self.part.floor }
+        if at < self.until { self.share.rate.max(self.share.floor) } else { self.share.floor }
     }
 
-    fn fill(&mut self, now: Moment) {
+    fn refill(&mut self, now: Moment) {
         // Each stretch at its own rate: a part that has ended meanwhile must not be counted on to now.
-        let split = self.until.clamp(self.filled, now.max(self.filled));
-        let with_part = split.since(self.filled).seconds() * self.rate(self.filled);
-        let after = now.since(split).seconds() * self.part.floor;
+        let split = self.until.clamp(self.refilled_at, now.max(self.refilled_at));
+        let with_part = split.since(self.refilled_at).seconds() * self.rate(self.refilled_at);
+        let after = now.since(split).seconds() * self.share.floor;
         let most = (self.rate(now) * BURST).max(1.0);
         self.tokens = (self.tokens + with_part + after).min(most);
-        self.filled = now;
+        self.refilled_at = now;
     }
 
     /// Whether a fetch may begin now. A want that is turned down counts as wanted all the same.
-    pub fn lets(&mut self, now: Moment) -> bool {
+    pub fn try_fetch(&mut self, now: Moment) -> bool {
         self.wanted += 1.0;
-        self.again(now)
+        self.retry_fetch(now)
     }
 
     /// The same for one that was turned down before, and is counted already.
-    pub fn again(&mut self, now: Moment) -> bool {
-        self.fill(now);
+    pub fn retry_fetch(&mut self, now: Moment) -> bool {
+        self.refill(now);
         let lets = self.tokens >= 1.0;
         if lets {
             self.tokens -= 1.0;
@@ -249,7 +249,7 @@
     }
 
     /// When the next fetch may begin.
-    pub fn next(&self, now: Moment) -> Moment {
+    pub fn next_fetch_at(&self, now: Moment) -> Moment {
         let lacks = (1.0 - self.tokens).max(0.0);
         now + Span::of_seconds(lacks / self.rate(now).max(0.01)) + Span::millis(1)
     }
--- a/crates/shape/src/config.rs
+++ b/crates/shape/src/config.rs
@@ -143,22 +143,22 @@
 pub enum ConfigError {
     Unreadable {
         file: String,
-        why: String,
+        reason: String,
     },
     /// The text ends early, is no JSON, or a key has a value that it can't have.
     Malformed {
         file: String,
         key: String,
-        why: String,
+        reason: String,
     },
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Unreadable { file, why } => write!(f, "{file}: can't be read: {why}"),
-            Self::Malformed { file, key, why } if key == "." => write!(f, "{file}: {why}"),
-            Self::Malformed { file, key, why } => write!(f, "{file}: key {key}: {why}"),
+            Self::Unreadable { file, reason: why } => write!(f, "{file}: can't be read: {why}"),
+            Self::Malformed { file, key, reason: why } if key == "." => write!(f, "{file}: {why}"),
+            Self::Malformed { file, key, reason: why } => write!(f, "{file}: key {key}: {why}"),
         }
     }
 }
@@ -168,7 +168,7 @@
 /// Reads a shape from text; `file` is named in complaints.
 pub fn parse(file: &str, text: &[u8]) -> Result<ShapeConfig, ConfigError> {
     let mut json = serde_json::Deserializer::from_slice(text);
-    let malformed = |key: String, why: String| ConfigError::Malformed { file: file.into(), key, why };
+    let malformed = |key: String, why: String| ConfigError::Malformed { file: file.into(), key, reason: why };
     let form: ShapeConfig = serde_path_to_error::deserialize(&mut json)
         .map_err(|why| malformed(why.path().to_string(), why.inner().to_string()))?;
     json.end().map_err(|why| malformed(".".into(), why.to_string()))?;
@@ -179,7 +179,7 @@
 pub fn read_file(path: &Path) -> Result<ShapeConfig, ConfigError> {
     let file = path.display().to_string();
     let text = std::fs::read(path)
-        .map_err(|why| ConfigError::Unreadable { file: file.clone(), why: why.to_string() })?;
+        .map_err(|why| ConfigError::Unreadable { file: file.clone(), reason: why.to_string() })?;
     parse(&file, &text)
 }
 
--- a/crates/shape/src/control.rs
+++ b/crates/shape/src/control.rs
@@ -35,11 +35,13 @@
     Opened,
     /// The first shape, or what stands after a change: all before it may be forgotten.
     Shape(Box<ShapeConfig>),
-    Begun {
+    #[serde(rename = "begun")]
+    ChangeStarted {
         plan: Box<Plan>,
         by: String,
     },
-    Stage(Transition),
+    #[serde(rename = "stage")]
+    Transition(Transition),
     /// How the sites stand from now on.
     Sites(Box<SitesRecord>),
 }
@@ -47,7 +49,8 @@
 /// What has to outlive a service about its sites.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SitesRecord {
-    pub standings: BTreeMap<String, SiteState>,
+    #[serde(rename = "standings")]
+    pub states: BTreeMap<String, SiteState>,
     /// The shape that operators want, where the one in service leaves sites out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub wanted: Option<ShapeConfig>,
@@ -96,19 +99,21 @@
     Write(Record),
     /// Members are to be told this version.
     Publish(u64),
-    Say(ChangeEvent),
+    Announce(ChangeEvent),
 }
 
 /// For the log, and for whoever watches a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum ChangeEvent {
-    Begun {
+    #[serde(rename = "begun")]
+    Started {
         from: u64,
         steps: usize,
         by: String,
     },
-    StepOut {
+    #[serde(rename = "step_out")]
+    StepPublished {
         step: usize,
         of: usize,
         version: u64,
@@ -117,15 +122,18 @@
         step: usize,
         of: usize,
     },
-    StepUndone {
+    #[serde(rename = "step_undone")]
+    StepReverted {
         step: usize,
         version: u64,
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     Held {
         step: usize,
         of: usize,
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     Ended {
         complete: bool,
@@ -134,27 +142,32 @@
     /// A site stands so from now on.
     Site {
         site: String,
-        is: SiteState,
-        why: String,
+        #[serde(rename = "is")]
+        state: SiteState,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// What is held of a site, before anything is done about it.
-    Seen {
+    #[serde(rename = "seen")]
+    ViewChanged {
         site: String,
         view: String,
         seen_ms: u64,
     },
-    Loop {
+    #[serde(rename = "loop")]
+    WaitCycle {
         hub: String,
         object: String,
         path: Vec<String>,
         waited_ms: f64,
-        before: u32,
+        #[serde(rename = "before")]
+        seen_before: u32,
     },
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeError {
-    Wrong(Vec<Violation>),
+    Invalid(Vec<Violation>),
     NoPlan(PlanError),
     /// Another change is under way.
     Busy {
@@ -163,11 +176,11 @@
         of: usize,
     },
     /// The shape is another than the one that the operator looked at.
-    Moved {
+    VersionMismatch {
         expected: u64,
-        is: u64,
+        actual: u64,
     },
-    Same {
+    Unchanged {
         version: u64,
     },
 }
@@ -175,14 +188,16 @@
 impl fmt::Display for ChangeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Wrong(complaints) => {
+            Self::Invalid(complaints) => {
                 let lines: Vec<_> = complaints.iter().map(|c| c.to_string()).collect();
                 write!(f, "{}", lines.join("\n"))
             }
             Self::NoPlan(why) => write!(f, "{why}"),
             Self::Busy { by, step, of } => write!(f, "a change by {by} is under way, at step {step} of {of}"),
-            Self::Moved { expected, is } => write!(f, "version {expected} was expected, and it is {is}"),
-            Self::Same { version } => write!(f, "version {version} is that shape already"),
+            Self::VersionMismatch { expected, actual: is } => {
+                write!(f, "version {expected} was expected, and it is {is}")
+            }
+            Self::Unchanged { version } => write!(f, "version {version} is that shape already"),
         }
     }
 }
@@ -198,21 +213,28 @@
     pub archive_slowness: f64,
     /// Pulls a second that came to it, from branches and from other hubs.
     #[serde(default)]
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub request_rate: f64,
     /// Fetches a second at the archive, those that it would have begun, and the part it has taken in last.
-    pub fetches: f64,
-    pub wants: f64,
-    pub part: u64,
+    #[serde(rename = "fetches")]
+    pub fetch_rate: f64,
+    #[serde(rename = "wants")]
+    pub wanted_rate: f64,
+    #[serde(rename = "part")]
+    pub share_number: u64,
     /// Fetches a second that it may begin by that part, as long as it lasts.
     #[serde(default)]
-    pub holds: f64,
+    #[serde(rename = "holds")]
+    pub granted_rate: f64,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub loops: Vec<CycleReport>,
+    #[serde(rename = "loops")]
+    pub wait_cycles: Vec<CycleReport>,
     /// Where it is, and what it sees of other sites.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub site: String,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub sightings: Vec<SiteObservation>,
+    #[serde(rename = "sightings")]
+    pub observations: Vec<SiteObservation>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -220,7 +242,8 @@
     pub object: String,
     pub path: Vec<String>,
     pub waited_ms: f64,
-    pub before: u32,
+    #[serde(rename = "before")]
+    pub seen_before: u32,
 }
 
 /// The state of the service.
@@ -228,16 +251,16 @@
     term: u64,
     shape: Shape,
     /// The versions that went out lately, by their numbers.
-    kept: BTreeMap<u64, Shape>,
+    retained: BTreeMap<u64, Shape>,
     /// The shape that the plan under way starts from.
     base: Option<Shape>,
-    runner: Option<(Rollout, String)>,
-    held: Option<HoldReason>,
-    last: Option<ChangeEvent>,
+    rollout: Option<(Rollout, String)>,
+    hold: Option<HoldReason>,
+    last_event: Option<ChangeEvent>,
     members: BTreeMap<String, MemberHealth>,
-    sharing: ShareAllocator,
-    loops: VecDeque<ChangeEvent>,
-    loops_seen: u64,
+    shares: ShareAllocator,
+    recent_cycles: VecDeque<ChangeEvent>,
+    cycles_seen: u64,
 }
 
 impl Control {
@@ -256,45 +279,45 @@
             _ => None,
         });
         let recovered = shape.is_some();
-        let form = shape.or(fallback).ok_or(ChangeError::Same { version: 0 })?;
+        let form = shape.or(fallback).ok_or(ChangeError::Unchanged { version: 0 })?;
         // What was taken once is taken again: a check that has become stricter must not stop the service.
-        let shape = if recovered { Shape::of(&form) } else { topology::validated_shape(&form) }
-            .map_err(ChangeError::Wrong)?;
+        let shape = if recovered { Shape::from_config(&form) } else { topology::validated_shape(&form) }
+            .map_err(ChangeError::Invalid)?;
         let archive = &form.archive;
         let mut control = Control {
             term,
             shape: shape.clone(),
-            kept: BTreeMap::from([(shape.version(), shape)]),
+            retained: BTreeMap::from([(shape.version(), shape)]),
             base: None,
-            runner: None,
-            held: None,
-            last: None,
+            rollout: None,
+            hold: None,
+            last_event: None,
             members: BTreeMap::new(),
-            sharing: ShareAllocator::new(archive.capacity * archive.stops_at),
-            loops: VecDeque::new(),
-            loops_seen: 0,
+            shares: ShareAllocator::new(archive.capacity * archive.stops_at),
+            recent_cycles: VecDeque::new(),
+            cycles_seen: 0,
         };
         let mut effects = vec![control.record(Entry::Opened)];
         if !recovered {
-            effects.push(control.record(Entry::Shape(Box::new(control.shape.form()))));
+            effects.push(control.record(Entry::Shape(Box::new(control.shape.to_config()))));
         }
-        control.recall(&journal, now);
-        control.sharing.begin_after(now);
+        control.replay(&journal, now);
+        control.shares.start_after_predecessor(now);
         effects.push(Effect::Publish(control.shape.version()));
         Ok((control, effects))
     }
 
     /// Goes through what a forerunner wrote after the last whole shape.
-    fn recall(&mut self, journal: &[&Record], now: Moment) {
+    fn replay(&mut self, journal: &[&Record], now: Moment) {
         let after = journal.iter().rposition(|r| matches!(r.entry, Entry::Shape(_))).map_or(0, |at| at + 1);
         for record in &journal[after..] {
             match &record.entry {
-                Entry::Begun { plan, by } => {
+                Entry::ChangeStarted { plan, by } => {
                     self.base = Some(self.shape.clone());
-                    let runner = Rollout::begin(plan.as_ref().clone(), self.shape.version(), now);
-                    self.runner = Some((runner, by.clone()));
+                    let runner = Rollout::start(plan.as_ref().clone(), self.shape.version(), now);
+                    self.rollout = Some((runner, by.clone()));
                 }
-                Entry::Stage(stage) => self.enter(stage, now),
+                Entry::Transition(stage) => self.apply_transition(stage, now),
                 Entry::Opened | Entry::Shape(_) | Entry::Sites(_) => {}
             }
         }
@@ -305,29 +328,29 @@
     }
 
     /// A stage is taken in, whether it was just written down or recalled.
-    fn enter(&mut self, stage: &Transition, now: Moment) {
-        let Some((runner, _)) = &mut self.runner else { return };
-        runner.enter(stage, now);
+    fn apply_transition(&mut self, stage: &Transition, now: Moment) {
+        let Some((runner, _)) = &mut self.rollout else { return };
+        runner.apply(stage, now);
         let version = match stage {
-            Transition::Out { version, .. } | Transition::Undone { version, .. } => *version,
+            Transition::Published { version, .. } | Transition::Reverted { version, .. } => *version,
             Transition::Settled { .. } => return,
             Transition::Ended { .. } => {
-                (self.runner, self.base) = (None, None);
+                (self.rollout, self.base) = (None, None);
                 return;
             }
         };
         let Some(base) = &self.base else { return };
-        self.shape = runner.plan.shape_after(base, runner.done(), version);
-        self.keep();
+        self.shape = runner.plan.shape_after(base, runner.published_steps(), version);
+        self.retain_version();
     }
 
-    fn keep(&mut self) {
-        self.kept.insert(self.shape.version(), self.shape.clone());
-        while self.kept.len() > MOST_KEPT {
-            self.kept.pop_first();
+    fn retain_version(&mut self) {
+        self.retained.insert(self.shape.version(), self.shape.clone());
+        while self.retained.len() > MOST_KEPT {
+            self.retained.pop_first();
         }
         let archive = self.shape.archive();
-        self.sharing.set_stopping(archive.capacity * archive.stops_at);
+        self.shares.set_stop_rate(archive.capacity * archive.stops_at);
     }
 
     /// Begins a change. `expect` is the version that the operator looked at.
@@ -338,139 +361,160 @@
         by: &str,
         now: Moment,
     ) -> Result<Vec<Effect>, ChangeError> {
-        if let Some((runner, by)) = &self.runner {
-            let (step, of) = (runner.done(), runner.plan.steps.len());
+        if let Some((runner, by)) = &self.rollout {
+            let (step, of) = (runner.published_steps(), runner.plan.steps.len());
             return Err(ChangeError::Busy { by: by.clone(), step, of });
         }
         let is = self.shape.version();
         if let Some(expected) = expect.filter(|expected| *expected != is) {
-            return Err(ChangeError::Moved { expected, is });
+            return Err(ChangeError::VersionMismatch { expected, actual: is });
         }
         let plan = plan::plan_change(&self.shape, form, now).map_err(|why| match why {
-            PlanError::Wrong(complaints) => ChangeError::Wrong(complaints),
+            PlanError::Invalid(complaints) => ChangeError::Invalid(complaints),
             why => ChangeError::NoPlan(why),
         })?;
         if plan.steps.is_empty() {
-            return Err(ChangeError::Same { version: is });
+            return Err(ChangeError::Unchanged { version: is });
         }
-        let said = ChangeEvent::Begun { from: is, steps: plan.steps.len(), by: by.into() };
-        let record = self.record(Entry::Begun { plan: Box::new(plan.clone()), by: by.into() });
+        let said = ChangeEvent::Started { from: is, steps: plan.steps.len(), by: by.into() };
+        let record = self.record(Entry::ChangeStarted { plan: Box::new(plan.clone()), by: by.into() });
         self.base = Some(self.shape.clone());
-        self.runner = Some((Rollout::begin(plan, is, now), by.into()));
-        Ok(vec![record, self.say(said)])
+        self.rollout = Some((Rollout::start(plan, is, now), by.into()));
+        Ok(vec![record, self.announce(said)])
     }
 
     /// Goes over to another shape at once, whatever is under way: a site is lost, and there is no time for steps.
-    pub fn jump(&mut self, shape: Shape) -> Vec<Effect> {
+    pub fn replace_shape(&mut self, shape: Shape) -> Vec<Effect> {
         let mut effects = Vec::new();
-        if self.runner.take().is_some() {
-            (self.base, self.held) = (None, None);
+        if self.rollout.take().is_some() {
+            (self.base, self.hold) = (None, None);
             let version = self.shape.version();
-            effects.push(self.record(Entry::Stage(Transition::Ended { complete: false })));
-            effects.push(self.say(ChangeEvent::Ended { complete: false, version }));
+            effects.push(self.record(Entry::Transition(Transition::Ended { complete: false })));
+            effects.push(self.announce(ChangeEvent::Ended { complete: false, version }));
         }
         self.shape = shape;
-        self.keep();
-        effects.push(self.record(Entry::Shape(Box::new(self.shape.form()))));
+        self.retain_version();
+        effects.push(self.record(Entry::Shape(Box::new(self.shape.to_config()))));
         effects.push(Effect::Publish(self.shape.version()));
         effects
     }
 
     /// A record of this term, for what is decided beside it.
-    pub fn note(&self, entry: Entry) -> Effect {
+    pub fn journal_entry(&self, entry: Entry) -> Effect {
         self.record(entry)
     }
 
-    fn say(&mut self, said: ChangeEvent) -> Effect {
-        self.last = Some(said.clone());
-        Effect::Say(said)
+    fn announce(&mut self, said: ChangeEvent) -> Effect {
+        self.last_event = Some(said.clone());
+        Effect::Announce(said)
     }
 
     /// A hub has reported; it gets its part of the archive.
-    pub fn hear(&mut self, hub: &str, report: &HubReport, now: Moment) -> (Option<RateShare>, Vec<Effect>) {
+    pub fn on_report(
+        &mut self,
+        hub: &str,
+        report: &HubReport,
+        now: Moment,
+    ) -> (Option<RateShare>, Vec<Effect>) {
         if !self.members.contains_key(hub) && self.members.len() >= MOST_MEMBERS {
             return (None, Vec::new());
         }
         let finite = |n: f64| if n.is_finite() { n.max(0.0) } else { 0.0 };
-        let (slowness, fetches) = (finite(report.slowness), finite(report.fetches));
-        let (asked, archive_slowness) = (finite(report.asked), finite(report.archive_slowness));
-        let heard =
-            MemberHealth { version: report.version, at: now, slowness, archive_slowness, asked, fetches };
+        let (slowness, fetches) = (finite(report.slowness), finite(report.fetch_rate));
+        let (asked, archive_slowness) = (finite(report.request_rate), finite(report.archive_slowness));
+        let heard = MemberHealth {
+            version: report.version,
+            last_report: now,
+            slowness,
+            archive_slowness,
+            request_rate: asked,
+            fetch_rate: fetches,
+        };
         self.members.insert(hub.into(), heard);
         let mut effects = Vec::new();
-        for seen in report.loops.iter().take(MOST_LOOPS) {
+        for seen in report.wait_cycles.iter().take(MOST_LOOPS) {
             let (object, path) = (seen.object.clone(), seen.path.clone());
-            let said = ChangeEvent::Loop {
+            let said = ChangeEvent::WaitCycle {
                 hub: hub.into(),
                 object,
                 path,
                 waited_ms: seen.waited_ms,
-                before: seen.before,
+                seen_before: seen.seen_before,
             };
-            self.loops_seen += 1;
-            self.loops.push_back(said.clone());
-            effects.push(Effect::Say(said));
+            self.cycles_seen += 1;
+            self.recent_cycles.push_back(said.clone());
+            effects.push(Effect::Announce(said));
         }
-        while self.loops.len() > MOST_LOOPS {
-            self.loops.pop_front();
+        while self.recent_cycles.len() > MOST_LOOPS {
+            self.recent_cycles.pop_front();
         }
         // Who is at no top needs no part: it asks other hubs only.
-        let at_top = self.shape.find(hub).is_some_and(|at| self.shape.tops().contains(&at));
-        let most = self.shape.tops().len();
-        let part = at_top.then(|| self.sharing.ask(hub, report.wants, report.part, report.holds, most, now));
+        let at_top = self.shape.find(hub).is_some_and(|at| self.shape.top_hubs().contains(&at));
+        let most = self.shape.top_hubs().len();
+        let part = at_top.then(|| {
+            self.shares.request(hub, report.wanted_rate, report.share_number, report.granted_rate, most, now)
+        });
         (part, effects)
     }
 
     /// To be called some times a second.
-    pub fn beat(&mut self, now: Moment) -> Vec<Effect> {
-        self.members.retain(|_, heard| now.since(heard.at) < MEMBER_SILENCE);
-        let Some((mut runner, by)) = self.runner.take() else { return Vec::new() };
-        let ages = self.ages(now);
+    pub fn tick(&mut self, now: Moment) -> Vec<Effect> {
+        self.members.retain(|_, heard| now.since(heard.last_report) < MEMBER_SILENCE);
+        let Some((mut runner, by)) = self.rollout.take() else { return Vec::new() };
+        let ages = self.hub_ages(now);
         let archive = self.shape.archive();
         let stopping = archive.capacity * archive.stops_at;
-        let view = HealthView { members: &self.members, stopping, ages: &ages };
-        runner.look(&view, now);
-        let turn = runner.turn(&view, now);
-        let (done, of) = (runner.done(), runner.plan.steps.len());
-        self.runner = Some((runner, by));
+        let view = HealthView { members: &self.members, archive_stop_rate: stopping, ages: &ages };
+        runner.observe(&view, now);
+        let turn = runner.decide(&view, now);
+        let (done, of) = (runner.published_steps(), runner.plan.steps.len());
+        self.rollout = Some((runner, by));
         match turn {
             Decision::Hold(hold) => {
                 let new =
-                    self.held.as_ref().map(std::mem::discriminant) != Some(std::mem::discriminant(&hold));
+                    self.hold.as_ref().map(std::mem::discriminant) != Some(std::mem::discriminant(&hold));
                 let why = hold.to_string();
-                self.held = Some(hold);
-                if new { vec![self.say(ChangeEvent::Held { step: done, of, why })] } else { Vec::new() }
+                self.hold = Some(hold);
+                if new {
+                    vec![self.announce(ChangeEvent::Held { step: done, of, reason: why })]
+                } else {
+                    Vec::new()
+                }
             }
-            Decision::Do(stage) => self.carry_out(stage, of, now),
+            Decision::Apply(stage) => self.commit(stage, of, now),
         }
     }
 
-    fn carry_out(&mut self, stage: Transition, of: usize, now: Moment) -> Vec<Effect> {
-        self.held = None;
-        let mut effects = vec![self.record(Entry::Stage(stage.clone()))];
-        self.enter(&stage, now);
+    fn commit(&mut self, stage: Transition, of: usize, now: Moment) -> Vec<Effect> {
+        self.hold = None;
+        let mut effects = vec![self.record(Entry::Transition(stage.clone()))];
+        self.apply_transition(&stage, now);
         match stage {
-            Transition::Out { step, version } => {
-                effects
-                    .extend([Effect::Publish(version), self.say(ChangeEvent::StepOut { step, of, version })]);
+            Transition::Published { step, version } => {
+                effects.extend([
+                    Effect::Publish(version),
+                    self.announce(ChangeEvent::StepPublished { step, of, version }),
+                ]);
+            }
+            Transition::Settled { step } => {
+                effects.push(self.announce(ChangeEvent::StepSettled { step, of }))
             }
-            Transition::Settled { step } => effects.push(self.say(ChangeEvent::StepSettled { step, of })),
-            Transition::Undone { step, version, why } => {
+            Transition::Reverted { step, version, reason } => {
                 effects.extend([
                     Effect::Publish(version),
-                    self.say(ChangeEvent::StepUndone { step, version, why }),
+                    self.announce(ChangeEvent::StepReverted { step, version, reason }),
                 ]);
             }
             Transition::Ended { complete } => {
-                effects.push(self.record(Entry::Shape(Box::new(self.shape.form()))));
+                effects.push(self.record(Entry::Shape(Box::new(self.shape.to_config()))));
                 let version = self.shape.version();
-                effects.push(self.say(ChangeEvent::Ended { complete, version }));
+                effects.push(self.announce(ChangeEvent::Ended { complete, version }));
             }
         }
         effects
     }
 
-    fn ages(&self, now: Moment) -> BTreeMap<String, Span> {
+    fn hub_ages(&self, now: Moment) -> BTreeMap<String, Span> {
         let fresh = self.shape.hubs().filter(|(_, hub)| hub.since_ms > 0);
         let age = |since_ms: u64| now.since(Moment::at_micros(since_ms.saturating_mul(1_000)));
         fresh.map(|(_, hub)| (hub.name.clone(), age(hub.since_ms))).collect()
@@ -486,42 +530,42 @@
 
     /// A version that is still kept.
     pub fn version(&self, number: u64) -> Option<&Shape> {
-        self.kept.get(&number)
+        self.retained.get(&number)
     }
 
     pub fn is_changing(&self) -> bool {
-        self.runner.is_some()
+        self.rollout.is_some()
     }
 
     pub fn status(&self, now: Moment) -> Status {
-        let change = self.runner.as_ref().map(|(runner, by)| ChangeStatus {
+        let change = self.rollout.as_ref().map(|(runner, by)| ChangeStatus {
             by: by.clone(),
-            step: runner.done(),
+            step: runner.published_steps(),
             of: runner.plan.steps.len(),
-            undone: runner.undone(),
-            lasted_ms: runner.lasted(now).as_micros() / 1_000,
-            held: self.held.as_ref().map(HoldReason::to_string),
+            undone: runner.reverted_count(),
+            lasted_ms: runner.elapsed(now).as_micros() / 1_000,
+            held: self.hold.as_ref().map(HoldReason::to_string),
         });
         let members = self.members.iter().map(|(name, heard)| MemberStatus {
             name: name.clone(),
             version: heard.version,
-            silent_ms: now.since(heard.at).as_micros() / 1_000,
+            silent_ms: now.since(heard.last_report).as_micros() / 1_000,
             slowness: heard.slowness,
-            asked: heard.asked,
+            asked: heard.request_rate,
             allowance: self.shape.find(name).map_or(0.0, |at| self.shape.allowance(at, now)),
-            fetches: heard.fetches,
+            fetches: heard.fetch_rate,
         });
         let archive = self.shape.archive();
-        let asked: f64 = self.members.values().map(|heard| heard.fetches).sum();
+        let asked: f64 = self.members.values().map(|heard| heard.fetch_rate).sum();
         Status {
             term: self.term,
             version: self.shape.version(),
             change,
             members: members.collect(),
             archive_share: asked / (archive.capacity * archive.stops_at).max(1e-9),
-            given_out: self.sharing.given_out(now),
-            loops: self.loops_seen,
-            last_loops: self.loops.iter().rev().take(8).cloned().collect(),
+            allocated: self.shares.allocated(now),
+            wait_cycles: self.cycles_seen,
+            last_wait_cycles: self.recent_cycles.iter().rev().take(8).cloned().collect(),
         }
     }
 }
@@ -547,9 +591,12 @@
     pub members: Vec<MemberStatus>,
     /// Fetches a second against the archive's stopping point, by what hubs report.
     pub archive_share: f64,
-    pub given_out: f64,
-    pub loops: u64,
-    pub last_loops: Vec<ChangeEvent>,
+    #[serde(rename = "given_out")]
+    pub allocated: f64,
+    #[serde(rename = "loops")]
+    pub wait_cycles: u64,
+    #[serde(rename = "last_loops")]
+    pub last_wait_cycles: Vec<ChangeEvent>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/shape/src/feed.rs
+++ b/crates/shape/src/feed.rs
@@ -63,11 +63,11 @@
 /// All that a branch's routers may name: its caches, the hubs that it is tied to, the archive.
 fn listed(shape: &Shape, branch: &str) -> Vec<Value> {
     let Some(at) = shape.find(branch) else { return Vec::new() };
-    let caches = match shape.place(at) {
+    let caches = match shape.node(at) {
         Some(Node::Branch(form)) => form.caches.as_slice(),
         _ => &[],
     };
-    let hubs = shape.ties(at).iter().filter_map(|tie| shape.place(*tie).and_then(Node::hub));
+    let hubs = shape.upstreams(at).iter().filter_map(|tie| shape.node(*tie).and_then(Node::as_hub));
     let archive = shape.archive();
     let origin = entry(&archive.name, &archive.address, "hub", "origin", "Ready", 0);
     caches.iter().map(cache).chain(hubs.map(|hub| parent(hub, "Ready"))).chain([origin]).collect()
@@ -105,14 +105,14 @@
 
 /// A hub is told a version without branches.
 pub fn config_for_hubs(shape: &Shape) -> ShapeConfig {
-    let mut form = shape.form();
+    let mut form = shape.to_config();
     form.branches.clear();
     form
 }
 
 /// A branch's own feed is told a version without the other branches. None: no branch has that name.
 pub fn config_for_branch(shape: &Shape, branch: &str) -> Option<ShapeConfig> {
-    let Node::Branch(own) = shape.place(shape.find(branch)?)? else { return None };
+    let Node::Branch(own) = shape.node(shape.find(branch)?)? else { return None };
     let mut form = config_for_hubs(shape);
     form.branches.push(own.clone());
     Some(form)
@@ -127,5 +127,5 @@
         }
         _ => None,
     };
-    shape.places().filter_map(feed).collect()
+    shape.nodes().filter_map(feed).collect()
 }
--- a/crates/shape/src/fetch_rights.rs
+++ b/crates/shape/src/fetch_rights.rs
@@ -64,7 +64,7 @@
 impl FetchRights {
     /// May this hub fetch from the archive now? `asked` are the former homes that have answered, or failed to; `gone` are
     /// those of whom nothing is heard at all: to ask them would cost a time-out each.
-    pub fn right(
+    pub fn check(
         &self,
         versions: &Versions,
         me: NodeIndex,
@@ -81,7 +81,7 @@
         }
         // Also one that the newest version no longer names: it may hold the object, or be fetching it, all the same.
         let before =
-            versions.lately(now, HANDOVER_WINDOW).filter_map(|shape| route::preferred_hub(shape, key.0));
+            versions.recent(now, HANDOVER_WINDOW).filter_map(|shape| route::preferred_hub(shape, key.0));
         let mut before =
             before.filter(|place| *place != me && !asked.contains(place) && !gone.contains(place));
         before.next().map_or(FetchRight::Own, FetchRight::Ask)
@@ -93,7 +93,14 @@
     }
 
     /// A hub that takes itself for the new home asks for the right to fetch.
-    pub fn asked(&mut self, key: Key, by: &str, held: bool, under_way: bool, now: Moment) -> HandoverReply {
+    pub fn on_request(
+        &mut self,
+        key: Key,
+        by: &str,
+        held: bool,
+        under_way: bool,
+        now: Moment,
+    ) -> HandoverReply {
         if held {
             return HandoverReply::Held;
         }
@@ -106,16 +113,16 @@
         let until = now + CESSION_TERM;
         self.ceded.insert(key, Ceded { to: by.into(), until });
         self.order.push_back((until, key));
-        self.tidy(now);
+        self.drop_expired(now);
         HandoverReply::Ceded { until }
     }
 
     /// A copy has come: whoever fetched it, nobody else has to.
-    pub fn filled(&mut self, key: Key) {
+    pub fn on_filled(&mut self, key: Key) {
         self.ceded.remove(&key);
     }
 
-    fn tidy(&mut self, now: Moment) {
+    fn drop_expired(&mut self, now: Moment) {
         while let Some((until, key)) = self.order.front().copied() {
             if until > now && self.ceded.len() <= MOST_CEDED {
                 return;
@@ -127,7 +134,7 @@
         }
     }
 
-    pub fn ceded(&self) -> usize {
+    pub fn ceded_count(&self) -> usize {
         self.ceded.len()
     }
 }
--- a/crates/shape/src/messages.rs
+++ b/crates/shape/src/messages.rs
@@ -11,7 +11,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FallbackPlan {
     pub lost: BTreeSet<String>,
-    pub ties: Vec<String>,
+    #[serde(rename = "ties")]
+    pub upstreams: Vec<String>,
 }
 
 /// To a member. A term that is older than one it has heard comes from a service that was replaced.
@@ -27,11 +28,17 @@
         plans: Vec<FallbackPlan>,
     },
     /// The answer to a report of a hub at the top.
-    Part(RateShare),
+    #[serde(rename = "part")]
+    Share(RateShare),
     /// The answer to the report of any other: the number of the newest version.
-    Beat { term: u64, last: u64 },
+    #[serde(rename = "beat")]
+    Heartbeat { term: u64, last: u64 },
     /// This member of the service does not speak for it; the one that does is there, if that is known.
-    Elsewhere { serves: Option<String> },
+    #[serde(rename = "elsewhere")]
+    NotLeader {
+        #[serde(rename = "serves")]
+        leader: Option<String>,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -66,12 +73,15 @@
     Status(Box<Status>),
     Shape(Box<ShapeConfig>),
     Plan(Box<Plan>),
-    Said(ChangeEvent),
+    #[serde(rename = "said")]
+    Event(ChangeEvent),
     /// Each line says one thing that is wrong.
     Refused(Vec<String>),
     /// This member of the service does not speak for it; the one that does is there, if that is known.
-    Elsewhere {
-        serves: Option<String>,
+    #[serde(rename = "elsewhere")]
+    NotLeader {
+        #[serde(rename = "serves")]
+        leader: Option<String>,
     },
 }
 
--- a/crates/shape/src/plan.rs
+++ b/crates/shape/src/plan.rs
@@ -51,7 +51,8 @@
 /// A place's ties before and after.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamChange {
-    pub place: String,
+    #[serde(rename = "place")]
+    pub node: String,
     pub from: Vec<String>,
     pub to: Vec<String>,
 }
@@ -67,14 +68,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanError {
     /// The shape that is wanted does not hold.
-    Wrong(Vec<Violation>),
+    Invalid(Vec<Violation>),
     /// A hub would be asked for more than it can do, however long one waits.
-    TooMuch {
-        place: String,
+    Overload {
+        node: String,
         asked: f64,
-        carries: f64,
+        limit: f64,
     },
-    TooLong {
+    TooManySteps {
         steps: usize,
     },
 }
@@ -82,14 +83,14 @@
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Wrong(complaints) => {
+            Self::Invalid(complaints) => {
                 let lines: Vec<_> = complaints.iter().map(|c| c.to_string()).collect();
                 write!(f, "{}", lines.join("\n"))
             }
-            Self::TooMuch { place, asked, carries } => {
+            Self::Overload { node: place, asked, limit: carries } => {
                 write!(f, "{place}: on the way asked for {asked:.1} fills a second and carries {carries:.1}")
             }
-            Self::TooLong { steps } => write!(f, "the change needs more than {steps} steps"),
+            Self::TooManySteps { steps } => write!(f, "the change needs more than {steps} steps"),
         }
     }
 }
@@ -120,15 +121,15 @@
 
 /// Works out the steps from `from` to `to`, as they would go at `now`.
 pub fn plan_change(from: &Shape, to: &ShapeConfig, now: Moment) -> Result<Plan, PlanError> {
-    let target = Shape::of(to).map_err(PlanError::Wrong)?;
-    validation::validate(&target).map_err(PlanError::Wrong)?;
-    let wide = from.widened(from.version(), to);
+    let target = Shape::from_config(to).map_err(PlanError::Invalid)?;
+    validation::validate(&target).map_err(PlanError::Invalid)?;
+    let wide = from.extended_with(from.version(), to);
     let mut planner = Planner::new(wide, now);
     for stretch in stages(&planner.shape, &target) {
         planner.lay(stretch)?;
     }
-    let leftover = from.places().any(|(_, place)| target.find(place.name()).is_none());
-    let figures = planner.shape.form().hubs.len() != from.form().hubs.len();
+    let leftover = from.nodes().any(|(_, place)| target.find(place.name()).is_none());
+    let figures = planner.shape.to_config().hubs.len() != from.to_config().hubs.len();
     if planner.steps.is_empty() && (leftover || figures || *from.archive() != *target.archive()) {
         planner.steps.push(Step {
             number: 1,
@@ -152,13 +153,13 @@
     let mut stretches = Vec::new();
     let (mut hub_adds, mut branch_adds, mut branch_drops, mut hub_drops) = (vec![], vec![], vec![], vec![]);
     let knotted = knotted(wide, target);
-    for (place, what) in wide.places() {
-        let before = wide.ties(place);
+    for (place, what) in wide.nodes() {
+        let before = wide.upstreams(place);
         let after = wanted(wide, target, what.name());
         if before == after || matches!(what, Node::Archive(_)) {
             continue;
         }
-        let hub = what.hub().is_some();
+        let hub = what.as_hub().is_some();
         let mixes = before.contains(&ARCHIVE) != after.contains(&ARCHIVE) || before.is_empty();
         let gone = target.find(what.name()).is_none();
         if (mixes || knotted.contains(&place)) && !gone {
@@ -193,16 +194,19 @@
     loop {
         let grown = wide.hubs().map(|(at, hub)| {
             let after = wanted(wide, target, &hub.name);
-            let before = wide.ties(at).iter().copied().filter(|_| !knotted.contains(&at) || after.is_empty());
+            let before =
+                wide.upstreams(at).iter().copied().filter(|_| !knotted.contains(&at) || after.is_empty());
             let mut ties: Vec<NodeIndex> = before.collect();
-            ties.extend(after.iter().filter(|tie| !wide.ties(at).contains(tie) || knotted.contains(&at)));
+            ties.extend(
+                after.iter().filter(|tie| !wide.upstreams(at).contains(tie) || knotted.contains(&at)),
+            );
             (at, ties)
         });
         let grown: Vec<_> = grown.collect();
-        let both = wide.with_ties(wide.version(), grown.iter().map(|(at, ties)| (*at, ties.as_slice())));
+        let both = wide.with_upstreams(wide.version(), grown.iter().map(|(at, ties)| (*at, ties.as_slice())));
         let known = knotted.len();
         for complaint in validation::cycles(&both) {
-            let Violation::Loop { path } = complaint else { continue };
+            let Violation::Cycle { path } = complaint else { continue };
             knotted.extend(path.iter().filter_map(|name| wide.find(name)));
         }
         if knotted.len() == known {
@@ -214,7 +218,7 @@
 /// The ties that the target wants for a place, by the indices of the shape that is being changed.
 fn wanted(wide: &Shape, target: &Shape, name: &str) -> Vec<NodeIndex> {
     let Some(place) = target.find(name) else { return Vec::new() };
-    target.ties(place).iter().filter_map(|tie| wide.find(target.name(*tie))).collect()
+    target.upstreams(place).iter().filter_map(|tie| wide.find(target.name(*tie))).collect()
 }
 
 /// Ties between a hub and the archive, by the indices of the shape that is being changed.
@@ -222,10 +226,10 @@
     let mut height: BTreeMap<NodeIndex, usize> = BTreeMap::new();
     let mut below: BTreeMap<NodeIndex, Vec<NodeIndex>> = BTreeMap::new();
     for (at, _) in target.hubs() {
-        target.ties(at).iter().for_each(|tie| below.entry(*tie).or_default().push(at));
+        target.upstreams(at).iter().for_each(|tie| below.entry(*tie).or_default().push(at));
     }
     let (mut front, mut level) = (vec![ARCHIVE], 0);
-    while !front.is_empty() && level <= target.places().count() {
+    while !front.is_empty() && level <= target.nodes().count() {
         height.extend(front.iter().map(|at| (*at, level)));
         let next: BTreeSet<_> =
             front.iter().flat_map(|at| below.get(at).into_iter().flatten()).copied().collect();
@@ -247,7 +251,7 @@
 impl Planner {
     fn new(shape: Shape, begin: Moment) -> Planner {
         let branch = |place: &Node| if let Node::Branch(branch) = place { branch.load } else { 0.0 };
-        let total: f64 = shape.places().map(|(_, place)| branch(place)).sum();
+        let total: f64 = shape.nodes().map(|(_, place)| branch(place)).sum();
         let loads = validation::loads(&shape).unwrap_or_default();
         Planner { shape, loads, total, begin, at: Span::ZERO, steps: Vec::new() }
     }
@@ -261,7 +265,7 @@
                 let (next, moved) = self.applied(&left[..many]);
                 let loops = validation::cycles(&next);
                 if !loops.is_empty() {
-                    return Err(PlanError::Wrong(loops));
+                    return Err(PlanError::Invalid(loops));
                 }
                 match self.too_much(&next) {
                     None => break (next, moved),
@@ -287,16 +291,16 @@
 
     /// Fills a second that an operation takes elsewhere.
     fn moves(&self, op: &Op) -> f64 {
-        let load = match self.shape.place(op.place) {
+        let load = match self.shape.node(op.place) {
             Some(Node::Branch(branch)) => branch.load,
             Some(Node::Hub(hub)) => self.loads.of(op.place) * hub.passes,
             _ => 0.0,
         };
-        let ties = self.shape.ties(op.place).len() as f64;
+        let ties = self.shape.upstreams(op.place).len() as f64;
         match &op.change {
             Change::Add(_) => load / (ties + 1.0),
             Change::Drop(_) => load / ties.max(1.0),
-            Change::Replace(to) if to.iter().all(|tie| self.shape.ties(op.place).contains(tie)) => 0.0,
+            Change::Replace(to) if to.iter().all(|tie| self.shape.upstreams(op.place).contains(tie)) => 0.0,
             Change::Replace(_) => load,
         }
     }
@@ -304,12 +308,12 @@
     fn applied(&self, ops: &[Op]) -> (Shape, f64) {
         let mut ties: BTreeMap<NodeIndex, Vec<NodeIndex>> = BTreeMap::new();
         for op in ops {
-            let now = ties.entry(op.place).or_insert_with(|| self.shape.ties(op.place).to_vec());
+            let now = ties.entry(op.place).or_insert_with(|| self.shape.upstreams(op.place).to_vec());
             *now = op.applied(now);
         }
         let moved = ops.iter().map(|op| self.moves(op)).sum::<f64>() / self.total.max(1e-9);
         let moves = ties.iter().map(|(place, ties)| (*place, ties.as_slice()));
-        (self.shape.with_ties(self.shape.version() + 1, moves), moved.min(1.0))
+        (self.shape.with_upstreams(self.shape.version() + 1, moves), moved.min(1.0))
     }
 
     /// A place that is asked for more than it can do at its age, or an archive near its stopping point. What a hub
@@ -323,20 +327,20 @@
             let warm = self.warmth(next, at, now) >= 1.0;
             let limit = if warm { hub.capacity } else { carries };
             if grown && asked > limit * (1.0 + 1e-9) {
-                return Some(PlanError::TooMuch { place: hub.name.clone(), asked, carries: limit });
+                return Some(PlanError::Overload { node: hub.name.clone(), asked, limit });
             }
         }
-        let new: f64 = next.tops().iter().map(|at| (after.of(*at) - self.loads.of(*at)).max(0.0)).sum();
-        let lost = self.shape.tops().iter().any(|top| !next.tops().contains(top));
+        let new: f64 = next.top_hubs().iter().map(|at| (after.of(*at) - self.loads.of(*at)).max(0.0)).sum();
+        let lost = self.shape.top_hubs().iter().any(|top| !next.top_hubs().contains(top));
         let anew = if lost { new } else { 0.0 };
         let archive = next.archive();
         let (asked, carries) =
             (after.of(ARCHIVE) + anew, archive.capacity * archive.stops_at * ARCHIVE_SHARE);
-        (asked > carries).then(|| PlanError::TooMuch { place: archive.name.clone(), asked, carries })
+        (asked > carries).then(|| PlanError::Overload { node: archive.name.clone(), asked, limit: carries })
     }
 
     fn warmth(&self, shape: &Shape, at: NodeIndex, now: Moment) -> f64 {
-        let Some(hub) = shape.place(at).and_then(Node::hub) else { return 1.0 };
+        let Some(hub) = shape.node(at).and_then(Node::as_hub) else { return 1.0 };
         if hub.since_ms == 0 {
             return 1.0;
         }
@@ -356,15 +360,15 @@
 
     fn step(&mut self, next: Shape, ops: &[Op], moved: f64) -> Result<(), PlanError> {
         if self.steps.len() >= MOST_STEPS {
-            return Err(PlanError::TooLong { steps: MOST_STEPS });
+            return Err(PlanError::TooManySteps { steps: MOST_STEPS });
         }
         let names =
-            |shape: &Shape, at| shape.ties(at).iter().map(|tie| shape.name(*tie).to_string()).collect();
+            |shape: &Shape, at| shape.upstreams(at).iter().map(|tie| shape.name(*tie).to_string()).collect();
         let places: BTreeSet<NodeIndex> = ops.iter().map(|op| op.place).collect();
         let moves: Vec<UpstreamChange> = places
             .iter()
             .map(|at| UpstreamChange {
-                place: next.name(*at).into(),
+                node: next.name(*at).into(),
                 from: names(&self.shape, *at),
                 to: names(&next, *at),
             })
@@ -400,22 +404,22 @@
     /// is no longer named.
     pub fn shape_after(&self, from: &Shape, steps: usize, version: u64) -> Shape {
         if steps == 0 {
-            return from.with_ties(version, []);
+            return from.with_upstreams(version, []);
         }
-        let wide = from.widened(version, &self.to);
+        let wide = from.extended_with(version, &self.to);
         let mut ties: BTreeMap<NodeIndex, Vec<NodeIndex>> = BTreeMap::new();
         for step in &self.steps[..steps.min(self.steps.len())] {
             for one in &step.moves {
                 let to = one.to.iter().filter_map(|name| wide.find(name)).collect();
-                ties.extend(wide.find(&one.place).map(|place| (place, to)));
+                ties.extend(wide.find(&one.node).map(|place| (place, to)));
             }
         }
-        let moved = wide.with_ties(version, ties.iter().map(|(place, ties)| (*place, ties.as_slice())));
-        if steps >= self.steps.len() { moved.narrowed(version, &self.to) } else { moved }
+        let moved = wide.with_upstreams(version, ties.iter().map(|(place, ties)| (*place, ties.as_slice())));
+        if steps >= self.steps.len() { moved.restricted_to(version, &self.to) } else { moved }
     }
 
     /// How long it takes if nothing holds it.
-    pub fn lasts(&self) -> Span {
+    pub fn min_duration(&self) -> Span {
         self.steps.last().map_or(Span::ZERO, |last| Span::millis(last.not_before_ms) + SETTLE_TIME)
     }
 }
--- a/crates/shape/src/rollout.rs
+++ b/crates/shape/src/rollout.rs
@@ -26,7 +26,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Transition {
     /// Step `step` goes out as `version`.
-    Out {
+    #[serde(rename = "out")]
+    Published {
         step: usize,
         version: u64,
     },
@@ -35,10 +36,12 @@
         step: usize,
     },
     /// The shape of the step before goes out as `version`.
-    Undone {
+    #[serde(rename = "undone")]
+    Reverted {
         step: usize,
         version: u64,
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     Ended {
         complete: bool,
@@ -49,22 +52,22 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberHealth {
     pub version: u64,
-    pub at: Moment,
+    pub last_report: Moment,
     /// Time to the first byte against its usual one; 1 is usual.
     pub slowness: f64,
     /// Time of a fetch at the archive against its usual one.
     pub archive_slowness: f64,
     /// Pulls a second that came to it.
-    pub asked: f64,
+    pub request_rate: f64,
     /// Fetches a second at the archive.
-    pub fetches: f64,
+    pub fetch_rate: f64,
 }
 
 /// What the runner looks at.
 pub struct HealthView<'a> {
     pub members: &'a BTreeMap<String, MemberHealth>,
     /// Fetches a second at which the archive stops.
-    pub stopping: f64,
+    pub archive_stop_rate: f64,
     /// How old each hub is that has started lately; hubs that are not in it are warm.
     pub ages: &'a BTreeMap<String, Span>,
 }
@@ -73,21 +76,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum HoldReason {
     Settling,
-    Resting,
-    TooYoung { hub: String, age: Span, needed: Span },
+    BackingOff,
+    HubTooYoung { hub: String, age: Span, needed: Span },
     ArchiveBusy { share: f64 },
     ArchiveSlow { slowness: f64 },
     HubSlow { hub: String, slowness: f64 },
-    Unheard { place: String },
-    NotYet,
+    Unconfirmed { node: String },
+    NotDue,
 }
 
 impl std::fmt::Display for HoldReason {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
             Self::Settling => write!(f, "the step before settles"),
-            Self::Resting => write!(f, "resting after an undone step"),
-            Self::TooYoung { hub, age, needed } => {
+            Self::BackingOff => write!(f, "resting after an undone step"),
+            Self::HubTooYoung { hub, age, needed } => {
                 write!(f, "{hub} is {:.1} s old and has to be {:.1} s", age.seconds(), needed.seconds())
             }
             Self::ArchiveBusy { share } => write!(f, "the archive is asked {share:.2} of its stopping point"),
@@ -95,8 +98,8 @@
                 write!(f, "the archive is {slowness:.1} times slower than usual")
             }
             Self::HubSlow { hub, slowness } => write!(f, "{hub} is {slowness:.1} times slower than usual"),
-            Self::Unheard { place } => write!(f, "{place} has not said that it follows"),
-            Self::NotYet => write!(f, "planned for later"),
+            Self::Unconfirmed { node: place } => write!(f, "{place} has not said that it follows"),
+            Self::NotDue => write!(f, "planned for later"),
         }
     }
 }
@@ -104,7 +107,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// To be written down, and then done.
-    Do(Transition),
+    Apply(Transition),
     Hold(HoldReason),
 }
 
@@ -128,53 +131,53 @@
 #[derive(Clone, Debug)]
 pub struct Rollout {
     pub plan: Plan,
-    begun: Moment,
+    started: Moment,
     /// Steps that have gone out, whether they have settled or not.
-    done: usize,
-    undone: u32,
-    at: At,
+    published_steps: usize,
+    reverted_count: u32,
+    phase: At,
     version: u64,
 }
 
 impl Rollout {
-    pub fn begin(plan: Plan, version: u64, now: Moment) -> Rollout {
+    pub fn start(plan: Plan, version: u64, now: Moment) -> Rollout {
         Rollout {
             plan,
-            begun: now,
-            done: 0,
-            undone: 0,
-            at: At::Between { since: now, rest: Span::ZERO },
+            started: now,
+            published_steps: 0,
+            reverted_count: 0,
+            phase: At::Between { since: now, rest: Span::ZERO },
             version,
         }
     }
 
     /// Takes in a stage: one that was just written down, or all of a forerunner's after its death.
-    pub fn enter(&mut self, stage: &Transition, now: Moment) {
+    pub fn apply(&mut self, stage: &Transition, now: Moment) {
         match stage {
-            Transition::Out { step, version } => {
-                (self.done, self.version) = (*step, *version);
-                self.at = At::Out { step: *step, version: *version, since: now, bad_since: None };
+            Transition::Published { step, version } => {
+                (self.published_steps, self.version) = (*step, *version);
+                self.phase = At::Out { step: *step, version: *version, since: now, bad_since: None };
             }
-            Transition::Settled { .. } => self.at = At::Between { since: now, rest: Span::ZERO },
-            Transition::Undone { step, version, .. } => {
-                (self.done, self.version) = (*step - 1, *version);
-                self.undone += 1;
-                self.at = At::Between { since: now, rest: RESTS };
+            Transition::Settled { .. } => self.phase = At::Between { since: now, rest: Span::ZERO },
+            Transition::Reverted { step, version, .. } => {
+                (self.published_steps, self.version) = (*step - 1, *version);
+                self.reverted_count += 1;
+                self.phase = At::Between { since: now, rest: RESTS };
             }
-            Transition::Ended { .. } => self.at = At::Ended,
+            Transition::Ended { .. } => self.phase = At::Ended,
         }
     }
 
-    pub fn done(&self) -> usize {
-        self.done
+    pub fn published_steps(&self) -> usize {
+        self.published_steps
     }
 
-    pub fn undone(&self) -> u32 {
-        self.undone
+    pub fn reverted_count(&self) -> u32 {
+        self.reverted_count
     }
 
-    pub fn is_over(&self) -> bool {
-        self.at == At::Ended
+    pub fn is_finished(&self) -> bool {
+        self.phase == At::Ended
     }
 
     pub fn version(&self) -> u64 {
@@ -182,106 +185,115 @@
     }
 
     /// What to do now. Calls for the same moment and view say the same, until the stage is entered.
-    pub fn turn(&self, view: &HealthView, now: Moment) -> Decision {
-        match self.at {
-            At::Ended => Decision::Hold(HoldReason::NotYet),
-            At::Out { step, version, since, .. } => self.watch(step, version, since, view, now),
-            At::Between { since, rest } => self.go_on(since, rest, view, now),
+    pub fn decide(&self, view: &HealthView, now: Moment) -> Decision {
+        match self.phase {
+            At::Ended => Decision::Hold(HoldReason::NotDue),
+            At::Out { step, version, since, .. } => self.watch_step(step, version, since, view, now),
+            At::Between { since, rest } => self.next_step(since, rest, view, now),
         }
     }
 
     /// A peak has to last before it undoes anything: the runner notes since when it is seen.
-    pub fn look(&mut self, view: &HealthView, now: Moment) {
-        let bad = self.undoes(view).is_some();
-        if let At::Out { bad_since, .. } = &mut self.at {
+    pub fn observe(&mut self, view: &HealthView, now: Moment) {
+        let bad = self.revert_reason(view).is_some();
+        if let At::Out { bad_since, .. } = &mut self.phase {
             *bad_since = if bad { bad_since.or(Some(now)) } else { None };
         }
     }
 
-    fn slower(&self) -> f64 {
-        2f64.powi(self.undone as i32)
+    fn settle_factor(&self) -> f64 {
+        2f64.powi(self.reverted_count as i32)
     }
 
-    fn watch(&self, step: usize, version: u64, since: Moment, view: &HealthView, now: Moment) -> Decision {
-        let At::Out { bad_since, .. } = self.at else { return Decision::Hold(HoldReason::Settling) };
-        if let (Some(bad), Some(why)) = (bad_since, self.undoes(view))
+    fn watch_step(
+        &self,
+        step: usize,
+        version: u64,
+        since: Moment,
+        view: &HealthView,
+        now: Moment,
+    ) -> Decision {
+        let At::Out { bad_since, .. } = self.phase else { return Decision::Hold(HoldReason::Settling) };
+        if let (Some(bad), Some(why)) = (bad_since, self.revert_reason(view))
             && now.since(bad) >= BAD_FOR
         {
-            return self.undo(step, why.to_string());
+            return self.revert(step, why.to_string());
         }
-        let unheard = self.unheard(step, version, view, now);
+        let unheard = self.unconfirmed_node(step, version, view, now);
         if now.since(since) >= ANSWERS_WITHIN
             && let Some(place) = &unheard
         {
-            return self.undo(step, HoldReason::Unheard { place: place.clone() }.to_string());
+            return self.revert(step, HoldReason::Unconfirmed { node: place.clone() }.to_string());
         }
         if let Some(place) = unheard {
-            return Decision::Hold(HoldReason::Unheard { place });
+            return Decision::Hold(HoldReason::Unconfirmed { node: place });
         }
-        if now.since(since) < SETTLE_TIME * self.slower() || bad_since.is_some() {
+        if now.since(since) < SETTLE_TIME * self.settle_factor() || bad_since.is_some() {
             return Decision::Hold(HoldReason::Settling);
         }
-        Decision::Do(Transition::Settled { step })
+        Decision::Apply(Transition::Settled { step })
     }
 
-    fn undo(&self, step: usize, why: String) -> Decision {
-        Decision::Do(Transition::Undone { step, version: self.version + 1, why })
+    fn revert(&self, step: usize, why: String) -> Decision {
+        Decision::Apply(Transition::Reverted { step, version: self.version + 1, reason: why })
     }
 
-    fn go_on(&self, since: Moment, rest: Span, view: &HealthView, now: Moment) -> Decision {
-        if self.done >= self.plan.steps.len() {
-            return Decision::Do(Transition::Ended { complete: true });
+    fn next_step(&self, since: Moment, rest: Span, view: &HealthView, now: Moment) -> Decision {
+        if self.published_steps >= self.plan.steps.len() {
+            return Decision::Apply(Transition::Ended { complete: true });
         }
-        if self.undone >= MOST_UNDONE {
-            return Decision::Do(Transition::Ended { complete: false });
+        if self.reverted_count >= MOST_UNDONE {
+            return Decision::Apply(Transition::Ended { complete: false });
         }
         if now.since(since) < rest {
-            return Decision::Hold(HoldReason::Resting);
+            return Decision::Hold(HoldReason::BackingOff);
         }
-        let step = &self.plan.steps[self.done];
-        if let Some(hold) = self.too_young(step, view).or_else(|| busy(view, ARCHIVE_HOLDS, HUB_HOLDS)) {
+        let step = &self.plan.steps[self.published_steps];
+        if let Some(hold) = self.too_young_hub(step, view).or_else(|| busy(view, ARCHIVE_HOLDS, HUB_HOLDS)) {
             return Decision::Hold(hold);
         }
-        Decision::Do(Transition::Out { step: self.done + 1, version: self.version + 1 })
+        Decision::Apply(Transition::Published { step: self.published_steps + 1, version: self.version + 1 })
     }
 
-    fn too_young(&self, step: &Step, view: &HealthView) -> Option<HoldReason> {
+    fn too_young_hub(&self, step: &Step, view: &HealthView) -> Option<HoldReason> {
         step.needs.iter().find_map(|need| {
             let (age, needed) = (*view.ages.get(&need.hub)?, Span::millis(need.age_ms));
-            (age < needed).then(|| HoldReason::TooYoung { hub: need.hub.clone(), age, needed })
+            (age < needed).then(|| HoldReason::HubTooYoung { hub: need.hub.clone(), age, needed })
         })
     }
 
-    fn undoes(&self, view: &HealthView) -> Option<HoldReason> {
+    fn revert_reason(&self, view: &HealthView) -> Option<HoldReason> {
         busy(view, ARCHIVE_UNDOES, HUB_UNDOES)
     }
 
     /// A hub of the step, or one that it is tied to, that has not said that it follows. Others that are silent are
     /// passed over: they serve on by the version that they have.
-    fn unheard(&self, step: usize, version: u64, view: &HealthView, now: Moment) -> Option<String> {
+    fn unconfirmed_node(&self, step: usize, version: u64, view: &HealthView, now: Moment) -> Option<String> {
         let moves = self.plan.steps.get(step.checked_sub(1)?)?.moves.iter();
-        let named = moves.flat_map(|one| one.to.iter().chain([&one.place]));
+        let named = moves.flat_map(|one| one.to.iter().chain([&one.node]));
         let behind = named.filter(|name| {
             let heard = view.members.get(*name);
-            heard.is_some_and(|heard| heard.version < version && now.since(heard.at) < ANSWERS_WITHIN * 2.0)
+            heard.is_some_and(|heard| {
+                heard.version < version && now.since(heard.last_report) < ANSWERS_WITHIN * 2.0
+            })
         });
         behind.min().cloned()
     }
 
-    pub fn lasted(&self, now: Moment) -> Span {
-        now.since(self.begun)
+    pub fn elapsed(&self, now: Moment) -> Span {
+        now.since(self.started)
     }
 }
 
 fn busy(view: &HealthView, archive: f64, hub: f64) -> Option<HoldReason> {
-    let fetches: f64 = view.members.values().map(|heard| heard.fetches).sum();
-    let share = fetches / view.stopping.max(1e-9);
+    let fetches: f64 = view.members.values().map(|heard| heard.fetch_rate).sum();
+    let share = fetches / view.archive_stop_rate.max(1e-9);
     if share > archive {
         return Some(HoldReason::ArchiveBusy { share });
     }
     // One hub that sees a slow archive may have a slow way there: half of those that fetch have to see it.
     let mut seen: Vec<f64> =
-        view.members.values().filter(|m| m.fetches > 0.0).map(|m| m.archive_slowness).collect();
+        view.members.values().filter(|m| m.fetch_rate > 0.0).map(|m| m.archive_slowness).collect();
     seen.sort_by(f64::total_cmp);
     if let Some(slowness) = seen.get(seen.len() / 2).copied().filter(|slowness| *slowness > hub) {
         return Some(HoldReason::ArchiveSlow { slowness });
--- a/crates/shape/src/route.rs
+++ b/crates/shape/src/route.rs
@@ -28,7 +28,7 @@
 
 /// The hub at which all fills of an object meet: one of those that are tied to the archive.
 pub fn preferred_hub(shape: &Shape, object: u64) -> Option<NodeIndex> {
-    highest_weight(shape, shape.tops().iter().copied(), object)
+    highest_weight(shape, shape.top_hubs().iter().copied(), object)
 }
 
 /// Where `me` fills `object` from, passing by the places of `avoid`. None: there is no way left but to give up.
@@ -38,7 +38,7 @@
 /// archive: a branch whose way is cut is better served by a longer one than by none.
 pub fn next_hop(shape: &Shape, me: NodeIndex, object: u64, avoid: &[NodeIndex]) -> Option<NextHop> {
     let open = |place: &NodeIndex| *place != me && !avoid.contains(place);
-    let ties = shape.ties(me);
+    let ties = shape.upstreams(me);
     if !ties.contains(&ARCHIVE) {
         let tie = highest_weight(shape, ties.iter().copied().filter(open), object);
         if let Some(tie) = tie {
@@ -46,7 +46,7 @@
         }
     }
     // Itself may be avoided too: who was found waiting for itself must not be its own home again.
-    let candidates = shape.tops().iter().copied().filter(|place| !avoid.contains(place));
+    let candidates = shape.top_hubs().iter().copied().filter(|place| !avoid.contains(place));
     match highest_weight(shape, candidates, object) {
         Some(home) if home != me => Some(NextHop::Hub(home)),
         _ if avoid.contains(&ARCHIVE) => None,
--- a/crates/shape/src/validation.rs
+++ b/crates/shape/src/validation.rs
@@ -7,63 +7,71 @@
 /// What is wrong with a version. Each names the place, and the tie where there is one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    Doubled {
-        place: String,
+    DuplicateName {
+        node: String,
     },
-    Unknown {
-        place: String,
-        tie: String,
+    UnknownUpstream {
+        node: String,
+        upstream: String,
     },
-    DoubledTie {
-        place: String,
-        tie: String,
+    DuplicateUpstream {
+        node: String,
+        upstream: String,
     },
-    ToBranch {
-        place: String,
-        tie: String,
+    BranchUpstream {
+        node: String,
+        upstream: String,
     },
     /// The whole way round; the first is tied to the second, and the last to the first.
-    Loop {
+    Cycle {
         path: Vec<String>,
     },
-    NoWay {
-        place: String,
+    ArchiveUnreachable {
+        node: String,
     },
     /// Tied to the archive and to a hub: its objects would have two homes.
-    MixedTies {
-        place: String,
-        tie: String,
+    MixedUpstreams {
+        node: String,
+        upstream: String,
     },
     Overload {
-        place: String,
+        node: String,
         asked: f64,
-        carries: f64,
+        limit: f64,
     },
     OverloadAfterLoss {
-        place: String,
+        node: String,
         lost: String,
         asked: f64,
-        carries: f64,
+        limit: f64,
     },
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Doubled { place } => write!(f, "{place}: named twice"),
-            Self::Unknown { place, tie } => write!(f, "{place}: tied to {tie}, which is unknown"),
-            Self::DoubledTie { place, tie } => write!(f, "{place}: tied to {tie} twice"),
-            Self::ToBranch { place, tie } => write!(f, "{place}: tied to {tie}, which is a branch"),
-            Self::Loop { path } => {
+            Self::DuplicateName { node: place } => write!(f, "{place}: named twice"),
+            Self::UnknownUpstream { node: place, upstream: tie } => {
+                write!(f, "{place}: tied to {tie}, which is unknown")
+            }
+            Self::DuplicateUpstream { node: place, upstream: tie } => {
+                write!(f, "{place}: tied to {tie} twice")
+            }
+            Self::BranchUpstream { node: place, upstream: tie } => {
+                write!(f, "{place}: tied to {tie}, which is a branch")
+            }
+            Self::Cycle { path } => {
                 let first = path.first().map_or("", String::as_str);
                 write!(f, "loop: {} -> {first}", path.join(" -> "))
             }
-            Self::NoWay { place } => write!(f, "{place}: no way to the archive"),
-            Self::MixedTies { place, tie } => write!(f, "{place}: tied to the archive and to hub {tie}"),
-            Self::Overload { place, asked, carries } => {
+            Self::ArchiveUnreachable { node: place } => write!(f, "{place}: no way to the archive"),
+            Self::MixedUpstreams { node: place, upstream: tie } => {
+                write!(f, "{place}: tied to the archive and to hub {tie}")
+            }
+            Self::Overload { node: place, asked, limit: carries } => {
                 write!(f, "{place}: asked for {asked:.1} fills a second and carries {carries:.1}")
             }
-            Self::OverloadAfterLoss { place, lost, asked, carries } => {
+            Self::OverloadAfterLoss { node: place, lost, asked, limit: carries } => {
                 write!(f, "{place}: after the loss of {lost} asked for {asked:.1} and carries {carries:.1}")
             }
         }
@@ -116,10 +124,10 @@
 }
 
 fn mixed(shape: &Shape) -> Vec<Violation> {
-    let tops = shape.tops().iter();
+    let tops = shape.top_hubs().iter();
     let other = |top: &NodeIndex| {
-        let tie = shape.ties(*top).iter().find(|tie| **tie != ARCHIVE)?;
-        Some(Violation::MixedTies { place: shape.name(*top).into(), tie: shape.name(*tie).into() })
+        let tie = shape.upstreams(*top).iter().find(|tie| **tie != ARCHIVE)?;
+        Some(Violation::MixedUpstreams { node: shape.name(*top).into(), upstream: shape.name(*tie).into() })
     };
     tops.filter_map(other).collect()
 }
@@ -128,7 +136,7 @@
 fn climb(shape: &Shape) -> Result<Vec<NodeIndex>, Vec<Violation>> {
     let mut climber =
         Climber { shape, mark: BTreeMap::new(), path: Vec::new(), done: Vec::new(), loops: Vec::new() };
-    shape.places().for_each(|(at, _)| climber.from(at));
+    shape.nodes().for_each(|(at, _)| climber.from(at));
     climber.done.reverse();
     if climber.loops.is_empty() { Ok(climber.done) } else { Err(climber.loops) }
 }
@@ -156,7 +164,7 @@
         }
         self.enter(start);
         while let Some((at, seen)) = self.path.last_mut() {
-            let (at, tie) = (*at, self.shape.ties(*at).get(*seen).copied());
+            let (at, tie) = (*at, self.shape.upstreams(*at).get(*seen).copied());
             *seen += 1;
             match tie {
                 None => {
@@ -181,7 +189,7 @@
     fn found(&mut self, tie: NodeIndex) {
         let from = self.path.iter().position(|(at, _)| *at == tie).unwrap_or(0);
         let path = self.path[from..].iter().map(|(at, _)| self.shape.name(*at).to_string()).collect();
-        self.loops.push(Violation::Loop { path });
+        self.loops.push(Violation::Cycle { path });
     }
 }
 
@@ -190,12 +198,12 @@
     let mut wrong = Vec::new();
     for at in order.iter().rev() {
         let on = |tie: &NodeIndex| reaches.get(tie).copied().unwrap_or(false);
-        let reached = *at == ARCHIVE || shape.ties(*at).iter().any(on);
+        let reached = *at == ARCHIVE || shape.upstreams(*at).iter().any(on);
         reaches.insert(*at, reached);
         // A hub that nobody is tied to, and that is tied to nothing, only waits for its first tie.
-        let unused = shape.ties(*at).is_empty() && shape.place(*at).is_some_and(|p| p.hub().is_some());
+        let unused = shape.upstreams(*at).is_empty() && shape.node(*at).is_some_and(|p| p.as_hub().is_some());
         if !reached && !unused {
-            wrong.push(Violation::NoWay { place: shape.name(*at).into() });
+            wrong.push(Violation::ArchiveUnreachable { node: shape.name(*at).into() });
         }
     }
     wrong.reverse();
@@ -225,7 +233,7 @@
         let rank = order.iter().enumerate().map(|(n, at)| (*at, n)).collect();
         let mut below: BTreeMap<NodeIndex, Vec<NodeIndex>> = BTreeMap::new();
         for at in order {
-            shape.ties(*at).iter().for_each(|tie| below.entry(*tie).or_default().push(*at));
+            shape.upstreams(*at).iter().for_each(|tie| below.entry(*tie).or_default().push(*at));
         }
         let mut flow = Flow { shape, rank, below, asked: BTreeMap::new() };
         for at in order {
@@ -239,7 +247,7 @@
 
     /// What a place that is asked for so much asks for itself.
     fn passes(&self, at: NodeIndex, asked: f64) -> f64 {
-        match self.shape.place(at) {
+        match self.shape.node(at) {
             Some(Node::Branch(branch)) => branch.load,
             Some(Node::Hub(hub)) => asked * hub.passes,
             _ => 0.0,
@@ -248,7 +256,7 @@
 
     /// Over its ties but the archive, which is reckoned for all at the top together.
     fn spread(&self, at: NodeIndex, load: f64) -> Vec<(NodeIndex, f64)> {
-        let ties = self.shape.ties(at);
+        let ties = self.shape.upstreams(at);
         if ties.is_empty() || ties.contains(&ARCHIVE) {
             return Vec::new();
         }
@@ -257,7 +265,7 @@
 
     fn top(&self, lost: Option<NodeIndex>, asked: impl Fn(NodeIndex) -> f64, cut_off: f64) -> Top {
         let left: Vec<NodeIndex> =
-            self.shape.tops().iter().copied().filter(|top| Some(*top) != lost).collect();
+            self.shape.top_hubs().iter().copied().filter(|top| Some(*top) != lost).collect();
         let homes = left.len().max(1) as f64;
         let passes: Vec<f64> = left.iter().map(|top| self.passes(*top, asked(*top))).collect();
         let all: f64 = passes.iter().sum();
@@ -281,15 +289,15 @@
     /// Branches that are tied to the archive itself.
     fn direct(&self) -> f64 {
         let below = self.below.get(&ARCHIVE).into_iter().flatten();
-        let branches = below.filter_map(|at| match self.shape.place(*at) {
-            Some(Node::Branch(branch)) => Some(branch.load / self.shape.ties(*at).len() as f64),
+        let branches = below.filter_map(|at| match self.shape.node(*at) {
+            Some(Node::Branch(branch)) => Some(branch.load / self.shape.upstreams(*at).len() as f64),
             _ => None,
         });
         branches.sum()
     }
 
     fn carries(&self, at: NodeIndex) -> f64 {
-        match self.shape.place(at) {
+        match self.shape.node(at) {
             Some(Node::Hub(hub)) => hub.capacity,
             // Between its capacity and its stopping point it only slows down; an outage is allowed to use that.
             Some(Node::Archive(archive)) => archive.capacity,
@@ -301,9 +309,9 @@
         let loads = self.loads();
         let over = loads.0.iter().filter(|(at, asked)| **asked > self.carries(**at) * (1.0 + 1e-9));
         let complaint = |(at, asked): (&NodeIndex, &f64)| Violation::Overload {
-            place: self.shape.name(*at).into(),
+            node: self.shape.name(*at).into(),
             asked: *asked,
-            carries: self.carries(*at),
+            limit: self.carries(*at),
         };
         over.map(complaint).collect()
     }
@@ -314,14 +322,14 @@
         for (lost, _) in self.shape.hubs() {
             let (changed, archive) = self.after_loss(lost);
             let archive = (ARCHIVE, archive);
-            let limit = |at: NodeIndex| match self.shape.place(at) {
+            let limit = |at: NodeIndex| match self.shape.node(at) {
                 Some(Node::Archive(archive)) => archive.capacity * archive.stops_at * 0.8,
                 _ => self.carries(at),
             };
             for (at, asked) in changed.into_iter().chain([archive]) {
                 if asked > limit(at) * (1.0 + 1e-9) {
                     let (place, lost) = (self.shape.name(at).into(), self.shape.name(lost).into());
-                    wrong.push(Violation::OverloadAfterLoss { place, lost, asked, carries: limit(at) });
+                    wrong.push(Violation::OverloadAfterLoss { node: place, lost, asked, limit: limit(at) });
                 }
             }
         }
@@ -341,8 +349,8 @@
             };
         for child in self.below.get(&lost).into_iter().flatten() {
             let load = self.passes(*child, asked(*child));
-            let others: Vec<_> = self.shape.ties(*child).iter().filter(|tie| **tie != lost).collect();
-            let part = load / self.shape.ties(*child).len() as f64;
+            let others: Vec<_> = self.shape.upstreams(*child).iter().filter(|tie| **tie != lost).collect();
+            let part = load / self.shape.upstreams(*child).len() as f64;
             if others.is_empty() {
                 cut_off += part;
             }
@@ -353,7 +361,7 @@
             give(&mut more, &mut due, to, -load);
         }
         while let Some((_, at)) = due.pop_first() {
-            let passes = match self.shape.place(at) {
+            let passes = match self.shape.node(at) {
                 Some(Node::Hub(hub)) => more[&at] * hub.passes,
                 _ => 0.0,
             };
--- a/crates/shape/src/wait_cycles.rs
+++ b/crates/shape/src/wait_cycles.rs
@@ -38,7 +38,7 @@
     /// Send it to the hub that the fill waits for.
     Send { to: String, chase: Chase },
     /// This hub's fill has to leave the hub that it waits for, and fetch for all in the circle.
-    Leave { knot: WaitCycle },
+    Leave { cycle: WaitCycle },
     /// The path is longer than any way should be, without coming round.
     TooLong { key: Key, path: Vec<String> },
 }
@@ -52,7 +52,7 @@
     /// How long this hub's own fill had waited.
     pub waited: Span,
     /// How often this very circle was found before, for any object.
-    pub before: u32,
+    pub seen_before: u32,
 }
 
 struct Wait {
@@ -66,57 +66,62 @@
 
 /// The waits of one hub.
 pub struct WaitTracker {
-    me: String,
+    local_name: String,
     waits: HashMap<Key, Wait>,
     /// Own names of hubs that were addressed by another.
-    own_names: HashMap<String, String>,
-    found: HashMap<Vec<String>, u32>,
+    aliases: HashMap<String, String>,
+    cycle_counts: HashMap<Vec<String>, u32>,
 }
 
 impl WaitTracker {
     pub fn new(me: &str) -> WaitTracker {
-        WaitTracker { me: me.into(), waits: HashMap::new(), own_names: HashMap::new(), found: HashMap::new() }
+        WaitTracker {
+            local_name: me.into(),
+            waits: HashMap::new(),
+            aliases: HashMap::new(),
+            cycle_counts: HashMap::new(),
+        }
     }
 
-    pub fn me(&self) -> &str {
-        &self.me
+    pub fn local_name(&self) -> &str {
+        &self.local_name
     }
 
     /// The hub addressed by `addressed` calls itself `own`: one hub may stand behind two names.
-    pub fn known_as(&mut self, addressed: &str, own: &str) {
+    pub fn add_alias(&mut self, addressed: &str, own: &str) {
         if addressed != own {
-            self.own_names.insert(addressed.into(), own.into());
+            self.aliases.insert(addressed.into(), own.into());
         }
     }
 
     /// A fill begins to wait for a hub, or for the archive, after whatever it waited for before.
-    pub fn waits(&mut self, key: Key, on: Option<&str>, now: Moment) {
+    pub fn wait_started(&mut self, key: Key, on: Option<&str>, now: Moment) {
         let waited_for = self.waits.get(&key).is_some_and(|wait| wait.waited_for);
         self.waits.insert(key, Wait { on: on.map(str::to_string), since: now, chased: now, waited_for });
     }
 
-    pub fn over(&mut self, key: Key) {
+    pub fn wait_ended(&mut self, key: Key) {
         self.waits.remove(&key);
     }
 
     /// A pull that came through these hubs waits for a fill of this one from now on.
-    pub fn joined(&mut self, key: Key, path: &[String], now: Moment) -> Option<Action> {
+    pub fn on_join(&mut self, key: Key, path: &[String], now: Moment) -> Option<Action> {
         if let Some(wait) = self.waits.get_mut(&key) {
             wait.waited_for |= !path.is_empty();
         }
         if path.is_empty() {
             return None;
         }
-        self.chased(Chase { key, path: path.to_vec(), closed: false }, now)
+        self.on_chase(Chase { key, path: path.to_vec(), closed: false }, now)
     }
 
     /// A chase has come here: the last of its path waits for this hub's fill.
-    pub fn chased(&mut self, chase: Chase, now: Moment) -> Option<Action> {
+    pub fn on_chase(&mut self, chase: Chase, now: Moment) -> Option<Action> {
         let wait = self.waits.get(&chase.key)?;
         let on = wait.on.clone()?;
-        if let Some(at) = chase.path.iter().position(|name| *name == self.me) {
+        if let Some(at) = chase.path.iter().position(|name| *name == self.local_name) {
             let circle = if chase.closed { chase.path } else { chase.path[at..].to_vec() };
-            return self.round(chase.key, circle, on, now);
+            return self.on_cycle(chase.key, circle, on, now);
         }
         if chase.closed {
             return None;
@@ -125,40 +130,40 @@
             return Some(Action::TooLong { key: chase.key, path: chase.path });
         }
         let mut path = chase.path;
-        path.push(self.me.clone());
+        path.push(self.local_name.clone());
         Some(Action::Send { to: on, chase: Chase { key: chase.key, path, closed: false } })
     }
 
     /// This hub stands in a circle. It breaks it, or sends it on to the one that does.
-    fn round(&mut self, key: Key, circle: Vec<String>, on: String, now: Moment) -> Option<Action> {
-        let at = circle.iter().position(|name| *name == self.me)?;
+    fn on_cycle(&mut self, key: Key, circle: Vec<String>, on: String, now: Moment) -> Option<Action> {
+        let at = circle.iter().position(|name| *name == self.local_name)?;
         // What the circle says of this hub has to be so still: its fill may have gone elsewhere meanwhile.
         let next = &circle[(at + 1) % circle.len()];
         if self.own_name(&on) != next {
             return None;
         }
         let breaker = circle.iter().max()?;
-        if *breaker != self.me {
+        if *breaker != self.local_name {
             return Some(Action::Send { to: on, chase: Chase { key, path: circle, closed: true } });
         }
         let path = [&circle[at..], &circle[..at]].concat();
         let waited = self.waits.get(&key).map_or(Span::ZERO, |wait| now.since(wait.since));
-        if self.found.len() >= MOST_REMEMBERED {
-            self.found.clear();
+        if self.cycle_counts.len() >= MOST_REMEMBERED {
+            self.cycle_counts.clear();
         }
-        let found = self.found.entry(path.clone()).or_insert(0);
+        let found = self.cycle_counts.entry(path.clone()).or_insert(0);
         let before = *found;
         *found += 1;
-        Some(Action::Leave { knot: WaitCycle { key, path, waited, before } })
+        Some(Action::Leave { cycle: WaitCycle { key, path, waited, seen_before: before } })
     }
 
     fn own_name<'a>(&'a self, addressed: &'a str) -> &'a str {
-        self.own_names.get(addressed).map_or(addressed, String::as_str)
+        self.aliases.get(addressed).map_or(addressed, String::as_str)
     }
 
     /// Fills that others wait for, and that have waited long, are chased again.
-    pub fn beat(&mut self, now: Moment) -> Vec<Action> {
-        let me = &self.me;
+    pub fn tick(&mut self, now: Moment) -> Vec<Action> {
+        let me = &self.local_name;
         let mut due: Vec<_> = self
             .waits
             .iter_mut()
@@ -178,7 +183,7 @@
     }
 
     /// Fills that wait, for the bound on memory that the hub keeps on them.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waits.len()
     }
 }
--- a/crates/shape/tests/checks.rs
+++ b/crates/shape/tests/checks.rs
@@ -104,18 +104,16 @@
         }
         let Err(alone) = topology::validated_shape(&without) else { panic!("all are overloaded") };
         for complaint in alone {
-            let Violation::Overload { place, asked, .. } = complaint else { continue };
+            let Violation::Overload { node: place, asked, .. } = complaint else { continue };
             let same = told.iter().find_map(|c| match c {
-                Violation::OverloadAfterLoss { place: p, lost: l, asked, .. }
-                    if *p == place && *l == lost =>
-                {
+                Violation::OverloadAfterLoss { node: p, lost: l, asked, .. } if *p == place && *l == lost => {
                     Some(*asked)
                 }
                 _ => None,
             });
             // A place whose load does not differ is told of without a loss only.
             let usual = told.iter().find_map(|c| match c {
-                Violation::Overload { place: p, asked, .. } if *p == place => Some(*asked),
+                Violation::Overload { node: p, asked, .. } if *p == place => Some(*asked),
                 _ => None,
             });
             let found = same.or(usual).unwrap();
@@ -147,26 +145,26 @@
 #[test]
 fn versions_come_once_and_in_order_and_stay_while_they_are_used() {
     let mut versions = Versions::default();
-    let numbered = |n| Shape::of(&config::ShapeConfig { version: n, ..two_hubs() }).unwrap();
-    assert!(versions.enter(numbered(1), at_ms(0)));
+    let numbered = |n| Shape::from_config(&config::ShapeConfig { version: n, ..two_hubs() }).unwrap();
+    assert!(versions.insert(numbered(1), at_ms(0)));
     let pinned = versions.pin().unwrap();
     for n in 2..9 {
-        assert!(versions.enter(numbered(n), at_ms(n)));
-        assert!(!versions.enter(numbered(n), at_ms(n)), "told twice");
-        assert!(!versions.enter(numbered(n - 1), at_ms(n)), "out of order");
+        assert!(versions.insert(numbered(n), at_ms(n)));
+        assert!(!versions.insert(numbered(n), at_ms(n)), "told twice");
+        assert!(!versions.insert(numbered(n - 1), at_ms(n)), "out of order");
     }
-    assert_eq!((versions.alive(), versions.get(pinned).unwrap().version()), (2, 1));
+    assert_eq!((versions.retained(), versions.get(pinned).unwrap().version()), (2, 1));
     versions.unpin(pinned);
-    assert_eq!((versions.alive(), versions.get(pinned).unwrap().version()), (1, 8));
+    assert_eq!((versions.retained(), versions.get(pinned).unwrap().version()), (1, 8));
 }
 
 /// An object moves only to a hub that came or from one that went, and all hubs agree on its home.
 #[test]
 fn homes_move_no_more_than_they_have_to() {
-    let before = Shape::of(&two_hubs()).unwrap();
+    let before = Shape::from_config(&two_hubs()).unwrap();
     let mut form = two_hubs();
     form.hubs.push(hub("c", &["archive"]));
-    let after = before.followed_by(&config::ShapeConfig { version: 2, ..form }).unwrap();
+    let after = before.successor(&config::ShapeConfig { version: 2, ..form }).unwrap();
     let c = after.find("c").unwrap();
     let mut moved = 0;
     for object in 0..3_000 {
@@ -177,11 +175,11 @@
         for me in ["a", "b", "c"].map(|name| after.find(name).unwrap()) {
             let expected = if me == new { NextHop::Archive } else { NextHop::Hub(new) };
             assert_eq!(route::next_hop(&after, me, object, &[]), Some(expected));
-            let other: Vec<NodeIndex> = after.tops().iter().copied().filter(|top| *top != me).collect();
+            let other: Vec<NodeIndex> = after.top_hubs().iter().copied().filter(|top| *top != me).collect();
             assert_eq!(route::next_hop(&after, me, object, &other), Some(NextHop::Archive));
         }
     }
     assert!((900..1_100).contains(&moved), "a third: {moved}");
     assert_eq!(before.find("a"), after.find("a"), "indices stay from version to version");
-    assert!(matches!(after.place(c), Some(Node::Hub(_))));
+    assert!(matches!(after.node(c), Some(Node::Hub(_))));
 }
--- a/crates/shape/tests/control.rs
+++ b/crates/shape/tests/control.rs
@@ -29,7 +29,7 @@
             match effect {
                 Effect::Write(record) => self.journal.push(record),
                 Effect::Publish(version) => self.published.push(version),
-                Effect::Say(said) => self.said.push(said),
+                Effect::Announce(said) => self.said.push(said),
             }
         }
     }
@@ -39,10 +39,10 @@
         let report =
             HubReport { version: self.control.shape().version(), slowness: 1.0, ..HubReport::default() };
         for hub in ["a", "b", "c"] {
-            let (_, effects) = self.control.hear(hub, &report, at_ms(self.now));
+            let (_, effects) = self.control.on_report(hub, &report, at_ms(self.now));
             self.carry_out(effects);
         }
-        let effects = self.control.beat(at_ms(self.now));
+        let effects = self.control.tick(at_ms(self.now));
         self.carry_out(effects);
     }
 
@@ -73,11 +73,11 @@
     site.apply(&third_hub(START)).unwrap();
     site.run();
     let version = site.control.shape().version();
-    assert_eq!(site.control.shape().form(), wanted(version));
+    assert_eq!(site.control.shape().to_config(), wanted(version));
     assert!(site.published.windows(2).all(|two| two[0] < two[1]), "{:?}", site.published);
     assert_eq!(site.said.last(), Some(&ChangeEvent::Ended { complete: true, version }));
     let again = Site::open(site.journal.clone(), site.now);
-    assert_eq!(again.control.shape().form(), wanted(version));
+    assert_eq!(again.control.shape().to_config(), wanted(version));
     assert_eq!(again.control.term(), 2);
 }
 
@@ -88,16 +88,17 @@
     let mut whole = Site::open(Vec::new(), START);
     whole.apply(&third_hub(START)).unwrap();
     whole.run();
-    let begun = whole.journal.iter().position(|r| matches!(r.entry, Entry::Begun { .. })).unwrap();
+    let begun = whole.journal.iter().position(|r| matches!(r.entry, Entry::ChangeStarted { .. })).unwrap();
     for cut in begun + 1..whole.journal.len() {
         let journal = whole.journal[..cut].to_vec();
         let mut next = Site::open(journal, START + cut as u64 * 1_000);
-        let ended =
-            whole.journal[..cut].iter().any(|r| matches!(r.entry, Entry::Stage(Transition::Ended { .. })));
+        let ended = whole.journal[..cut]
+            .iter()
+            .any(|r| matches!(r.entry, Entry::Transition(Transition::Ended { .. })));
         assert_eq!(next.control.is_changing(), !ended, "cut at {cut}");
         let told = next.published[0];
         next.run();
-        assert_eq!(next.control.shape().form(), wanted(next.control.shape().version()), "cut at {cut}");
+        assert_eq!(next.control.shape().to_config(), wanted(next.control.shape().version()), "cut at {cut}");
         assert!(next.published.iter().all(|version| *version >= told));
     }
 }
@@ -117,7 +118,7 @@
     let mut mixed = new.journal.clone();
     mixed.extend(late);
     let recalled = Site::open(mixed, new.now);
-    assert_eq!(recalled.control.shape().form(), new.control.shape().form());
+    assert_eq!(recalled.control.shape().to_config(), new.control.shape().to_config());
     assert_eq!(recalled.control.term(), 3);
 }
 
@@ -125,8 +126,8 @@
 fn one_change_at_a_time_and_only_from_the_version_that_was_looked_at() {
     let mut site = Site::open(Vec::new(), START);
     let moved = site.control.apply(&third_hub(START), Some(7), "op", at_ms(START)).unwrap_err();
-    assert_eq!(moved, ChangeError::Moved { expected: 7, is: 1 });
-    assert_eq!(site.apply(&two_hubs()), Err(ChangeError::Same { version: 1 }));
+    assert_eq!(moved, ChangeError::VersionMismatch { expected: 7, actual: 1 });
+    assert_eq!(site.apply(&two_hubs()), Err(ChangeError::Unchanged { version: 1 }));
     site.apply(&third_hub(START)).unwrap();
     let second = site.apply(&two_hubs()).unwrap_err();
     assert!(matches!(&second, ChangeError::Busy { by, .. } if by == "op"), "{second}");
@@ -138,7 +139,7 @@
     site.apply(&two_hubs()).unwrap();
     site.run();
     assert_eq!(
-        site.control.shape().form(),
+        site.control.shape().to_config(),
         ShapeConfig { version: site.control.shape().version(), ..two_hubs() }
     );
 }
--- a/crates/shape/tests/knots.rs
+++ b/crates/shape/tests/wait_cycles.rs
@@ -67,7 +67,7 @@
         let now = Moment::at_micros(self.now * 1_000);
         let at = (hub.to_string(), key);
         if self.filling.contains_key(&at) {
-            let act = self.knots.get_mut(hub).unwrap().joined(key, &path, now);
+            let act = self.knots.get_mut(hub).unwrap().on_join(key, &path, now);
             return self.act(hub, act);
         }
         let up = self.ups.get(&at).cloned().unwrap_or("archive".into());
@@ -79,8 +79,8 @@
         let on = (up != "archive").then_some(up);
         self.filling.insert((hub.into(), key), up.into());
         let knots = self.knots.get_mut(hub).unwrap();
-        knots.waits(key, on, now);
-        let act = knots.joined(key, &path, now);
+        knots.wait_started(key, on, now);
+        let act = knots.on_join(key, &path, now);
         if let Some(up) = on {
             let own = path.iter().cloned().chain([hub.to_string()]).collect();
             self.send(hub, up, Message::Pull(key, own));
@@ -99,9 +99,9 @@
                 }
                 self.send(hub, &to, Message::Chase(chase));
             }
-            Some(Action::Leave { knot }) => {
-                let key = knot.key;
-                self.broken.push((self.now, knot));
+            Some(Action::Leave { cycle }) => {
+                let key = cycle.key;
+                self.broken.push((self.now, cycle));
                 self.fill(hub, key, "archive", Vec::new());
             }
             Some(Action::TooLong { .. }) => panic!("no path here is long"),
@@ -118,7 +118,7 @@
                     Message::Pull(key, path) => self.asked(&to, key, path),
                     Message::Chase(chase) => {
                         let now = Moment::at_micros(self.now * 1_000);
-                        let act = self.knots.get_mut(&to).unwrap().chased(chase, now);
+                        let act = self.knots.get_mut(&to).unwrap().on_chase(chase, now);
                         self.act(&to, act);
                     }
                 }
@@ -126,7 +126,7 @@
             if self.now.is_multiple_of(50) {
                 let now = Moment::at_micros(self.now * 1_000);
                 for hub in self.knots.keys().cloned().collect::<Vec<_>>() {
-                    for act in self.knots.get_mut(&hub).unwrap().beat(now) {
+                    for act in self.knots.get_mut(&hub).unwrap().tick(now) {
                         self.act(&hub, Some(act));
                     }
                 }
@@ -222,7 +222,7 @@
         net.asked("b", (object, 0), Vec::new());
         net.run(net.now + 500);
     }
-    assert_eq!(net.broken.iter().map(|(_, knot)| knot.before).collect::<Vec<_>>(), [0, 1, 2, 3]);
+    assert_eq!(net.broken.iter().map(|(_, knot)| knot.seen_before).collect::<Vec<_>>(), [0, 1, 2, 3]);
     assert!(net.all_end());
 }
 
@@ -231,20 +231,20 @@
 fn a_hub_behind_two_names_is_one_hub() {
     let (now, key) = (Moment::at_micros(0), KEY);
     let mut a = WaitTracker::new("a");
-    a.known_as("x", "b");
-    a.waits(key, Some("x"), now);
-    let Some(Action::Send { to, chase }) = a.joined(key, &["b".into()], now) else { panic!() };
+    a.add_alias("x", "b");
+    a.wait_started(key, Some("x"), now);
+    let Some(Action::Send { to, chase }) = a.on_join(key, &["b".into()], now) else { panic!() };
     assert_eq!((to.as_str(), chase.path.clone()), ("x", vec!["b".into(), "a".into()]));
     let mut b = WaitTracker::new("b");
-    b.waits(key, Some("a"), now);
-    let Some(Action::Leave { knot }) = b.chased(chase, now + Span::millis(9)) else { panic!() };
-    assert_eq!((knot.path, knot.waited), (vec!["b".to_string(), "a".to_string()], Span::millis(9)));
+    b.wait_started(key, Some("a"), now);
+    let Some(Action::Leave { cycle }) = b.on_chase(chase, now + Span::millis(9)) else { panic!() };
+    assert_eq!((cycle.path, cycle.waited), (vec!["b".to_string(), "a".to_string()], Span::millis(9)));
     // A hub that waits for itself under its other name.
     let mut b = WaitTracker::new("b");
-    b.known_as("x", "b");
-    b.waits(key, Some("x"), now);
-    let Some(Action::Leave { knot }) = b.joined(key, &["b".into()], now) else { panic!() };
-    assert_eq!(knot.path, ["b"]);
+    b.add_alias("x", "b");
+    b.wait_started(key, Some("x"), now);
+    let Some(Action::Leave { cycle }) = b.on_join(key, &["b".into()], now) else { panic!() };
+    assert_eq!(cycle.path, ["b"]);
 }
 
 /// A chase that was under way while the fill went elsewhere must not break what is sound now.
@@ -252,23 +252,23 @@
 fn a_circle_that_is_over_breaks_nothing() {
     let (now, key) = (Moment::at_micros(0), KEY);
     let mut c = WaitTracker::new("c");
-    c.waits(key, Some("a"), now);
-    c.waits(key, Some("d"), now);
+    c.wait_started(key, Some("a"), now);
+    c.wait_started(key, Some("d"), now);
     let late = Chase { key, path: vec!["c".into(), "a".into(), "b".into()], closed: false };
-    assert_eq!(c.chased(late.clone(), now), None);
-    c.waits(key, None, now);
-    assert_eq!(c.chased(late.clone(), now), None);
-    c.over(key);
-    assert_eq!((c.chased(late, now), c.waiting()), (None, 0));
+    assert_eq!(c.on_chase(late.clone(), now), None);
+    c.wait_started(key, None, now);
+    assert_eq!(c.on_chase(late.clone(), now), None);
+    c.wait_ended(key);
+    assert_eq!((c.on_chase(late, now), c.waiting_count()), (None, 0));
 }
 
 /// A chase lost with its connection is sent again.
 #[test]
 fn what_still_waits_is_chased_again() {
     let mut a = WaitTracker::new("a");
-    a.waits(KEY, Some("b"), Moment::at_micros(0));
-    assert!(a.beat(Moment::at_micros(900_000)).is_empty(), "nobody waits for it");
-    a.joined(KEY, &["c".into()], Moment::at_micros(0));
-    assert_eq!(a.beat(Moment::at_micros(900_000)).len(), 1);
-    assert!(a.beat(Moment::at_micros(950_000)).is_empty());
+    a.wait_started(KEY, Some("b"), Moment::at_micros(0));
+    assert!(a.tick(Moment::at_micros(900_000)).is_empty(), "nobody waits for it");
+    a.on_join(KEY, &["c".into()], Moment::at_micros(0));
+    assert_eq!(a.tick(Moment::at_micros(900_000)).len(), 1);
+    assert!(a.tick(Moment::at_micros(950_000)).is_empty());
 }
--- a/crates/sites/src/controller.rs
+++ b/crates/sites/src/controller.rs
@@ -29,7 +29,8 @@
 pub struct SiteStatus {
     pub site: String,
     pub view: SiteView,
-    pub standing: SiteState,
+    #[serde(rename = "standing")]
+    pub state: SiteState,
     pub hubs: usize,
     /// Witnesses at the site that have a word now.
     pub witnesses: usize,
@@ -45,18 +46,18 @@
 /// The whole of it.
 pub struct SiteController {
     control: Control,
-    watch: FailureDetector,
-    standings: SiteStates,
+    detector: FailureDetector,
+    states: SiteStates,
     plans: SitePlans,
     /// The shape that operators want, with no site left out.
     wanted: Shape,
     /// When a hub of each site was last heard, by the service itself.
-    heard: BTreeMap<String, Moment>,
-    last_beat: Moment,
+    last_reports: BTreeMap<String, Moment>,
+    last_tick: Moment,
     /// Since when each site's hubs count as started: they come back with nothing.
-    since_ms: BTreeMap<String, u64>,
+    restarted_ms: BTreeMap<String, u64>,
     /// What places are handed with a version: what is done when a site, or a pair, goes beside those that are out.
-    handed: Vec<SitePlan>,
+    fallback_plans: Vec<SitePlan>,
 }
 
 impl SiteController {
@@ -73,36 +74,36 @@
         });
         let kept = kept.unwrap_or_default();
         let losses = kept.losses.clone();
-        let wanted = kept.wanted.as_ref().and_then(|form| control.shape().followed_by(form).ok());
+        let wanted = kept.wanted.as_ref().and_then(|form| control.shape().successor(form).ok());
         let wanted = wanted.unwrap_or_else(|| control.shape().clone());
         let names: Vec<String> = sites_of(&wanted);
         let mut standings = SiteStates::default();
         standings.set_sites(names.iter().map(String::as_str));
-        for (site, to) in kept.standings {
+        for (site, to) in kept.states {
             // Its steps go on in the change that was under way; if there is none, they have ended where they stood.
             let to = match to {
                 SiteState::Returning if !control.is_changing() => SiteState::Held,
                 SiteState::Leaving if !control.is_changing() => SiteState::InService,
                 other => other,
             };
-            standings.enter(&StateChange { site, to, why: String::new() }, now);
+            standings.apply(&StateChange { site, to, reason: String::new() }, now);
         }
-        let plans = SitePlans::of(&wanted, None, true, now);
+        let plans = SitePlans::build(&wanted, None, true, now);
         let mut watch = FailureDetector::new(names.iter().map(String::as_str), now);
-        watch.recall(&losses, now);
+        watch.restore_losses(&losses, now);
         let (heard, since_ms, handed) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
         let mut director = SiteController {
             control,
-            watch,
-            standings,
+            detector: watch,
+            states: standings,
             plans,
             wanted,
-            heard,
-            last_beat: now,
-            since_ms,
-            handed,
+            last_reports: heard,
+            last_tick: now,
+            restarted_ms: since_ms,
+            fallback_plans: handed,
         };
-        director.hand_plans(now);
+        director.update_fallback_plans(now);
         Ok((director, effects))
     }
 
@@ -114,69 +115,78 @@
         &self.plans
     }
 
-    pub fn standing(&self, site: &str) -> Option<&SiteState> {
-        self.standings.of(site)
+    pub fn state(&self, site: &str) -> Option<&SiteState> {
+        self.states.get(site)
     }
 
     /// The plans for a place, to be handed to it with the version in service.
-    pub fn handed(&self, place: &str) -> Vec<FallbackPlan> {
-        fallback::plans_for_node(place, self.handed.iter())
+    pub fn plans_for_node(&self, place: &str) -> Vec<FallbackPlan> {
+        fallback::plans_for_node(place, self.fallback_plans.iter())
     }
 
     /// A plan that is handed out leaves out also those that are out already, whatever it is that is lost.
-    fn hand_plans(&mut self, now: Moment) {
-        let out = self.standings.out();
-        self.handed = match out.is_empty() {
+    fn update_fallback_plans(&mut self, now: Moment) {
+        let out = self.states.excluded();
+        self.fallback_plans = match out.is_empty() {
             true => self.plans.all().cloned().collect(),
             false => plan::plans_with_sites_out(&self.wanted, &out, now),
         };
     }
 
     /// A hub has reported; it gets its part of the archive.
-    pub fn hear(&mut self, hub: &str, report: &HubReport, now: Moment) -> (Option<RateShare>, Vec<Effect>) {
-        if !report.site.is_empty() && (self.heard.len() < MOST_SITES || self.heard.contains_key(&report.site))
+    pub fn on_report(
+        &mut self,
+        hub: &str,
+        report: &HubReport,
+        now: Moment,
+    ) -> (Option<RateShare>, Vec<Effect>) {
+        if !report.site.is_empty()
+            && (self.last_reports.len() < MOST_SITES || self.last_reports.contains_key(&report.site))
         {
-            self.heard.insert(report.site.clone(), now);
-            self.watch.hear(hub, &report.site, WitnessKind::Hub, report.sightings.clone(), now);
+            self.last_reports.insert(report.site.clone(), now);
+            self.detector.on_report(hub, &report.site, WitnessKind::Hub, report.observations.clone(), now);
         }
-        self.control.hear(hub, report, now)
+        self.control.on_report(hub, report, now)
     }
 
     /// To be called some times a second; `site` is where the member of the service is that leads.
-    pub fn beat(&mut self, name: &str, site: &str, now: Moment) -> Vec<Effect> {
-        self.bear_witness(name, site, now);
-        let mut effects = self.control.beat(now);
-        let ended = self.follow_the_change(&effects, now);
+    pub fn tick(&mut self, name: &str, site: &str, now: Moment) -> Vec<Effect> {
+        self.report_own_observations(name, site, now);
+        let mut effects = self.control.tick(now);
+        let ended = self.on_change_ended(&effects, now);
         effects.extend(ended);
-        for change in self.watch.beat(now) {
-            effects.push(Effect::Say(ChangeEvent::Seen {
+        for change in self.detector.tick(now) {
+            effects.push(Effect::Announce(ChangeEvent::ViewChanged {
                 site: change.site.clone(),
                 view: view_label(&change.to),
                 seen_ms: change.seen_for.as_micros() / 1_000,
             }));
             if change.from == SiteView::Lost {
-                self.since_ms.insert(change.site.clone(), now.micros() / 1_000);
+                self.restarted_ms.insert(change.site.clone(), now.micros() / 1_000);
             }
-            if let Some((turned, step)) = self.standings.seen(&change) {
-                effects.extend(self.turn(turned, step, now));
+            if let Some((turned, step)) = self.states.on_view_change(&change) {
+                effects.extend(self.change_state(turned, step, now));
             }
         }
-        let watch = &self.watch;
-        let next =
-            self.standings.next_return(self.control.is_changing(), |site| watch.is_held(site, now), now);
+        let watch = &self.detector;
+        let next = self.states.next_readmission(
+            self.control.is_changing(),
+            |site| watch.is_held_back(site, now),
+            now,
+        );
         if let Some((turned, step)) = next {
-            effects.extend(self.turn(turned, Some(step), now));
+            effects.extend(self.change_state(turned, Some(step), now));
         }
         effects
     }
 
     /// The service is a witness too: it hears a site when a hub there reports.
-    fn bear_witness(&mut self, name: &str, site: &str, now: Moment) {
-        let asleep = now.since(self.last_beat) > ASLEEP;
-        self.last_beat = now;
+    fn report_own_observations(&mut self, name: &str, site: &str, now: Moment) {
+        let asleep = now.since(self.last_tick) > ASLEEP;
+        self.last_tick = now;
         if asleep {
             // Reports that waited meanwhile are read only now: their silence is the service's own.
-            self.heard.values_mut().for_each(|heard| *heard = now);
+            self.last_reports.values_mut().for_each(|heard| *heard = now);
         }
         if site.is_empty() {
             return;
@@ -188,42 +198,45 @@
             slowness: 1.0,
             leaving: false,
         };
-        let sightings = self.heard.iter().filter(|(other, _)| *other != site).map(sighting).collect();
-        self.watch.hear(name, site, WitnessKind::Service, sightings, now);
+        let sightings = self.last_reports.iter().filter(|(other, _)| *other != site).map(sighting).collect();
+        self.detector.on_report(name, site, WitnessKind::Service, sightings, now);
     }
 
     /// A change that has come to its end was some site's steps, perhaps.
-    fn follow_the_change(&mut self, said: &[Effect], now: Moment) -> Vec<Effect> {
+    fn on_change_ended(&mut self, said: &[Effect], now: Moment) -> Vec<Effect> {
         let ended = said.iter().find_map(|effect| match effect {
-            Effect::Say(ChangeEvent::Ended { complete, .. }) => Some(*complete),
+            Effect::Announce(ChangeEvent::Ended { complete, .. }) => Some(*complete),
             _ => None,
         });
         let Some(complete) = ended else { return Vec::new() };
-        match self.standings.ended(complete) {
-            Some(turned) => self.turn(turned, None, now),
+        match self.states.on_change_ended(complete) {
+            Some(turned) => self.change_state(turned, None, now),
             // Whatever the shape is now, what stands of the sites has to be behind it in the journal.
             None => vec![self.sites_record()],
         }
     }
 
     /// Writes a standing down, says it, and does what follows.
-    fn turn(&mut self, turned: StateChange, step: Option<ShapeStep>, now: Moment) -> Vec<Effect> {
-        self.standings.enter(&turned, now);
-        self.hand_plans(now);
-        let said = ChangeEvent::Site { site: turned.site.clone(), is: turned.to, why: turned.why.clone() };
-        let mut effects = vec![self.sites_record(), Effect::Say(said)];
+    fn change_state(&mut self, turned: StateChange, step: Option<ShapeStep>, now: Moment) -> Vec<Effect> {
+        self.states.apply(&turned, now);
+        self.update_fallback_plans(now);
+        let said =
+            ChangeEvent::Site { site: turned.site.clone(), state: turned.to, reason: turned.reason.clone() };
+        let mut effects = vec![self.sites_record(), Effect::Announce(said)];
         match step {
             None => {}
-            Some(ShapeStep::Without(out)) => effects.extend(self.leave_out(&out, now)),
-            Some(ShapeStep::Towards { out, site }) => effects.extend(self.go_towards(&out, &site, now)),
+            Some(ShapeStep::Exclude(out)) => effects.extend(self.exclude_sites(&out, now)),
+            Some(ShapeStep::RollOut { excluded, site }) => {
+                effects.extend(self.roll_out(&excluded, &site, now))
+            }
         }
         effects
     }
 
     fn sites_record(&self) -> Effect {
-        let standings = self.standings.all().map(|(site, standing)| (site.to_string(), *standing)).collect();
-        let (wanted, losses) = (Some(self.wanted.form()), self.watch.remembered());
-        self.control.note(Entry::Sites(Box::new(SitesRecord { standings, wanted, losses })))
+        let standings = self.states.iter().map(|(site, standing)| (site.to_string(), *standing)).collect();
+        let (wanted, losses) = (Some(self.wanted.to_config()), self.detector.recorded_losses());
+        self.control.journal_entry(Entry::Sites(Box::new(SitesRecord { states: standings, wanted, losses })))
     }
 
     /// By the plan that was made beforehand, or one made now for more sites than any was made for.
@@ -234,7 +247,7 @@
     }
 
     /// At once.
-    fn leave_out(&mut self, out: &BTreeSet<String>, now: Moment) -> Vec<Effect> {
+    fn exclude_sites(&mut self, out: &BTreeSet<String>, now: Moment) -> Vec<Effect> {
         let plan = self.plan_for(out, now);
         if plan.all_lost {
             // To be tied to nobody helps nobody.
@@ -242,35 +255,35 @@
         }
         let shape = plan.shape(&self.wanted, self.control.shape().version() + 1);
         let cut_short = self.control.is_changing();
-        let mut effects = self.control.jump(shape);
-        match self.standings.ended(false).filter(|_| cut_short) {
-            Some(turned) => effects.extend(self.turn(turned, None, now)),
+        let mut effects = self.control.replace_shape(shape);
+        match self.states.on_change_ended(false).filter(|_| cut_short) {
+            Some(turned) => effects.extend(self.change_state(turned, None, now)),
             None => effects.push(self.sites_record()),
         }
         effects
     }
 
     /// In steps, as any change; one that does not hold is given up before it begins.
-    fn go_towards(&mut self, out: &BTreeSet<String>, site: &str, now: Moment) -> Vec<Effect> {
+    fn roll_out(&mut self, out: &BTreeSet<String>, site: &str, now: Moment) -> Vec<Effect> {
         let mut form = match out.is_empty() {
-            true => self.wanted.form(),
-            false => self.plan_for(out, now).shape(&self.wanted, self.wanted.version()).form(),
+            true => self.wanted.to_config(),
+            false => self.plan_for(out, now).shape(&self.wanted, self.wanted.version()).to_config(),
         };
-        if let Some(since_ms) = self.since_ms.get(site) {
+        if let Some(since_ms) = self.restarted_ms.get(site) {
             for hub in form.hubs.iter_mut().filter(|hub| hub.site == site) {
                 hub.since_ms = hub.since_ms.max(*since_ms);
             }
         }
         match self.control.apply(&form, None, &format!("site {site}"), now) {
             Ok(effects) => effects,
-            Err(ChangeError::Same { .. }) => self.end_steps(true, now),
-            Err(_) => self.end_steps(false, now),
+            Err(ChangeError::Unchanged { .. }) => self.finish_steps(true, now),
+            Err(_) => self.finish_steps(false, now),
         }
     }
 
-    fn end_steps(&mut self, complete: bool, now: Moment) -> Vec<Effect> {
-        match self.standings.ended(complete) {
-            Some(turned) => self.turn(turned, None, now),
+    fn finish_steps(&mut self, complete: bool, now: Moment) -> Vec<Effect> {
+        match self.states.on_change_ended(complete) {
+            Some(turned) => self.change_state(turned, None, now),
             None => Vec::new(),
         }
     }
@@ -283,25 +296,25 @@
         by: &str,
         now: Moment,
     ) -> Result<Vec<Effect>, ChangeError> {
-        let out = self.standings.out();
-        let wanted = self.wanted.followed_by(form).map_err(ChangeError::Wrong)?;
+        let out = self.states.excluded();
+        let wanted = self.wanted.successor(form).map_err(ChangeError::Invalid)?;
         let target = match out.is_empty() {
             true => form.clone(),
-            false => plan::plan_loss(&wanted, &out, now).shape(&wanted, wanted.version()).form(),
+            false => plan::plan_loss(&wanted, &out, now).shape(&wanted, wanted.version()).to_config(),
         };
         let mut effects = self.control.apply(&target, expect, by, now)?;
         self.wanted = wanted;
         let names = sites_of(&self.wanted);
-        self.standings.set_sites(names.iter().map(String::as_str));
-        self.watch.set_sites(names.iter().map(String::as_str), now);
-        self.plans = SitePlans::of(&self.wanted, Some(&self.plans), true, now);
-        self.hand_plans(now);
+        self.states.set_sites(names.iter().map(String::as_str));
+        self.detector.set_sites(names.iter().map(String::as_str), now);
+        self.plans = SitePlans::build(&self.wanted, Some(&self.plans), true, now);
+        self.update_fallback_plans(now);
         effects.push(self.sites_record());
         Ok(effects)
     }
 
     /// Staff asks for something of a site.
-    pub fn ask(
+    pub fn command(
         &mut self,
         site: &str,
         ask: SiteCommand,
@@ -309,8 +322,8 @@
         now: Moment,
     ) -> Result<Vec<Effect>, String> {
         let busy = self.control.is_changing();
-        let (turned, step) = self.standings.ask(site, ask, by, busy).map_err(|why| why.to_string())?;
-        Ok(self.turn(turned, step, now))
+        let (turned, step) = self.states.command(site, ask, by, busy).map_err(|why| why.to_string())?;
+        Ok(self.change_state(turned, step, now))
     }
 
     pub fn status(&self, now: Moment) -> Status {
@@ -318,16 +331,16 @@
     }
 
     pub fn sites(&self) -> Vec<SiteStatus> {
-        let witnesses = self.watch.witnesses();
+        let witnesses = self.detector.witness_counts();
         let status = |(site, standing): (&str, &SiteState)| {
             let plan = self.plans.get(&BTreeSet::from([site.to_string()])).cloned().unwrap_or_default();
             SiteStatus {
                 site: site.into(),
-                view: self.watch.view(site).clone(),
-                standing: *standing,
+                view: self.detector.view(site).clone(),
+                state: *standing,
                 hubs: self.wanted.hubs().filter(|(_, hub)| hub.site == site).count(),
                 witnesses: witnesses.get(site).copied().unwrap_or(0),
-                losses: self.watch.losses(site),
+                losses: self.detector.loss_count(site),
                 fits: plan.fits(),
                 refused_share: plan.refused_share,
                 fullest: plan.fullest,
@@ -335,7 +348,7 @@
                 archive_first: plan.archive_first,
             }
         };
-        self.standings.all().map(status).collect()
+        self.states.iter().map(status).collect()
     }
 }
 
@@ -363,7 +376,8 @@
     Sites,
     Site {
         site: String,
-        ask: SiteCommand,
+        #[serde(rename = "ask")]
+        command: SiteCommand,
         by: String,
     },
     /// The plan for the loss of these.
@@ -378,32 +392,35 @@
     Sites(Vec<SiteStatus>),
     SiteBegun {
         site: String,
-        standing: SiteState,
+        #[serde(rename = "standing")]
+        state: SiteState,
     },
     SitePlan(Box<SitePlan>),
     Refused(String),
     /// This member of the service does not speak for it.
-    Elsewhere {
-        serves: Option<String>,
+    #[serde(rename = "elsewhere")]
+    NotLeader {
+        #[serde(rename = "serves")]
+        leader: Option<String>,
     },
 }
 
 impl SiteController {
     /// Answers a call, with what has to be done for it.
-    pub fn answer(&mut self, call: SiteRequest, now: Moment) -> (SiteResponse, Vec<Effect>) {
+    pub fn handle_request(&mut self, call: SiteRequest, now: Moment) -> (SiteResponse, Vec<Effect>) {
         match call {
             SiteRequest::Sites => (SiteResponse::Sites(self.sites()), Vec::new()),
             SiteRequest::SitePlan { lost } => {
-                let unknown = lost.iter().find(|site| self.standings.of(site).is_none());
+                let unknown = lost.iter().find(|site| self.states.get(site).is_none());
                 match unknown {
                     Some(site) => (SiteResponse::Refused(format!("site {site:?} is unknown")), Vec::new()),
                     None => (SiteResponse::SitePlan(Box::new(self.plan_for(&lost, now))), Vec::new()),
                 }
             }
-            SiteRequest::Site { site, ask, by } => match self.ask(&site, ask, &by, now) {
+            SiteRequest::Site { site, command, by } => match self.command(&site, command, &by, now) {
                 Ok(effects) => {
-                    let standing = self.standings.of(&site).copied().unwrap_or_default();
-                    (SiteResponse::SiteBegun { site, standing }, effects)
+                    let standing = self.states.get(&site).copied().unwrap_or_default();
+                    (SiteResponse::SiteBegun { site, state: standing }, effects)
                 }
                 Err(why) => (SiteResponse::Refused(why), Vec::new()),
             },
--- a/crates/sites/src/failure_detector.rs
+++ b/crates/sites/src/failure_detector.rs
@@ -62,13 +62,13 @@
 struct Witness {
     site: String,
     kind: WitnessKind,
-    heard: Moment,
+    last_report: Moment,
     sightings: Vec<SiteObservation>,
 }
 
 impl Witness {
     /// It hears somebody of another site than its own: it is not cut off itself.
-    fn hears_anyone(&self) -> bool {
+    fn hears_another_site(&self) -> bool {
         self.sightings.iter().any(|s| s.site != self.site && s.known && s.unanswered < SILENCE_THRESHOLD)
     }
 }
@@ -118,7 +118,7 @@
     }
 
     /// A witness has reported.
-    pub fn hear(
+    pub fn on_report(
         &mut self,
         name: &str,
         site: &str,
@@ -130,12 +130,12 @@
             return;
         }
         let site = site.to_string();
-        self.witnesses.insert(name.into(), Witness { site, kind, heard: now, sightings });
+        self.witnesses.insert(name.into(), Witness { site, kind, last_report: now, sightings });
     }
 
     /// To be called some times a second; what has changed comes back.
-    pub fn beat(&mut self, now: Moment) -> Vec<ViewChange> {
-        self.witnesses.retain(|_, witness| now.since(witness.heard) < STALE);
+    pub fn tick(&mut self, now: Moment) -> Vec<ViewChange> {
+        self.witnesses.retain(|_, witness| now.since(witness.last_report) < STALE);
         let names: Vec<String> = self.sites.keys().cloned().collect();
         let mut changes = Vec::new();
         for name in names {
@@ -169,7 +169,9 @@
                 leaving |= seen.leaving;
                 let least = slowness.entry(&witness.site).or_insert(f64::INFINITY);
                 *least = least.min(seen.slowness);
-            } else if seen.unanswered >= SILENCE_THRESHOLD && (witness.hears_anyone() || self.only_two()) {
+            } else if seen.unanswered >= SILENCE_THRESHOLD
+                && (witness.hears_another_site() || self.has_only_two_sites())
+            {
                 *miss.entry(&witness.site).or_default() += 1;
             }
         }
@@ -196,7 +198,7 @@
     }
 
     /// With two sites a cut and a loss can't be told apart: staff may say what it is.
-    fn only_two(&self) -> bool {
+    fn has_only_two_sites(&self) -> bool {
         self.sites.len() <= 2
     }
 
@@ -205,24 +207,24 @@
     }
 
     /// Whether a site that is heard again may be used again: it has to stay for longer with each loss.
-    pub fn is_held(&self, site: &str, now: Moment) -> bool {
+    pub fn is_held_back(&self, site: &str, now: Moment) -> bool {
         self.sites.get(site).is_some_and(|site| site.view == SiteView::Lost || now < site.held_until)
     }
 
     /// Losses that are remembered.
-    pub fn losses(&self, site: &str) -> usize {
+    pub fn loss_count(&self, site: &str) -> usize {
         self.sites.get(site).map_or(0, |site| site.losses.len())
     }
 
     /// When sites were lost, as far as that is remembered, Unix milliseconds.
-    pub fn remembered(&self) -> BTreeMap<String, Vec<u64>> {
+    pub fn recorded_losses(&self) -> BTreeMap<String, Vec<u64>> {
         let at = |site: &Site| site.losses.iter().map(|at| at.micros() / 1_000).collect::<Vec<u64>>();
         let lost = self.sites.iter().filter(|(_, site)| !site.losses.is_empty());
         lost.map(|(name, site)| (name.clone(), at(site))).collect()
     }
 
     /// What a forerunner remembered. A clock that was ahead says nothing of the future.
-    pub fn recall(&mut self, losses: &BTreeMap<String, Vec<u64>>, now: Moment) {
+    pub fn restore_losses(&mut self, losses: &BTreeMap<String, Vec<u64>>, now: Moment) {
         for (name, at_ms) in losses {
             let Some(site) = self.sites.get_mut(name) else { continue };
             let at = at_ms.iter().map(|ms| Moment::at_micros(ms.saturating_mul(1_000)).min(now));
@@ -235,7 +237,7 @@
     }
 
     /// Witnesses that have a word now, by their sites.
-    pub fn witnesses(&self) -> BTreeMap<&str, usize> {
+    pub fn witness_counts(&self) -> BTreeMap<&str, usize> {
         let mut by_site = BTreeMap::new();
         self.witnesses.values().for_each(|w| *by_site.entry(w.site.as_str()).or_insert(0) += 1);
         by_site
--- a/crates/sites/src/fallback.rs
+++ b/crates/sites/src/fallback.rs
@@ -20,8 +20,8 @@
 /// ties as they are.
 pub fn plans_for_node<'a>(place: &str, plans: impl Iterator<Item = &'a SitePlan>) -> Vec<FallbackPlan> {
     let planned = plans.filter(|plan| !plan.all_lost).filter_map(|plan| {
-        let ties = plan.ties.get(place)?.clone();
-        Some(FallbackPlan { lost: plan.lost.iter().cloned().collect(), ties })
+        let ties = plan.upstreams.get(place)?.clone();
+        Some(FallbackPlan { lost: plan.lost.iter().cloned().collect(), upstreams: ties })
     });
     planned.take(MAX_PLANS).collect()
 }
@@ -30,40 +30,40 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FallbackChange {
     /// It goes by the plan for these; by its own order of ties where nobody made one.
-    Without { lost: BTreeSet<String>, planned: bool },
+    Entered { lost: BTreeSet<String>, planned: bool },
     /// A service speaks: its version holds as it is.
-    Back,
+    Left,
 }
 
 /// One place's readiness.
 pub struct FallbackMode {
-    watch: FailureDetector,
+    detector: FailureDetector,
     sites: BTreeSet<String>,
     version: u64,
     plans: Vec<FallbackPlan>,
     /// When a service spoke last.
-    spoke: Moment,
-    last_beat: Moment,
+    last_service_message: Moment,
+    last_tick: Moment,
     /// The sites that it goes without.
-    without: BTreeSet<String>,
+    excluded_sites: BTreeSet<String>,
 }
 
 impl FallbackMode {
     pub fn new(now: Moment) -> FallbackMode {
         FallbackMode {
-            watch: FailureDetector::new(std::iter::empty(), now),
+            detector: FailureDetector::new(std::iter::empty(), now),
             sites: BTreeSet::new(),
             version: 0,
             plans: Vec::new(),
-            spoke: now,
-            last_beat: now,
-            without: BTreeSet::new(),
+            last_service_message: now,
+            last_tick: now,
+            excluded_sites: BTreeSet::new(),
         }
     }
 
     /// A version, with the plans for this place. Plans of an older one are of no use any more: they name ties that it may
     /// not have.
-    pub fn handed<'a>(
+    pub fn set_version<'a>(
         &mut self,
         version: u64,
         sites: impl Iterator<Item = &'a str>,
@@ -74,62 +74,71 @@
             return;
         }
         let named: Vec<&str> = sites.filter(|site| !site.is_empty()).collect();
-        self.watch.set_sites(named.iter().copied(), now);
+        self.detector.set_sites(named.iter().copied(), now);
         self.sites = named.into_iter().map(str::to_string).collect();
         (self.version, self.plans) = (version, plans);
         self.plans.truncate(MAX_PLANS);
     }
 
     /// A service has said something, whatever it was.
-    pub fn service_spoke(&mut self, now: Moment) -> Option<FallbackChange> {
-        self.spoke = now;
-        let was = std::mem::take(&mut self.without);
-        (!was.is_empty()).then_some(FallbackChange::Back)
+    pub fn on_service_message(&mut self, now: Moment) -> Option<FallbackChange> {
+        self.last_service_message = now;
+        let was = std::mem::take(&mut self.excluded_sites);
+        (!was.is_empty()).then_some(FallbackChange::Left)
     }
 
     /// What somebody sees of the sites: this process, or a hub that it has asked.
-    pub fn hear(&mut self, witness: &str, site: &str, sightings: Vec<SiteObservation>, now: Moment) {
-        self.watch.hear(witness, site, WitnessKind::Hub, sightings, now);
+    pub fn on_observations(
+        &mut self,
+        witness: &str,
+        site: &str,
+        sightings: Vec<SiteObservation>,
+        now: Moment,
+    ) {
+        self.detector.on_report(witness, site, WitnessKind::Hub, sightings, now);
     }
 
     /// To be called some times a second.
-    pub fn beat(&mut self, now: Moment) -> Option<FallbackChange> {
-        if now.since(std::mem::replace(&mut self.last_beat, now)) > ASLEEP {
+    pub fn tick(&mut self, now: Moment) -> Option<FallbackChange> {
+        if now.since(std::mem::replace(&mut self.last_tick, now)) > ASLEEP {
             // It was stopped itself: what a service has said meanwhile is read only now.
-            self.spoke = now;
+            self.last_service_message = now;
         }
-        self.watch.beat(now);
-        if now.since(self.spoke) < SERVICE_TIMEOUT {
+        self.detector.tick(now);
+        if now.since(self.last_service_message) < SERVICE_TIMEOUT {
             return None;
         }
-        let lost = |site: &&String| *self.watch.view(site) == SiteView::Lost || self.without.contains(*site);
+        let lost = |site: &&String| {
+            *self.detector.view(site) == SiteView::Lost || self.excluded_sites.contains(*site)
+        };
         let lost: BTreeSet<String> = self.sites.iter().filter(lost).cloned().collect();
         // To be tied to nobody helps nobody.
-        if lost == self.without || lost.len() == self.sites.len() {
+        if lost == self.excluded_sites || lost.len() == self.sites.len() {
             return None;
         }
-        self.without = lost.clone();
+        self.excluded_sites = lost.clone();
         let planned = self.plan().is_some();
-        Some(FallbackChange::Without { lost, planned })
+        Some(FallbackChange::Entered { lost, planned })
     }
 
     /// The sites that it goes without; none while a service speaks.
-    pub fn without(&self) -> &BTreeSet<String> {
-        &self.without
+    pub fn excluded_sites(&self) -> &BTreeSet<String> {
+        &self.excluded_sites
     }
 
     /// The ties that the plan names for what is lost. None: nothing is lost, or nobody made a plan for it, or the loss
     /// takes no tie from this place.
-    pub fn ties(&self) -> Option<&[String]> {
-        self.plan().map(|plan| plan.ties.as_slice())
+    pub fn upstreams(&self) -> Option<&[String]> {
+        self.plan().map(|plan| plan.upstreams.as_slice())
     }
 
     fn plan(&self) -> Option<&FallbackPlan> {
-        let exact = self.plans.iter().find(|plan| plan.lost == self.without);
+        let exact = self.plans.iter().find(|plan| plan.lost == self.excluded_sites);
         // More sites than any plan is for: the one that leaves out most of them, without the ties that are lost too, is
         // for who reads it.
         exact.or_else(|| {
-            let part = |plan: &&FallbackPlan| !plan.lost.is_empty() && plan.lost.is_subset(&self.without);
+            let part =
+                |plan: &&FallbackPlan| !plan.lost.is_empty() && plan.lost.is_subset(&self.excluded_sites);
             self.plans.iter().filter(part).max_by_key(|plan| plan.lost.len())
         })
     }
