--- a/crates/audit/src/keeper.rs
+++ b/crates/audit/src/keeper.rs
@@ -12,9 +12,9 @@
 use crate::obligations::{Obligations, VersionKind};
 use crate::stamp::Stamp;
 use harestage::time::{Moment, Span};
+use harestage_shape::config::ShapeConfig;
 use harestage_shape::feed;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::tree::{Place, Shape};
+use harestage_shape::topology::{Node, Shape};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -104,8 +104,8 @@
     }
 
     /// A version of the shape is in service.
-    pub fn shape_published(&mut self, form: &ShapeForm, now: Moment) {
-        let Ok(shape) = Shape::of(form) else { return };
+    pub fn shape_published(&mut self, form: &ShapeConfig, now: Moment) {
+        let Ok(shape) = Shape::from_config(form) else { return };
         self.owed.publish(VersionKind::Shape, form.version, now);
         self.history.shape_published(form.version, may_pull_from(form));
         self.shapes.insert(form.version, shape);
@@ -173,18 +173,18 @@
         }
         match report.role {
             Role::Router => {
-                let event = feed::event(1, None, None, due, &report.site);
+                let event = feed::version_event(1, None, None, due, &report.site);
                 Some(Update::Membership { event: String::from_utf8_lossy(&event).trim_end().into() })
             }
             Role::Feed => {
-                let shape = Box::new(feed::for_branch(due, &report.site)?);
+                let shape = Box::new(feed::config_for_branch(due, &report.site)?);
                 Some(Update::Full { shape, plans: Vec::new() })
             }
             Role::Hub => {
                 let own = self.shapes.get(&report.stamp.shape).filter(|_| way == UpdateMethod::Difference);
                 let difference = own.and_then(|own| difference(own, due));
                 Some(difference.unwrap_or_else(|| Update::Full {
-                    shape: Box::new(feed::for_hubs(due)),
+                    shape: Box::new(feed::config_for_hubs(due)),
                     plans: Vec::new(),
                 }))
             }
@@ -221,8 +221,8 @@
     }
 
     /// The newest version before that one: what is gone back to when it is withdrawn.
-    pub fn previous_version(&self, shape: u64) -> Option<ShapeForm> {
-        self.shapes.range(..shape).next_back().map(|(_, shape)| shape.form())
+    pub fn previous_version(&self, shape: u64) -> Option<ShapeConfig> {
+        self.shapes.range(..shape).next_back().map(|(_, shape)| shape.to_config())
     }
 
     /// The log anew: how everybody is held back now.
@@ -296,15 +296,15 @@
     }
     let differs = due.hubs().filter_map(|(_, hub)| {
         let at = own.find(&hub.name)?;
-        let was = own.place(at).and_then(Place::hub)?;
+        let was = own.node(at).and_then(Node::as_hub)?;
         (was.up != hub.up).then(|| (hub.name.clone(), hub.up.clone()))
     });
     Some(Update::Difference { from: own.version(), to: due.version(), ties: differs.collect() })
 }
 
 /// For each branch, the hubs that its routers may pull from: those that it is tied to, and those that stand as its caches.
-fn may_pull_from(form: &ShapeForm) -> BTreeMap<String, BTreeSet<String>> {
-    let of_branch = |branch: &harestage_shape::form::BranchForm| {
+fn may_pull_from(form: &ShapeConfig) -> BTreeMap<String, BTreeSet<String>> {
+    let of_branch = |branch: &harestage_shape::config::BranchConfig| {
         let as_cache = |address: &String| branch.caches.iter().any(|cache| cache.address == *address);
         let caches = form.hubs.iter().filter(|hub| as_cache(&hub.address)).map(|hub| hub.name.clone());
         (branch.name.clone(), branch.hubs.iter().cloned().chain(caches).collect())
--- a/crates/audit/src/messages.rs
+++ b/crates/audit/src/messages.rs
@@ -3,8 +3,8 @@
 use crate::history::{CandidateInterval, Finding, StampPeriod, Summary};
 use crate::lagging::{MemberStatus, Share};
 use crate::stamp::Stamp;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines::Planned;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::messages::FallbackPlan;
 use serde::{Deserialize, Serialize};
 
 /// What kind of process it is.
@@ -44,7 +44,7 @@
     Difference { from: u64, to: u64, ties: Vec<(String, Vec<String>)> },
     /// The whole version as hubs and branches' feeds take it.
     #[serde(rename = "whole")]
-    Full { shape: Box<ShapeForm>, plans: Vec<Planned> },
+    Full { shape: Box<ShapeConfig>, plans: Vec<FallbackPlan> },
     /// The whole list as routers take it: an event of the platform's feed, whose number says nothing.
     #[serde(rename = "listing")]
     Membership { event: String },
--- a/crates/hub/src/desk/below.rs
+++ b/crates/hub/src/desk/below.rs
@@ -5,8 +5,8 @@
 use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_restart::stage::Stage as StartStage;
-use harestage_shape::knots::Key;
-use harestage_shape::shield::Reply;
+use harestage_shape::fetch_rights::HandoverReply;
+use harestage_shape::wait_cycles::Key;
 use harestage_wire::fields::Hex;
 use harestage_wire::node::{Asked, CopyTag, Given, Word};
 
@@ -31,7 +31,7 @@
         if let Some(way) = asked.way.as_ref().filter(|way| way.hand_over) {
             let by = way.path.last().cloned().unwrap_or_default();
             let under_way = self.fills.has(key);
-            let reply = self.archive.shield.asked(key, &by, good.is_some(), under_way, now);
+            let reply = self.archive.shield.on_request(key, &by, good.is_some(), under_way, now);
             return self.hand_over(conn, asked.id, reply, good);
         }
         if let Some(copy) = good {
@@ -91,15 +91,15 @@
         self.orders.push(Order::Answer { conn, given });
     }
 
-    fn hand_over(&mut self, conn: ConnNo, id: Hex, reply: Reply, good: Option<Copy>) {
+    fn hand_over(&mut self, conn: ConnNo, id: Hex, reply: HandoverReply, good: Option<Copy>) {
         match (reply, good) {
-            (Reply::Held, Some(copy)) => {
+            (HandoverReply::Held, Some(copy)) => {
                 let given = give(id, &copy, None, true, CacheStatus::Hit, 0.0);
                 self.orders.push(Order::Answer { conn, given });
             }
-            (Reply::UnderWay, _) => self.refuse(conn, id, Word::Lacks, CacheStatus::Joined),
-            (Reply::Elsewhere { .. }, _) => self.refuse(conn, id, Word::Full, CacheStatus::SourceRefused),
-            (Reply::Ceded { .. } | Reply::Held, _) => {
+            (HandoverReply::UnderWay, _) => self.refuse(conn, id, Word::Lacks, CacheStatus::Joined),
+            (HandoverReply::Elsewhere { .. }, _) => self.refuse(conn, id, Word::Full, CacheStatus::SourceRefused),
+            (HandoverReply::Ceded { .. } | HandoverReply::Held, _) => {
                 self.refuse(conn, id, Word::Lacks, CacheStatus::Unknown)
             }
         }
@@ -143,7 +143,7 @@
         if new {
             self.advance_by(key, &path, now);
         } else {
-            let act = self.circles.knots.joined(key, &path, now);
+            let act = self.circles.knots.on_join(key, &path, now);
             self.act(act, now);
         }
     }
--- a/crates/hub/src/desk/copies.rs
+++ b/crates/hub/src/desk/copies.rs
@@ -5,7 +5,7 @@
 use harestage_copies::index::CopyMetadata;
 use harestage_copies::record::Checkpoint;
 use harestage_purge::scope::CompiledScope;
-use harestage_shape::knots::Key;
+use harestage_shape::wait_cycles::Key;
 use std::collections::HashMap;
 
 /// A clock that is off by less counts as right.
