--- a/crates/branch/src/board.rs
+++ b/crates/branch/src/board.rs
@@ -15,7 +15,7 @@
 use harestage_sites::sight::Sighting;
 use harestage_sites::standby::{Standby, Turn};
 use harestage_sites::watch::SILENCE;
-use harestage_wire::feed::Had;
+use harestage_wire::feed::AppliedPurges;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
 
@@ -382,14 +382,14 @@
     }
 
     /// The same for one that says what it has: without the purges that it was told, and those that no longer matter to it.
-    pub fn lacking(&self, had: &Had, now: Moment) -> Option<(Vec<Saying>, u64)> {
+    pub fn lacking(&self, had: &AppliedPurges, now: Moment) -> Option<(Vec<Saying>, u64)> {
         // Nothing is kept here for longer, whatever it says.
-        let matters = Span::millis(had.keeps_ms.min(LIVES.as_micros() / 1_000)) + CLOCKS_DIFFER;
+        let matters = Span::millis(had.retention_ms.min(LIVES.as_micros() / 1_000)) + CLOCKS_DIFFER;
         self.list(self.knows(had).then_some(had.number), now.before(matters).micros() / 1_000)
     }
 
     /// The number is one of this order: the purge that is the last up to it here was asked for at the same moment there.
-    fn knows(&self, had: &Had) -> bool {
+    fn knows(&self, had: &AppliedPurges) -> bool {
         let before = self.live.partition_point(|live| live.number <= had.number);
         let of_objects = before.checked_sub(1).and_then(|at| self.live.get(at));
         let of_objects = of_objects.map(|live| (live.number, live.at_ms));
--- a/crates/branch/src/caller.rs
+++ b/crates/branch/src/caller.rs
@@ -5,7 +5,7 @@
 //! spoken yet, is no worse off than one whose connection was ended. One that was told what it lacked, and has not said yet
 //! that it has it, is like one that is away: no purge waits for it.
 use harestage::time::{Moment, Span};
-use harestage_wire::feed::{Had, Word};
+use harestage_wire::feed::{Ack, AppliedPurges};
 use std::collections::VecDeque;
 use std::fmt;
 
@@ -68,7 +68,7 @@
 
 impl Caller {
     /// `had`: what it said that it had, where it did. `place`: what follows it was not sent.
-    pub fn new(had: Option<Had>, place: u64) -> Caller {
+    pub fn new(had: Option<AppliedPurges>, place: u64) -> Caller {
         let counts = had.map_or(Counts::ByWriting, |_| Counts::NotYet);
         Caller { place, counts, open: VecDeque::new(), sent: None }
     }
@@ -102,15 +102,15 @@
 
     /// A line that it said.
     pub fn says(&mut self, line: &[u8], now: Moment) -> Result<(), Ended> {
-        match (Word::read(line).ok_or(Ended::NoWord)?, self.counts) {
+        match (Ack::decode(line).ok_or(Ended::NoWord)?, self.counts) {
             // It was slow to answer, and was told all: from here on it counts by its words.
-            (Word::Had(_), Counts::ByWriting) => {
+            (Ack::Initial(_), Counts::ByWriting) => {
                 self.counts = Counts::NotYet;
                 self.open.iter_mut().for_each(|(_, since)| *since = now);
                 Ok(())
             }
-            (Word::Had(_), _) | (Word::Has(_), Counts::ByWriting) => Err(Ended::OutOfTurn),
-            (Word::Has(number), _) => {
+            (Ack::Initial(_), _) | (Ack::Applied(_), Counts::ByWriting) => Err(Ended::OutOfTurn),
+            (Ack::Applied(number), _) => {
                 // Only marks that are open: nothing from the future, nothing twice, and no more words than marks.
                 let at = self.open.iter().position(|(open, _)| *open == number);
                 self.open.drain(..=at.ok_or(Ended::Impossible { number })?);
--- a/crates/branch/src/net.rs
+++ b/crates/branch/src/net.rs
@@ -19,11 +19,11 @@
 use harestage_shape::feed;
 use harestage_shape::lines;
 use harestage_sites::standby::Turn;
-use harestage_sockets::accept::{Open, accept};
+use harestage_sockets::accept::{ConnectionLimit, accept};
 use harestage_sockets::clock::Clock;
-use harestage_sockets::lines::{Lines, within, write_text};
+use harestage_sockets::lines::{LineReader, with_timeout, write_text};
 use harestage_sockets::{Spawner, Stream};
-use harestage_wire::feed::{Had, LONGEST_WORD, Word};
+use harestage_wire::feed::{Ack, AppliedPurges, MAX_ACK_BYTES};
 use slog::{Logger, info, warn};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -152,7 +152,7 @@
         }
         spawner.spawn(beats(shared.clone()));
         spawner.spawn(look(shared.clone(), spawner.clone()));
-        let (open, serving, failing) = (Open::new(start.routers), shared.clone(), log.clone());
+        let (open, serving, failing) = (ConnectionLimit::new(start.routers), shared.clone(), log.clone());
         let one = move |stream| {
             let shared = serving.clone();
             async move {
@@ -365,7 +365,7 @@
         for (name, at) in wanted {
             asked.entry((name.clone(), at)).or_insert_with(|| {
                 let shared = shared.clone();
-                spawner.spawn_held(looks::ask(at, line(), move |seen| {
+                spawner.spawn_with_handle(looks::ask(at, line(), move |seen| {
                     let now = shared.clock.now();
                     shared.board.borrow_mut().seen(&name, &seen.unseen, seen.leaving, now);
                 }))
@@ -390,12 +390,12 @@
 
 /// The platform's control feed to one router. What it says of what it has is heard beside.
 async fn serve(shared: &Shared, stream: &Stream) -> Result<(), String> {
-    let mut lines = Lines::new(stream, LONGEST_SUBSCRIPTION);
-    let line = within(STALL, "silent", lines.next()).await?;
+    let mut lines = LineReader::new(stream, LONGEST_SUBSCRIPTION);
+    let line = with_timeout(STALL, "silent", lines.next_line()).await?;
     let first = std::str::from_utf8(&line).ok().and_then(|line| line.trim_end().strip_prefix("SUB "));
     let number = first.and_then(|n| n.parse().ok()).filter(|n| *n <= MOST_EVENTS);
     let mut last: u64 = number.ok_or("no subscription")?;
-    lines.most = LONGEST_WORD;
+    lines.max_line_bytes = MAX_ACK_BYTES;
     while shared.board.borrow().waits_for().is_some() {
         // A router that waits hears that the feed is there.
         write_text(stream, &feed::beat(last), STALL).await?;
@@ -434,16 +434,16 @@
 }
 
 /// What it says that it had. None: it says nothing, as programs do that don't know the word.
-async fn had(shared: &Shared, lines: &mut Lines<'_>) -> Result<Option<Had>, String> {
+async fn had(shared: &Shared, lines: &mut LineReader<'_>) -> Result<Option<AppliedPurges>, String> {
     let silent = async {
         after(ANSWERS_WITHIN).await;
         Ok(None)
     };
-    let line = or(async { lines.next().await.map(Some) }, silent).await;
-    match line.map_err(|why| ended_itself(shared, why))?.map(|line| Word::read(&line)) {
+    let line = or(async { lines.next_line().await.map(Some) }, silent).await;
+    match line.map_err(|why| ended_itself(shared, why))?.map(|line| Ack::decode(&line)) {
         None => Ok(None),
-        Some(Some(Word::Had(had))) => Ok(Some(had)),
-        Some(Some(Word::Has(_))) => Err(refused(shared, Ended::OutOfTurn)),
+        Some(Some(Ack::Initial(had))) => Ok(Some(had)),
+        Some(Some(Ack::Applied(_))) => Err(refused(shared, Ended::OutOfTurn)),
         Some(None) => Err(refused(shared, Ended::NoWord)),
     }
 }
@@ -459,9 +459,9 @@
 }
 
 /// Takes its words in for as long as it says what can be.
-async fn hear(shared: &Shared, calling: &Calling, lines: &mut Lines<'_>) -> Result<(), String> {
+async fn hear(shared: &Shared, calling: &Calling, lines: &mut LineReader<'_>) -> Result<(), String> {
     loop {
-        let line = lines.next().await.map_err(|why| ended_itself(shared, why))?;
+        let line = lines.next_line().await.map_err(|why| ended_itself(shared, why))?;
         let said = calling.caller.borrow_mut().says(&line, shared.clock.now());
         said.map_err(|why| refused(shared, why))?;
         shared.taken.notify(usize::MAX);
--- a/crates/branch/src/start.rs
+++ b/crates/branch/src/start.rs
@@ -67,7 +67,7 @@
 
     pub fn checked(self) -> Result<FeedStart, String> {
         for (key, value) in [("name", &self.name), ("branch", &self.branch)] {
-            if !harestage_wire::peer::is_name(value) {
+            if !harestage_wire::peer::is_valid_name(value) {
                 return Err(format!(
                     "key {key}: {value:?} is not a name of letters, digits, dots and dashes"
                 ));
--- a/crates/branch/tests/boards.rs
+++ b/crates/branch/tests/boards.rs
@@ -8,7 +8,7 @@
 use harestage_purge::scope::Scope;
 use harestage_shape::form::ShapeForm;
 use harestage_shape::lines::Planned;
-use harestage_wire::feed::{Line, MemberState, Told, read_line};
+use harestage_wire::feed::{FeedEvent, FeedMessage, MemberState, decode_line};
 use std::collections::BTreeMap;
 
 /// A router's side: takes only the number that follows.
@@ -23,19 +23,19 @@
 impl Router {
     fn take(&mut self, saying: &Saying) {
         let line = saying.line(self.last + 1, "br");
-        match read_line(&line).unwrap() {
-            Line::Event(n, told) => {
+        match decode_line(&line).unwrap() {
+            FeedMessage::Event(n, told) => {
                 assert_eq!(n, self.last + 1);
                 self.last = n;
                 match told {
-                    Told::Members { whole, members } => {
+                    FeedEvent::Members { is_snapshot: whole, members } => {
                         if whole {
                             self.list.clear();
                         }
                         self.list.extend(members.into_iter().map(|m| (m.name, m.state)));
                         self.list.retain(|_, state| *state != MemberState::Gone);
                     }
-                    Told::Purge { object, group, at_ms } => self.purged.push((object, group, at_ms)),
+                    FeedEvent::Purge { object, group, at_ms } => self.purged.push((object, group, at_ms)),
                 }
             }
             other => panic!("{other:?}"),
--- a/crates/branch/tests/callers.rs
+++ b/crates/branch/tests/callers.rs
@@ -1,7 +1,7 @@
 //! What a router's connection counts as having, by its words.
 use harestage::time::Moment;
 use harestage_branch::caller::{Caller, Ended, TAKES_LIST_WITHIN, TAKES_WITHIN};
-use harestage_wire::feed::{Had, LONGEST_WORD};
+use harestage_wire::feed::{AppliedPurges, MAX_ACK_BYTES};
 
 fn at(ms: u64) -> Moment {
     Moment::at_micros(ms * 1_000)
@@ -13,7 +13,7 @@
 
 /// One that knows the word, and has taken its list.
 fn brought_up() -> Caller {
-    let mut caller = Caller::new(Some(Had::default()), 10);
+    let mut caller = Caller::new(Some(AppliedPurges::default()), 10);
     told(&mut caller, 10, &[7], 0);
     caller.says(b"HAS 7", at(1)).unwrap();
     caller
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_list_that_is_being_taken_holds_no_purge_up_and_ends_in_time() {
-    let mut caller = Caller::new(Some(Had::default()), 10);
+    let mut caller = Caller::new(Some(AppliedPurges::default()), 10);
     told(&mut caller, 10, &[7], 0);
     told(&mut caller, 11, &[8], 50);
     assert!(!caller.is_waited_for(11, 8) && caller.has().is_none());
@@ -93,7 +93,7 @@
         assert_eq!(caller.says(word, at(20)), Err(Ended::Impossible { number }));
         assert_eq!((caller.has(), caller.is_waited_for(11, 8)), (Some(7), true));
     }
-    let long = [b"HAS ".as_slice(), &[b'0'; LONGEST_WORD]].concat();
+    let long = [b"HAS ".as_slice(), &[b'0'; MAX_ACK_BYTES]].concat();
     let no_words: [&[u8]; 14] = [
         b"",
         b"HAS",
--- a/crates/branch/tests/common/mod.rs
+++ b/crates/branch/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use harestage_branch::board::{Board, Saying};
 use harestage_purge::scope::Scope;
 use harestage_shape::form::{ArchiveForm, BranchForm, CacheForm, HubForm, ShapeForm};
-use harestage_wire::feed::Had;
+use harestage_wire::feed::AppliedPurges;
 use std::collections::{BTreeMap, HashMap};
 
 pub fn hub(name: &str, site: &str) -> HubForm {
@@ -90,7 +90,7 @@
         self.place = board.place();
     }
 
-    pub fn had(&self, keeps_ms: u64) -> Had {
-        Had { number: self.number, at_ms: self.at_ms, keeps_ms }
+    pub fn had(&self, keeps_ms: u64) -> AppliedPurges {
+        AppliedPurges { number: self.number, at_ms: self.at_ms, retention_ms: keeps_ms }
     }
 }
--- a/crates/branch/tests/feeds.rs
+++ b/crates/branch/tests/feeds.rs
@@ -8,7 +8,7 @@
 use harestage_purge::lines::{Confirm, ToMember, line};
 use harestage_purge::order::{Item, What};
 use harestage_shape::lines::{self, ToMember as ToFollower};
-use harestage_wire::feed::{Had, LONGEST_WORD, Word};
+use harestage_wire::feed::{Ack, AppliedPurges, MAX_ACK_BYTES};
 use serde_json::Value;
 use slog::{Drain, Key, Logger, Never, OwnedKVList, Record, Serializer, o};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -183,7 +183,7 @@
 struct Router {
     stream: TcpStream,
     lines: BufReader<TcpStream>,
-    had: Had,
+    had: AppliedPurges,
     /// Objects of the purges that it was told, on all its connections.
     told: Vec<u64>,
 }
@@ -193,8 +193,12 @@
         let stream = TcpStream::connect(feed.address).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
         let lines = BufReader::new(stream.try_clone().unwrap());
-        let mut router =
-            Router { stream, lines, had: Had { keeps_ms: KEEPS_MS, ..Had::default() }, told: vec![] };
+        let mut router = Router {
+            stream,
+            lines,
+            had: AppliedPurges { retention_ms: KEEPS_MS, ..AppliedPurges::default() },
+            told: vec![],
+        };
         router.says(b"SUB 0\n");
         router
     }
@@ -240,9 +244,9 @@
     /// Answers the first event with what it has, and takes the list.
     fn is_brought_up(&mut self) {
         assert_eq!(self.event().expect("the first event")["hears"], true);
-        self.says(&Word::Had(self.had).line());
+        self.says(&Ack::Initial(self.had).encode());
         let number = self.marks().expect("marks at the end of the list");
-        self.says(&Word::Has(number).line());
+        self.says(&Ack::Applied(number).encode());
     }
 }
 
@@ -258,7 +262,7 @@
         let number = service.purges(n);
         while router.had.number < number || !router.told.contains(&n) {
             match router.marks() {
-                Some(has) => router.says(&Word::Has(has).line()),
+                Some(has) => router.says(&Ack::Applied(has).encode()),
                 None => {
                     router = router.calls_again(&feed);
                     router.is_brought_up();
@@ -312,7 +316,7 @@
     let feed = Feed::of(service.opens());
     let mut good = Router::calls(&feed);
     good.is_brought_up();
-    let long = [vec![b'7'; 2 * LONGEST_WORD], b"\n".to_vec()].concat();
+    let long = [vec![b'7'; 2 * MAX_ACK_BYTES], b"\n".to_vec()].concat();
     let had = b"HAS 0 at 0 keeps 6000\n".to_vec();
     let after = |words: &[u8]| [had.clone(), words.to_vec()].concat();
     let flood = b"HAS 0\n".repeat(5_000);
@@ -352,7 +356,7 @@
     // Nothing of that was taken for a purge that is had, and who speaks well stays.
     let number = service.purges(1);
     assert_eq!(good.marks(), Some(number));
-    good.says(&Word::Has(number).line());
+    good.says(&Ack::Applied(number).encode());
     service.confirmed(number);
 }
 
@@ -372,7 +376,7 @@
     while router.told.len() < 300 {
         router.marks().expect("it is told all");
         let has = router.had.number;
-        router.says(&Word::Has(has).line());
+        router.says(&Ack::Applied(has).encode());
     }
     for n in 301..=320 {
         service.purges(n);
--- a/crates/branch/tests/purges.rs
+++ b/crates/branch/tests/purges.rs
@@ -6,7 +6,7 @@
 use harestage::time::Moment;
 use harestage_branch::board::{Behind, Board, LIVES, MOST_LIVE_BYTES, MOST_TOLD, Saying, Took};
 use harestage_purge::scope::{Checked, Scope};
-use harestage_wire::feed::Had;
+use harestage_wire::feed::AppliedPurges;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -72,13 +72,14 @@
     let had = |back: u64, keeps_ms: u64| {
         let number = last - back;
         let at_ms = NOON + (number - 1) / 12 * 1_000 + (number - 1) % 12 * 80;
-        Had { number, at_ms, keeps_ms }
+        AppliedPurges { number, at_ms, retention_ms: keeps_ms }
     };
     let (lacks, _) = board.lacking(&had(100, 3_600_000), now).unwrap();
     assert_eq!(objects(&lacks), (last - 99..=last).collect::<Vec<_>>());
     let (usual, _) = board.lacking(&had(100, 6_000), now).unwrap();
     assert_eq!(objects(&usual).len(), 100);
-    let (new, _) = board.lacking(&Had { keeps_ms: 6_000, ..Had::default() }, now).unwrap();
+    let (new, _) =
+        board.lacking(&AppliedPurges { retention_ms: 6_000, ..AppliedPurges::default() }, now).unwrap();
     assert_eq!(objects(&new).len(), 12 * 11, "6 s, and 5 s for clocks");
     let (far, _) = board.lacking(&had(40_000, 86_400_000), now).unwrap();
     assert_eq!((objects(&far).len(), groups(&far).len()), (40_000, 0));
@@ -94,7 +95,9 @@
     board.take(&[purge_of(last + 1, NOON + (day + 600) * 1_000)], last + 1);
     let a_purge = bytes(&board.after(place).unwrap().cloned().collect::<Vec<_>>());
     let began = std::time::Instant::now();
-    (0..10).for_each(|_| drop(board.lacking(&Had { keeps_ms: 6_000, ..Had::default() }, now)));
+    (0..10).for_each(|_| {
+        drop(board.lacking(&AppliedPurges { retention_ms: 6_000, ..AppliedPurges::default() }, now))
+    });
     let looked = began.elapsed() / 10;
     println!(
         "live {live}, bytes {taken}; taken in {takes:?}; a beat {:?}; bytes of a purge with its marks {a_purge}; a new \
@@ -124,7 +127,7 @@
     assert_eq!(folded, 4_096);
     // One that lacks all of that and less than an hour beside is told of it by group; one that has them is not.
     let lacks = |number: u64| {
-        let had = Had { number, at_ms: NOON + number, keeps_ms: 86_400_000 };
+        let had = AppliedPurges { number, at_ms: NOON + number, retention_ms: 86_400_000 };
         board.lacking(&had, at(NOON + most)).unwrap().0
     };
     let near = lacks(most - 40_000);
@@ -142,7 +145,10 @@
     let behind = lacks(folded - 1);
     assert!(groups(&behind).len() == 3, "its number is no longer known: it is told all");
     // What is kept is exact: a copy given out after the last that was folded is no older than it was.
-    let exact = board.lacking(&Had { keeps_ms: 0, ..Had::default() }, at(NOON + folded + 5_000)).unwrap().0;
+    let exact = board
+        .lacking(&AppliedPurges { retention_ms: 0, ..AppliedPurges::default() }, at(NOON + folded + 5_000))
+        .unwrap()
+        .0;
     assert_eq!(groups(&exact)[0], (0, NOON + beyond), "the latest of those beyond an hour's worth");
 }
 
@@ -151,7 +157,10 @@
     let mut board = board(2);
     board.take(&(1..=50).map(|n| purge_of(n, NOON + n)).collect::<Vec<_>>(), 50);
     let told = |number: u64, at_ms: u64| {
-        objects(&board.lacking(&Had { number, at_ms, keeps_ms: MINUTE }, at(NOON + 60)).unwrap().0).len()
+        objects(
+            &board.lacking(&AppliedPurges { number, at_ms, retention_ms: MINUTE }, at(NOON + 60)).unwrap().0,
+        )
+        .len()
     };
     assert_eq!(told(40, NOON + 40), 10);
     assert_eq!(told(40, NOON + 39), 50, "the same number of another purge");
@@ -159,12 +168,13 @@
     assert_eq!(told(70, NOON + 70), 50, "from a feed that is further: what it has beyond is not known here");
     assert_eq!(told(0, 0), 50);
     // Numbers that no clock can bear are taken for the longest that is kept.
-    let longest = Had { number: u64::MAX, at_ms: u64::MAX, keeps_ms: u64::MAX };
+    let longest = AppliedPurges { number: u64::MAX, at_ms: u64::MAX, retention_ms: u64::MAX };
     assert_eq!(objects(&board.lacking(&longest, at(NOON + 60)).unwrap().0).len(), 50);
     // Fences take numbers, too.
     board.take(&[], 53);
-    let (list, _) =
-        board.lacking(&Had { number: 53, at_ms: NOON + 50, keeps_ms: MINUTE }, at(NOON + 60)).unwrap();
+    let (list, _) = board
+        .lacking(&AppliedPurges { number: 53, at_ms: NOON + 50, retention_ms: MINUTE }, at(NOON + 60))
+        .unwrap();
     assert!(objects(&list).is_empty());
 }
 
@@ -177,8 +187,8 @@
     assert_eq!(first.take(&anew, 20), Took::Anew);
     assert_eq!(first.goes().1, 500, "what it goes by is never told as less");
     let now = at(NOON + MINUTE + 30);
-    let had = |number: u64, at_ms: u64| Had { number, at_ms, keeps_ms: 2 * MINUTE };
-    let told = |had: Had| objects(&first.lacking(&had, now).unwrap().0).len();
+    let had = |number: u64, at_ms: u64| AppliedPurges { number, at_ms, retention_ms: 2 * MINUTE };
+    let told = |had: AppliedPurges| objects(&first.lacking(&had, now).unwrap().0).len();
     assert_eq!(
         (told(had(20, NOON + MINUTE + 20)), told(had(20, NOON + 20)), told(had(500, NOON + 500))),
         (0, 520, 520)
@@ -333,10 +343,12 @@
     let mut told = vec![(Checked::Everything, at(NOON))];
     told.extend(all);
     board.take(&told, 43_200);
-    let had = Had { number: 43_100, at_ms: NOON + 43_100 * 80, keeps_ms: 3_600_000 };
+    let had = AppliedPurges { number: 43_100, at_ms: NOON + 43_100 * 80, retention_ms: 3_600_000 };
     let (list, _) = board.lacking(&had, at(now)).unwrap();
     assert_eq!((objects(&list).len(), groups(&list).len()), (100, 0));
-    let (new, _) = board.lacking(&Had { keeps_ms: 3_600_000, ..Had::default() }, at(now)).unwrap();
+    let (new, _) = board
+        .lacking(&AppliedPurges { retention_ms: 3_600_000, ..AppliedPurges::default() }, at(now))
+        .unwrap();
     let (whole, _) = board.whole().unwrap();
     println!("an hour: new that keeps an hour {} bytes, whole {}", bytes(&new), bytes(&whole));
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -183,7 +183,7 @@
 
 fn main() -> ExitCode {
     let Harestage { log, clock_off_ms, synced_copy, what } = Harestage::parse();
-    harestage_sockets::clock::set_off(clock_off_ms);
+    harestage_sockets::clock::set_offset(clock_off_ms);
     if let Some(Err(why)) = synced_copy.map(|folder| harestage_segments::keep_synced_copy(&folder)) {
         eprintln!("harestage: --synced-copy: {why}");
         return ExitCode::from(exit::REFUSED);
--- a/crates/cli/src/start.rs
+++ b/crates/cli/src/start.rs
@@ -50,19 +50,24 @@
     let away = |why: std::io::Error| format!("{hub}: {why}");
     let mut stream = TcpStream::connect_timeout(&hub, WITHIN).map_err(away)?;
     stream.set_read_timeout(Some(WITHIN)).map_err(away)?;
-    let packet = node::write_gauges(peer::start_tag(hold));
+    let packet = node::encode_gauges_query(peer::start_query_tag(hold));
     stream.write_all(&packet.head).and_then(|()| stream.write_all(&packet.body)).map_err(away)?;
     stream.write_all(harestage_wire::resp::LINE_END).map_err(away)?;
-    let mut decoder = Decoder::new(Bounds { items: 4, item_bytes: 4 << 10, item_room: 4 << 10 }, 4 << 10);
+    let mut decoder = Decoder::new(
+        Bounds { max_items: 4, max_item_bytes: 4 << 10, initial_item_capacity: 4 << 10 },
+        4 << 10,
+    );
     loop {
-        match decoder.take() {
-            Ok(Some(items)) => return peer::read_start(&items).ok_or(format!("{hub}: it is no hub of ours")),
+        match decoder.next_message() {
+            Ok(Some(items)) => {
+                return peer::decode_start(&items).ok_or(format!("{hub}: it is no hub of ours"));
+            }
             Ok(None) => {
-                let bytes = stream.read(decoder.room()).map_err(away)?;
+                let bytes = stream.read(decoder.read_buffer()).map_err(away)?;
                 if bytes == 0 {
                     return Err(format!("{hub}: it went away"));
                 }
-                decoder.filled(bytes);
+                decoder.commit(bytes);
             }
             Err(why) => return Err(format!("{hub}: {why}")),
         }
--- a/crates/cli/src/witness.rs
+++ b/crates/cli/src/witness.rs
@@ -13,8 +13,8 @@
 use harestage_router::routing::News;
 use harestage_router::routing::witness::{Became, Witness};
 use harestage_sockets::clock::Clock;
-use harestage_wire::feed::{self, Line, Marks};
-use harestage_wire::peer::Mark;
+use harestage_wire::feed::{self, FeedMessage, ServiceState};
+use harestage_wire::peer::AuditMark;
 use slog::{Logger, info, warn};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -112,12 +112,12 @@
 }
 
 impl Watching {
-    fn take_up(&self, marks: &Marks, now: Moment) {
+    fn take_up(&self, marks: &ServiceState, now: Moment) {
         let mut acting = self.acting.borrow_mut();
         let own = acting.goes().clone();
         // Numbers never go back: a feed that starts anew tells what it has, which may be less than was told before it.
-        let shape = marks.version.unwrap_or(own.shape).max(own.shape);
-        let purge = marks.purges.unwrap_or(own.purge).max(own.purge);
+        let shape = marks.shape_version.unwrap_or(own.shape).max(own.shape);
+        let purge = marks.purge_number.unwrap_or(own.purge).max(own.purge);
         let plan = marks.plan.clone().unwrap_or(own.plan.clone());
         if (shape, purge, &plan) != (own.shape, own.purge, &own.plan) {
             info!(self.log, "goes by"; "shape" => shape, "purge" => purge, "plan" => &plan);
@@ -127,7 +127,7 @@
 }
 
 impl Witness for Watching {
-    fn goes_by(&self, marks: &Marks, now: Moment) {
+    fn goes_by(&self, marks: &ServiceState, now: Moment) {
         self.take_up(marks, now);
     }
 
@@ -164,13 +164,13 @@
         self.acting.borrow_mut().recorder().end(now);
     }
 
-    fn pulled(&self, node: &str, now: Moment) -> Option<Mark> {
+    fn pulled(&self, node: &str, now: Moment) -> Option<AuditMark> {
         let mut acting = self.acting.borrow_mut();
         acting.recorder().pulled(node, now);
         let ours = self.marked.iter().any(|prefix| node.starts_with(prefix.as_str()));
         ours.then(|| {
             let (by, place) = (acting.who().member.clone(), acting.who().place.clone());
-            Mark { by, place, stamp: acting.stamp().to_string() }
+            AuditMark { by, place, stamp: acting.stamp().to_string() }
         })
     }
 }
@@ -200,9 +200,9 @@
             // Through the same door as the feed, under no number of its own.
             Some(Wanted::Take(Bring::Listing { event })) => {
                 info!(self.0.log, "brought up by the keeper");
-                if let Ok(Line::Event(_, told)) = feed::read_line(event.as_bytes()) {
+                if let Ok(FeedMessage::Event(_, told)) = feed::decode_line(event.as_bytes()) {
                     let _ = self.0.inbox.send(News::Told(told)).await;
-                    if let Some(marks) = feed::read_marks(event.as_bytes()) {
+                    if let Some(marks) = feed::decode_service_state(event.as_bytes()) {
                         let _ = self.0.inbox.send(News::GoesBy(marks)).await;
                     }
                 }
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -14,9 +14,9 @@
 use harestage_shape::plan;
 use harestage_shape::tree::Shape;
 use harestage_sites::direct::{self, Director};
-use harestage_sockets::accept::{Open, accept};
+use harestage_sockets::accept::{ConnectionLimit, accept};
 use harestage_sockets::clock::Clock;
-use harestage_sockets::lines::{Lines, within, write_text};
+use harestage_sockets::lines::{LineReader, with_timeout, write_text};
 use harestage_sockets::{Spawner, Stream};
 use slog::{Logger, error, info, warn};
 use std::cell::{Cell, RefCell};
@@ -47,7 +47,7 @@
     /// What was said lately, with its number.
     said: RefCell<Recent<Said>>,
     /// Connections of members, operators and routers together.
-    open: Open,
+    open: ConnectionLimit,
 }
 
 type Service = Host<Changes>;
@@ -92,7 +92,7 @@
         if let Some(first) = first {
             Control::open(&records, Some(first), clock.now()).map_err(|why| format!("first shape: {why}"))?;
         }
-        let open = Open::new(MOST_CONNECTIONS);
+        let open = ConnectionLimit::new(MOST_CONNECTIONS);
         let changes = Changes {
             first: first.cloned(),
             told: Cell::new(0),
@@ -184,7 +184,7 @@
         }
     }
 
-    async fn serve(host: &Service, lines: &mut Lines<'_>, first: Vec<u8>) -> Result<(), String> {
+    async fn serve(host: &Service, lines: &mut LineReader<'_>, first: Vec<u8>) -> Result<(), String> {
         let (stream, text) = (lines.stream(), String::from_utf8_lossy(&first).into_owned());
         let of_member = lines::read_subscribe(&text)
             .map(|(last, name)| (last, name, Place::Hub(name)))
@@ -194,7 +194,7 @@
                 Some((last, name, Place::Branch(branch)))
             });
         if let Some((last, name, place)) = of_member {
-            lines.most = LONGEST_REPORT;
+            lines.max_line_bytes = LONGEST_REPORT;
             return or(hear(host, lines, name), tell(host, stream, last, place)).await;
         }
         if let Ok(call) = serde_json::from_slice::<direct::Call>(&first) {
@@ -214,7 +214,7 @@
 }
 
 async fn in_time<T>(work: impl Future<Output = Result<T, String>>) -> Result<T, String> {
-    within(STALL, "too slow", work).await
+    with_timeout(STALL, "too slow", work).await
 }
 
 async fn write(stream: &Stream, text: &[u8]) -> Result<(), String> {
@@ -275,9 +275,9 @@
 }
 
 /// Reports of a member, each answered.
-async fn hear(service: &Service, lines: &mut Lines<'_>, name: &str) -> Result<(), String> {
+async fn hear(service: &Service, lines: &mut LineReader<'_>, name: &str) -> Result<(), String> {
     loop {
-        let line = in_time(lines.next()).await?;
+        let line = in_time(lines.next_line()).await?;
         let Ok(FromMember::Report(report)) = serde_json::from_slice(&line) else {
             return Err(format!("{name}: an unreadable report"));
         };
@@ -368,8 +368,12 @@
             let Some(address) = address.parse::<SocketAddr>().ok() else { continue };
             match Async::<TcpListener>::bind(address) {
                 Ok(listener) => {
-                    let task =
-                        spawner.spawn_held(one_feed(service.clone(), listener, branch, spawner.clone()));
+                    let task = spawner.spawn_with_handle(one_feed(
+                        service.clone(),
+                        listener,
+                        branch,
+                        spawner.clone(),
+                    ));
                     open.insert(feed, task);
                 }
                 Err(why) => warn!(service.log(), "branch feed not open"; "branch" => branch, "why" => %why),
@@ -394,8 +398,8 @@
 
 /// The platform's control feed to one router: `SUB N`, then an event for each later version, without a gap.
 async fn router_feed(service: &Service, stream: &Stream, branch: &str) -> Result<(), String> {
-    let mut lines = Lines::new(stream, 256);
-    let line = in_time(lines.next()).await?;
+    let mut lines = LineReader::new(stream, 256);
+    let line = in_time(lines.next_line()).await?;
     let first = std::str::from_utf8(&line).ok().and_then(|line| line.trim_end().strip_prefix("SUB "));
     let mut last: u64 = first.and_then(|n| n.parse().ok()).ok_or("no subscription")?;
     loop {
--- a/crates/following/src/audit.rs
+++ b/crates/following/src/audit.rs
@@ -5,8 +5,8 @@
 use async_io::Timer;
 use harestage::time::Moment;
 use harestage_audit::lines::{FromAudited, Report, ToAudited, line};
-use harestage_sockets::leader::Leader;
-use harestage_sockets::lines::{Lines, within, write_text};
+use harestage_sockets::leader::LeaderFinder;
+use harestage_sockets::lines::{LineReader, with_timeout, write_text};
 use slog::{Logger, info, warn};
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
 
 /// Reports for as long as it is polled; returns when the process has to start anew.
 pub async fn follow(audited: impl Audited, keepers: Vec<SocketAddr>, terms: Line, log: Logger) {
-    let Some(mut leader) = Leader::among(keepers) else { return std::future::pending().await };
+    let Some(mut leader) = LeaderFinder::from_addresses(keepers) else { return std::future::pending().await };
     let mut down = false;
     loop {
         let mut up = false;
@@ -41,26 +41,26 @@
 
 async fn stay(
     audited: &impl Audited,
-    leader: &mut Leader,
+    leader: &mut LeaderFinder,
     terms: &Line,
     log: &Logger,
     up: &mut bool,
 ) -> Result<(), String> {
-    let at = leader.next();
+    let at = leader.next_address();
     // Where it breaks without a word of who speaks, the next one is tried.
-    leader.missed();
+    leader.on_failure();
     let (mut asked, mut report) = (audited.now(), audited.report());
     let stream = subscribe(at, &line(&FromAudited::Audited(Box::new(report))), terms.connect).await?;
-    let mut lines = Lines::new(&stream, terms.bytes);
+    let mut lines = LineReader::new(&stream, terms.bytes);
     loop {
-        let answer = within(terms.silence, "silent", lines.next()).await?;
+        let answer = with_timeout(terms.silence, "silent", lines.next_line()).await?;
         let answer = serde_json::from_slice(&answer).map_err(|why| format!("an unreadable line: {why}"))?;
         if let ToAudited::Elsewhere { serves } = &answer {
-            leader.elsewhere(serves.as_deref());
+            leader.on_redirect(serves.as_deref());
             return Err("this member does not speak".into());
         }
         if !std::mem::replace(up, true) {
-            leader.found(at);
+            leader.on_leader(at);
             info!(log, "keeper up");
         }
         if !audited.answered(answer, asked).await {
--- a/crates/following/src/control.rs
+++ b/crates/following/src/control.rs
@@ -9,8 +9,8 @@
 use harestage_shape::lines::{self, FromMember, Planned, ToMember};
 use harestage_shape::parts::Part;
 use harestage_sockets::Stream;
-use harestage_sockets::leader::Leader;
-use harestage_sockets::lines::{Lines, within, write_text};
+use harestage_sockets::leader::LeaderFinder;
+use harestage_sockets::lines::{LineReader, with_timeout, write_text};
 use slog::{Logger, info, warn};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -48,11 +48,11 @@
 
 /// Follows for as long as it is polled.
 pub async fn follow(member: impl Member, services: Vec<SocketAddr>, line: Line, log: Logger) {
-    let Some(leader) = Leader::among(services) else { return };
+    let Some(leader) = LeaderFinder::from_addresses(services) else { return };
     // The highest term heard: what an older one says comes from a service that was replaced.
     let (term, leader, mut down) = (Cell::new(0), RefCell::new(leader), false);
     loop {
-        let at = leader.borrow().next();
+        let at = leader.borrow().next_address();
         let why = match subscribe(at, member.hello().as_bytes(), line.connect).await {
             Ok(stream) => {
                 let (asked, up) = (RefCell::default(), Cell::new(false));
@@ -71,7 +71,7 @@
                 why
             }
             Err(why) => {
-                leader.borrow_mut().missed();
+                leader.borrow_mut().on_failure();
                 why
             }
         };
@@ -90,7 +90,7 @@
     term: &'a Cell<u64>,
     /// When each report that is not answered yet was written.
     asked: RefCell<VecDeque<Moment>>,
-    leader: &'a RefCell<Leader>,
+    leader: &'a RefCell<LeaderFinder>,
     at: SocketAddr,
     /// It speaks.
     up: Cell<bool>,
@@ -99,7 +99,7 @@
 impl<M: Member> Link<'_, M> {
     fn is_up(&self) {
         if !self.up.replace(true) {
-            self.leader.borrow_mut().found(self.at);
+            self.leader.borrow_mut().on_leader(self.at);
             info!(self.log, "control up"; "version" => self.member.version());
         }
     }
@@ -119,12 +119,12 @@
     }
 
     async fn read(&self, stream: &Stream) -> String {
-        let mut lines = Lines::new(stream, self.line.bytes);
+        let mut lines = LineReader::new(stream, self.line.bytes);
         loop {
-            let line = match within(self.line.silence, "silent", lines.next()).await {
+            let line = match with_timeout(self.line.silence, "silent", lines.next_line()).await {
                 Ok(line) => line,
                 Err(why) => {
-                    self.leader.borrow_mut().missed();
+                    self.leader.borrow_mut().on_failure();
                     return why;
                 }
             };
@@ -140,7 +140,7 @@
         let stale = its < self.term.get();
         self.term.set(its.max(self.term.get()));
         if stale {
-            self.leader.borrow_mut().missed();
+            self.leader.borrow_mut().on_failure();
         }
         stale.then(|| format!("of term {its}, after term {}", self.term.get()))
     }
@@ -172,7 +172,7 @@
                 self.member.hear(Heard::Beat).await;
             }
             ToMember::Elsewhere { serves } => {
-                self.leader.borrow_mut().elsewhere(serves.as_deref());
+                self.leader.borrow_mut().on_redirect(serves.as_deref());
                 return Some("this member does not speak".into());
             }
         }
--- a/crates/following/src/lib.rs
+++ b/crates/following/src/lib.rs
@@ -7,7 +7,7 @@
 
 use async_io::Async;
 use harestage_sockets::Stream;
-use harestage_sockets::lines::{within, write_text};
+use harestage_sockets::lines::{with_timeout, write_text};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 
 /// Connects, and says the first line.
 pub async fn subscribe(to: SocketAddr, hello: &[u8], time: Duration) -> Result<Stream, String> {
-    within(time, "not up in time", async {
+    with_timeout(time, "not up in time", async {
         let stream = Async::<TcpStream>::connect(to).await.map_err(|why| why.to_string())?;
         write_text(&stream, hello, time).await?;
         Ok(stream)
--- a/crates/following/src/looks.rs
+++ b/crates/following/src/looks.rs
@@ -3,10 +3,10 @@
 use crate::Line;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
-use harestage_sockets::lines::within;
-use harestage_sockets::{Source, Stream, write_packets};
+use harestage_sockets::lines::with_timeout;
+use harestage_sockets::{SocketReader, Stream, write_packets};
 use harestage_wire::node;
-use harestage_wire::peer::{self, LOOK};
+use harestage_wire::peer::{self, LIVENESS_TAG_PREFIX};
 use harestage_wire::resp::{Bounds, Decoder};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -27,7 +27,7 @@
 pub async fn ask(at: SocketAddr, line: Line, seen: impl Fn(Seen)) {
     loop {
         let up = async { Async::<TcpStream>::connect(at).await.map_err(|why| why.to_string()) };
-        if let Ok(stream) = within(line.connect, "not up in time", up).await {
+        if let Ok(stream) = with_timeout(line.connect, "not up in time", up).await {
             let _ = stream.get_ref().set_nodelay(true);
             or(questions(&stream), answers(&stream, &line, &seen)).await;
         }
@@ -37,8 +37,8 @@
 
 async fn questions(stream: &Stream) {
     for number in 0u64.. {
-        let tag = [LOOK, number.to_string().as_bytes()].concat();
-        if write_packets(stream, &[node::write_gauges(&tag)], |_| {}).await.is_err() {
+        let tag = [LIVENESS_TAG_PREFIX, number.to_string().as_bytes()].concat();
+        if write_packets(stream, &[node::encode_gauges_query(&tag)], |_| {}).await.is_err() {
             return;
         }
         Timer::after(ASKS_EVERY).await;
@@ -46,18 +46,19 @@
 }
 
 async fn answers(stream: &Stream, line: &Line, seen: &impl Fn(Seen)) {
-    let mut decoder = Decoder::new(Bounds { items: 4, item_bytes: ITEM, item_room: ITEM }, ITEM);
-    let mut source = Source::new(stream);
+    let mut decoder =
+        Decoder::new(Bounds { max_items: 4, max_item_bytes: ITEM, initial_item_capacity: ITEM }, ITEM);
+    let mut source = SocketReader::new(stream);
     loop {
-        match decoder.take() {
+        match decoder.next_message() {
             Ok(Some(items)) => {
-                if let Some((leaving, unseen)) = peer::read_seen(&items) {
+                if let Some((leaving, unseen)) = peer::decode_liveness(&items) {
                     seen(Seen { leaving, unseen });
                 }
             }
             Ok(None) => {
                 let read = async { source.read_into(&mut decoder).await.map_err(|why| why.to_string()) };
-                if !within(line.silence, "silent", read).await.is_ok_and(|bytes| bytes > 0) {
+                if !with_timeout(line.silence, "silent", read).await.is_ok_and(|bytes| bytes > 0) {
                     return;
                 }
             }
--- a/crates/following/src/purges.rs
+++ b/crates/following/src/purges.rs
@@ -5,8 +5,8 @@
 use futures_lite::future::or;
 use harestage_purge::follow::{Act, Follower};
 use harestage_purge::lines::{Past, ToMember, line};
-use harestage_sockets::leader::Leader;
-use harestage_sockets::lines::{Lines, within, write_text};
+use harestage_sockets::leader::LeaderFinder;
+use harestage_sockets::lines::{LineReader, with_timeout, write_text};
 use slog::{Logger, info, warn};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -38,43 +38,43 @@
 ) {
     let mut follower = Follower::new(name, start).resumed(past);
     let mut down = false;
-    let Some(mut leader) = Leader::among(services) else { return };
+    let Some(mut leader) = LeaderFinder::from_addresses(services) else { return };
     loop {
         let stayed = stay(&mut leader, &mut follower, &terms, &mut hands, &log, &mut down).await;
         let why = stayed.err().unwrap_or_default();
         if !std::mem::replace(&mut down, true) {
             warn!(log, "purges down"; "why" => why, "has" => follower.confirm().has);
         }
-        Timer::after(terms.pause * leader.wait()).await;
+        Timer::after(terms.pause * leader.backoff_factor()).await;
     }
 }
 
 async fn stay(
-    leader: &mut Leader,
+    leader: &mut LeaderFinder,
     follower: &mut Follower,
     terms: &Line,
     hands: &mut impl Hands,
     log: &Logger,
     down: &mut bool,
 ) -> Result<(), String> {
-    let at = leader.next();
+    let at = leader.next_address();
     // Where it breaks without a word of who speaks, the next one is tried.
-    leader.missed();
+    leader.on_failure();
     let stream = subscribe(at, &line(&follower.confirm()), terms.connect).await?;
-    let mut lines = Lines::new(&stream, terms.bytes);
+    let mut lines = LineReader::new(&stream, terms.bytes);
     let (mut up, mut slowest, mut asked) = (false, Duration::ZERO, Instant::now());
     loop {
         let before = follower.confirm();
         let patience = (slowest * TIMES_ITS_SLOWEST).max(ANSWERS_WITHIN).min(terms.silence);
-        let told = within(patience, "silent", lines.next()).await?;
+        let told = with_timeout(patience, "silent", lines.next_line()).await?;
         slowest = slowest.max(asked.elapsed());
         let told = read(&told)?;
         if let ToMember::Elsewhere { serves } = &told {
-            leader.elsewhere(serves.as_deref());
+            leader.on_redirect(serves.as_deref());
             return Err("this member does not speak".into());
         }
         if !std::mem::replace(&mut up, true) {
-            leader.found(at);
+            leader.on_leader(at);
             *down = false;
             info!(log, "purges up"; "has" => follower.confirm().has);
         }
@@ -90,7 +90,7 @@
             Timer::after(SAYS_EVERY).await;
             None
         };
-        if let Some(more) = or(async { Some(lines.next().await) }, pause).await {
+        if let Some(more) = or(async { Some(lines.next_line().await) }, pause).await {
             apply(read(&more?)?, follower, hands).await?;
         }
         write_text(&stream, &line(&follower.confirm()), terms.silence).await?;
--- a/crates/hub/src/desk/above.rs
+++ b/crates/hub/src/desk/above.rs
@@ -9,8 +9,8 @@
 use harestage_restart::stage::Stage as StartStage;
 use harestage_shape::knots::Key;
 use harestage_shape::tree::ARCHIVE;
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Answer, CopyTag, Word};
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{Answer, AnswerStatus, CopyTag};
 
 /// The archive turned a fetch away: it goes again after it, so often at most.
 const AGAIN: Span = Span::millis(60);
@@ -26,14 +26,17 @@
             Stage::Fetching { .. } => (false, true, ARCHIVE),
             Stage::Resting | Stage::Reading => return,
         };
-        match (answer.word, copy) {
-            (Word::Good, Some(tag)) => return self.filled(key, answer, tag, fetching, now),
+        match (answer.status, copy) {
+            (AnswerStatus::Fulfilled, Some(tag)) => return self.filled(key, answer, tag, fetching, now),
             // Bytes that say nothing of their age can't be kept or given on.
-            (Word::Good | Word::StillGood, _) | (Word::Failed | Word::TooLate, _) if fetching => {
+            (AnswerStatus::Fulfilled | AnswerStatus::NotModified, _)
+            | (AnswerStatus::Failed | AnswerStatus::TooLate, _)
+                if fetching =>
+            {
                 return self.fail(key, Remark::OriginFailed);
             }
-            (Word::Lacks, _) if fetching => return self.fail(key, Remark::SourceLacks),
-            (Word::Full, _) if fetching => {
+            (AnswerStatus::NotFound, _) if fetching => return self.fail(key, Remark::SourceLacks),
+            (AnswerStatus::Busy, _) if fetching => {
                 self.start.fetch_failed(now);
                 fill.again += 1;
                 if fill.again > MOST_AGAIN {
@@ -42,7 +45,7 @@
                 return self.stage(key, Stage::Resting, Some(now + AGAIN), now);
             }
             // The former home is fetching it: to join that is to fetch it once.
-            (Word::Lacks, _) if asking && answer.remark == Remark::Joined => {
+            (AnswerStatus::NotFound, _) if asking && answer.remark == Remark::Joined => {
                 fill.asked.push(on);
                 let shape = self.versions.get(fill.version).cloned();
                 return match shape {
@@ -51,7 +54,7 @@
                 };
             }
             // The right went to another: that one's term has to end first.
-            (Word::Full, _) if asking && fill.again < MOST_AGAIN => {
+            (AnswerStatus::Busy, _) if asking && fill.again < MOST_AGAIN => {
                 fill.again += 1;
                 return self.stage(key, Stage::Resting, Some(now + harestage_shape::shield::TERM * 0.4), now);
             }
@@ -140,9 +143,9 @@
             self.fills.enter(key, again);
             self.advance(key, now);
         } else {
-            too_old
-                .iter()
-                .for_each(|waiter| self.refuse(waiter.conn, waiter.id, Word::Lacks, Remark::SourceLacks));
+            too_old.iter().for_each(|waiter| {
+                self.refuse(waiter.conn, waiter.id, AnswerStatus::NotFound, Remark::SourceLacks)
+            });
         }
     }
 
@@ -159,10 +162,10 @@
             return;
         }
         let word = match remark {
-            Remark::SourceLacks => Word::Lacks,
+            Remark::SourceLacks => AnswerStatus::NotFound,
             // Nothing was sent anywhere: a hub that knows no shape yet.
-            Remark::NoPlace => Word::Full,
-            _ => Word::Failed,
+            Remark::NoPlace => AnswerStatus::Busy,
+            _ => AnswerStatus::Failed,
         };
         fill.waiters.iter().for_each(|waiter| self.refuse(waiter.conn, waiter.id, word, remark));
     }
@@ -187,8 +190,8 @@
             Some(copy) => {
                 let tag =
                     CopyTag { digest: copy.digest, dated_ms: copy.dated.micros() / 1_000, group: copy.group };
-                let (id, word, remark) = (Hex::of(0), Word::Good, Remark::Hit);
-                let answer = Answer { id, word, remark, first_ms: 0.0, body: copy.body };
+                let (id, word, remark) = (HexId::from_u64(0), AnswerStatus::Fulfilled, Remark::Hit);
+                let answer = Answer { id, status: word, remark, first_byte_ms: 0.0, body: copy.body };
                 self.filled(key, answer, tag, false, now);
             }
             None if !self.start.stage().fills() => self.turn_away(key, now),
--- a/crates/hub/src/desk/audited.rs
+++ b/crates/hub/src/desk/audited.rs
@@ -8,26 +8,26 @@
 use harestage_audit::lines::Role;
 use harestage_audit::record::ContentNo;
 use harestage_audit::stamp::{Goes, Stamp};
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Asked, Given, Word};
-use harestage_wire::peer::Mark;
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{AnswerStatus, IncomingRequest, OutgoingAnswer};
+use harestage_wire::peer::AuditMark;
 use std::collections::HashMap;
 
 pub(super) struct Audited {
     pub acting: Acting,
     /// Content types by their places in the record, and those of pulls that are not answered yet.
     contents: HashMap<Bytes, ContentNo>,
-    asked: HashMap<(ConnNo, Hex), ContentNo>,
+    asked: HashMap<(ConnNo, HexId), ContentNo>,
 }
 
 impl Audited {
     /// Whoever asked is not answered.
-    pub fn left(&mut self, conn: ConnNo, id: Hex) {
+    pub fn left(&mut self, conn: ConnNo, id: HexId) {
         self.asked.remove(&(conn, id));
     }
 
     /// Records under what a pull was made. False: it is refused for that.
-    fn takes(&mut self, conn: ConnNo, asked: &Asked, now: Moment) -> bool {
+    fn takes(&mut self, conn: ConnNo, asked: &IncomingRequest, now: Moment) -> bool {
         if let Some(number) = self.contents.get(&asked.content) {
             self.asked.insert((conn, asked.id), *number);
         }
@@ -49,12 +49,14 @@
         match order {
             Order::Answer { conn, given } => {
                 let Some(content) = self.asked.remove(&(*conn, given.id)) else { return };
-                let outcome = match given.word {
-                    Word::Good | Word::StillGood => Outcome::Fulfilled,
-                    Word::Full => Outcome::Throttled,
-                    Word::Lacks | Word::Failed | Word::TooLate => Outcome::Abandoned,
+                let outcome = match given.status {
+                    AnswerStatus::Fulfilled | AnswerStatus::NotModified => Outcome::Fulfilled,
+                    AnswerStatus::Busy => Outcome::Throttled,
+                    AnswerStatus::NotFound | AnswerStatus::Failed | AnswerStatus::TooLate => {
+                        Outcome::Abandoned
+                    }
                 };
-                self.acting.ended(content, outcome, given.id.number(), now);
+                self.acting.ended(content, outcome, given.id.as_u64(), now);
                 given.copy.iter().for_each(|copy| self.acting.recorder().gave(copy.dated_ms));
             }
             Order::Pull { to, .. } => self.acting.recorder().pulled(&to.name, now),
@@ -96,20 +98,29 @@
     }
 
     /// Records under what a pull was made. False: it was refused for that, and never ran.
-    pub(super) fn takes_mark(&mut self, conn: ConnNo, asked: &Asked, now: Moment) -> bool {
+    pub(super) fn takes_mark(&mut self, conn: ConnNo, asked: &IncomingRequest, now: Moment) -> bool {
         let takes = self.audit.as_mut().is_none_or(|audit| audit.takes(conn, asked, now));
         if !takes {
-            let (word, remark, first_ms) = (Word::Full, Remark::SourceRefused, 0.0);
+            let (word, remark, first_ms) = (AnswerStatus::Busy, Remark::SourceRefused, 0.0);
             let (copy, body, come_ms, why) = (None, Bytes::new(), None, Some(OLD));
-            let given = Given { id: asked.id, word, remark, first_ms, copy, body, come_ms, why };
+            let given = OutgoingAnswer {
+                id: asked.id,
+                status: word,
+                remark,
+                first_byte_ms: first_ms,
+                copy,
+                body,
+                retry_after_ms: come_ms,
+                reason: why,
+            };
             self.orders.push(Order::Answer { conn, given });
         }
         takes
     }
 
-    pub(super) fn mark(&self) -> Option<Mark> {
+    pub(super) fn mark(&self) -> Option<AuditMark> {
         let audit = &self.audit.as_ref()?.acting;
         let (by, place) = (audit.who().member.clone(), audit.who().place.clone());
-        Some(Mark { by, place, stamp: audit.stamp().to_string() })
+        Some(AuditMark { by, place, stamp: audit.stamp().to_string() })
     }
 }
--- a/crates/hub/src/desk/below.rs
+++ b/crates/hub/src/desk/below.rs
@@ -7,28 +7,28 @@
 use harestage_restart::stage::Stage as StartStage;
 use harestage_shape::knots::Key;
 use harestage_shape::shield::Reply;
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Asked, CopyTag, Given, Word};
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{AnswerStatus, CopyTag, IncomingRequest, OutgoingAnswer};
 
 impl Desk {
-    pub(super) fn asked(&mut self, conn: ConnNo, asked: Asked, now: Moment) {
+    pub(super) fn asked(&mut self, conn: ConnNo, asked: IncomingRequest, now: Moment) {
         self.gauges.asked.add(now, 1.0);
         if !self.takes_mark(conn, &asked, now) {
             return;
         }
         // Writes run at the archive and nowhere else: two of them must never pass for one fill.
         if !asked.body.is_empty() {
-            return self.refuse(conn, asked.id, Word::Full, Remark::SourceRefused);
+            return self.refuse(conn, asked.id, AnswerStatus::Busy, Remark::SourceRefused);
         }
-        let key = (asked.object.number(), asked.part);
+        let key = (asked.object.as_u64(), asked.part);
         if let Some(after) = self.turned_away(conn, &asked, now) {
-            return self.refuse_until(conn, asked.id, asked.way.is_some().then_some(after));
+            return self.refuse_until(conn, asked.id, asked.route.is_some().then_some(after));
         }
         let fresh = self.contents.get(&asked.content).and_then(|keeping| keeping.fresh);
-        let oldest = asked.oldest_ms.map(Span::millis).or(fresh);
+        let oldest = asked.max_age_ms.map(Span::millis).or(fresh);
         let good = self.copies.good(key, oldest, now);
         self.gauges.hits.add(now, f64::from(u8::from(good.is_some())));
-        if let Some(way) = asked.way.as_ref().filter(|way| way.hand_over) {
+        if let Some(way) = asked.route.as_ref().filter(|way| way.hand_over) {
             let by = way.path.last().cloned().unwrap_or_default();
             let under_way = self.fills.has(key);
             let reply = self.archive.shield.asked(key, &by, good.is_some(), under_way, now);
@@ -37,36 +37,37 @@
         if let Some(copy) = good {
             let aged = fresh.is_some_and(|fresh| now.since(copy.dated) > fresh);
             let remark = if aged { Remark::Aged } else { Remark::Hit };
-            let given = give(asked.id, &copy, asked.held.as_ref(), asked.way.is_some(), remark, 0.0);
+            let given =
+                give(asked.id, &copy, asked.known_digest.as_ref(), asked.route.is_some(), remark, 0.0);
             self.orders.push(Order::Answer { conn, given });
-            if aged && asked.renew && !self.fills.has(key) && !self.fills.are_full() {
+            if aged && asked.stale_while_revalidate && !self.fills.has(key) && !self.fills.are_full() {
                 self.begin(key, &asked, now);
                 self.advance(key, now);
             }
             return;
         }
         let gives = self.start.stage().gives_copies();
-        if gives && self.copies.on_disk(key, oldest, now) && !self.fills.has(key) && !asked.only_held {
+        if gives && self.copies.on_disk(key, oldest, now) && !self.fills.has(key) && !asked.only_if_cached {
             return self.fill_from_disk(conn, key, asked, oldest, now);
         }
-        if asked.only_held || asked.source.is_none() {
+        if asked.only_if_cached || asked.source.is_none() {
             let remark = if self.fills.has(key) { Remark::Joined } else { Remark::Nothing };
-            return self.refuse(conn, asked.id, Word::Lacks, remark);
+            return self.refuse(conn, asked.id, AnswerStatus::NotFound, remark);
         }
         self.fill_for(conn, key, asked, oldest, now);
     }
 
     /// When it has to come again where not all that is asked fits. Questions among homes pass.
-    fn turned_away(&mut self, conn: ConnNo, asked: &Asked, now: Moment) -> Option<Span> {
-        if self.sites.is_nowhere() || asked.way.as_ref().is_some_and(|way| way.hand_over) {
+    fn turned_away(&mut self, conn: ConnNo, asked: &IncomingRequest, now: Moment) -> Option<Span> {
+        if self.sites.is_nowhere() || asked.route.as_ref().is_some_and(|way| way.hand_over) {
             return None;
         }
         let chance = self.chance.draw();
         let worth = self.worth(asked);
-        self.rationing.refuses(conn, (asked.object.number(), asked.part), worth, chance, now)
+        self.rationing.refuses(conn, (asked.object.as_u64(), asked.part), worth, chance, now)
     }
 
-    fn worth(&self, asked: &Asked) -> f64 {
+    fn worth(&self, asked: &IncomingRequest) -> f64 {
         self.contents.get(&asked.content).map_or(1.0, |keeping| keeping.benefit)
     }
 
@@ -76,64 +77,98 @@
         self.start.may_begin(worth, best)
     }
 
-    pub(super) fn refuse(&mut self, conn: ConnNo, id: Hex, word: Word, remark: Remark) {
+    pub(super) fn refuse(&mut self, conn: ConnNo, id: HexId, word: AnswerStatus, remark: Remark) {
         let (first_ms, copy, body, come_ms, why) = (0.0, None, Bytes::new(), None, None);
-        let given = Given { id, word, remark, first_ms, copy, body, come_ms, why };
+        let given = OutgoingAnswer {
+            id,
+            status: word,
+            remark,
+            first_byte_ms: first_ms,
+            copy,
+            body,
+            retry_after_ms: come_ms,
+            reason: why,
+        };
         self.orders.push(Order::Answer { conn, given });
     }
 
     /// Refused for want of room; a hub of ours hears when to come again.
-    pub(super) fn refuse_until(&mut self, conn: ConnNo, id: Hex, after: Option<Span>) {
+    pub(super) fn refuse_until(&mut self, conn: ConnNo, id: HexId, after: Option<Span>) {
         let (first_ms, copy, body, why) = (0.0, None, Bytes::new(), None);
         let come_ms = after.map(|after| (after.as_micros() / 1_000).max(1));
-        let (word, remark) = (Word::Full, Remark::NoPlace);
-        let given = Given { id, word, remark, first_ms, copy, body, come_ms, why };
+        let (word, remark) = (AnswerStatus::Busy, Remark::NoPlace);
+        let given = OutgoingAnswer {
+            id,
+            status: word,
+            remark,
+            first_byte_ms: first_ms,
+            copy,
+            body,
+            retry_after_ms: come_ms,
+            reason: why,
+        };
         self.orders.push(Order::Answer { conn, given });
     }
 
-    fn hand_over(&mut self, conn: ConnNo, id: Hex, reply: Reply, good: Option<Copy>) {
+    fn hand_over(&mut self, conn: ConnNo, id: HexId, reply: Reply, good: Option<Copy>) {
         match (reply, good) {
             (Reply::Held, Some(copy)) => {
                 let given = give(id, &copy, None, true, Remark::Hit, 0.0);
                 self.orders.push(Order::Answer { conn, given });
             }
-            (Reply::UnderWay, _) => self.refuse(conn, id, Word::Lacks, Remark::Joined),
-            (Reply::Elsewhere { .. }, _) => self.refuse(conn, id, Word::Full, Remark::SourceRefused),
-            (Reply::Ceded { .. } | Reply::Held, _) => self.refuse(conn, id, Word::Lacks, Remark::Nothing),
+            (Reply::UnderWay, _) => self.refuse(conn, id, AnswerStatus::NotFound, Remark::Joined),
+            (Reply::Elsewhere { .. }, _) => self.refuse(conn, id, AnswerStatus::Busy, Remark::SourceRefused),
+            (Reply::Ceded { .. } | Reply::Held, _) => {
+                self.refuse(conn, id, AnswerStatus::NotFound, Remark::Nothing)
+            }
         }
     }
 
     /// Its own disk has it: a fill that goes nowhere else, and that others may join.
-    fn fill_from_disk(&mut self, conn: ConnNo, key: Key, asked: Asked, oldest: Option<Span>, now: Moment) {
+    fn fill_from_disk(
+        &mut self,
+        conn: ConnNo,
+        key: Key,
+        asked: IncomingRequest,
+        oldest: Option<Span>,
+        now: Moment,
+    ) {
         if self.fills.are_full() || !self.fills.may_wait(conn, asked.id) {
-            return self.refuse(conn, asked.id, Word::Full, Remark::NoPlace);
+            return self.refuse(conn, asked.id, AnswerStatus::Busy, Remark::NoPlace);
         }
         self.begin(key, &asked, now);
         self.wait(conn, key, &asked, oldest, false, now);
         self.read_from_disk(key, now);
     }
 
-    fn fill_for(&mut self, conn: ConnNo, key: Key, asked: Asked, oldest: Option<Span>, now: Moment) {
+    fn fill_for(
+        &mut self,
+        conn: ConnNo,
+        key: Key,
+        asked: IncomingRequest,
+        oldest: Option<Span>,
+        now: Moment,
+    ) {
         let worth = self.worth(&asked);
         if !self.may_begin(worth) && !self.fills.has(key) {
             let chance = self.chance.draw();
             let after = self.start.come_again(chance);
-            return self.refuse_until(conn, asked.id, asked.way.is_some().then_some(after));
+            return self.refuse_until(conn, asked.id, asked.route.is_some().then_some(after));
         }
         if self.sources.unknowing && self.start.stage() != StartStage::Alone
             || !self.fills.may_wait(conn, asked.id)
         {
-            return self.refuse(conn, asked.id, Word::Full, Remark::NoPlace);
+            return self.refuse(conn, asked.id, AnswerStatus::Busy, Remark::NoPlace);
         }
-        let path = asked.way.as_ref().map(|way| way.path.clone()).unwrap_or_default();
+        let path = asked.route.as_ref().map(|way| way.path.clone()).unwrap_or_default();
         let new = !self.fills.has(key);
         if new {
             // It came round to a hub whose own fill is over meanwhile: a new one would go round again.
             if path.contains(&self.name) {
-                return self.refuse(conn, asked.id, Word::Full, Remark::SourceRefused);
+                return self.refuse(conn, asked.id, AnswerStatus::Busy, Remark::SourceRefused);
             }
             if self.fills.are_full() {
-                return self.refuse(conn, asked.id, Word::Full, Remark::NoPlace);
+                return self.refuse(conn, asked.id, AnswerStatus::Busy, Remark::NoPlace);
             }
             self.begin(key, &asked, now);
         }
@@ -149,17 +184,29 @@
 
 /// The answer that a copy is; its group is told to hubs of ours only.
 pub(super) fn give(
-    id: Hex,
+    id: HexId,
     copy: &Copy,
     held: Option<&Bytes>,
     ours: bool,
     remark: Remark,
     first_ms: f64,
-) -> Given {
+) -> OutgoingAnswer {
     let still_good = held == Some(&copy.digest);
-    let (word, body) =
-        if still_good { (Word::StillGood, Bytes::new()) } else { (Word::Good, copy.body.clone()) };
+    let (word, body) = if still_good {
+        (AnswerStatus::NotModified, Bytes::new())
+    } else {
+        (AnswerStatus::Fulfilled, copy.body.clone())
+    };
     let dated_ms = copy.dated.micros() / 1_000;
     let tag = CopyTag { digest: copy.digest.clone(), dated_ms, group: copy.group.filter(|_| ours) };
-    Given { id, word, remark, first_ms, copy: Some(tag), body, come_ms: None, why: None }
+    OutgoingAnswer {
+        id,
+        status: word,
+        remark,
+        first_byte_ms: first_ms,
+        copy: Some(tag),
+        body,
+        retry_after_ms: None,
+        reason: None,
+    }
 }
--- a/crates/hub/src/desk/circles.rs
+++ b/crates/hub/src/desk/circles.rs
@@ -5,8 +5,8 @@
 use harestage::time::Moment;
 use harestage_shape::control::LoopSeen;
 use harestage_shape::knots::{self, Act, Knot, Knots};
-use harestage_wire::fields::Hex;
-use harestage_wire::peer::Chase;
+use harestage_wire::fields::HexId;
+use harestage_wire::peer::CycleProbe;
 
 /// Loops that wait to be reported.
 const MOST_LOOPS: usize = 256;
@@ -29,9 +29,9 @@
 }
 
 impl Desk {
-    pub(super) fn chased(&mut self, chase: Chase, now: Moment) {
-        let key = (chase.object.number(), chase.part);
-        let chase = knots::Chase { key, path: chase.path, closed: chase.closed };
+    pub(super) fn chased(&mut self, chase: CycleProbe, now: Moment) {
+        let key = (chase.object.as_u64(), chase.part);
+        let chase = knots::Chase { key, path: chase.path, closed: chase.is_cycle };
         let act = self.circles.knots.chased(chase, now);
         self.act(act, now);
     }
@@ -54,8 +54,8 @@
     fn send_chase(&mut self, to: &str, chase: knots::Chase) {
         let shape = self.fills.get(chase.key).and_then(|fill| self.versions.get(fill.version));
         let Some(to) = shape.and_then(|shape| peer(shape, shape.find(to)?)) else { return };
-        let (object, part) = (Hex::of(chase.key.0), chase.key.1);
-        let chase = Chase { object, part, path: chase.path, closed: chase.closed };
+        let (object, part) = (HexId::from_u64(chase.key.0), chase.key.1);
+        let chase = CycleProbe { object, part, path: chase.path, is_cycle: chase.closed };
         self.orders.push(Order::Chase { to, chase });
     }
 
--- a/crates/hub/src/desk/fills.rs
+++ b/crates/hub/src/desk/fills.rs
@@ -6,8 +6,8 @@
 use harestage::time::{Moment, Span};
 use harestage_shape::knots::Key;
 use harestage_shape::tree::PlaceIx;
-use harestage_wire::fields::Hex;
-use harestage_wire::node::Asked;
+use harestage_wire::fields::HexId;
+use harestage_wire::node::IncomingRequest;
 use std::collections::HashMap;
 
 /// The rank of a copy whose pull names none.
@@ -16,7 +16,7 @@
 /// A pull of somebody below that waits for a fill.
 pub(super) struct Waiter {
     pub conn: ConnNo,
-    pub id: Hex,
+    pub id: HexId,
     pub until: Moment,
     pub oldest: Option<Span>,
     pub held: Option<Bytes>,
@@ -71,7 +71,7 @@
 }
 
 impl Fill {
-    fn new(asked: &Asked, version: u64, now: Moment) -> Fill {
+    fn new(asked: &IncomingRequest, version: u64, now: Moment) -> Fill {
         Fill {
             content: asked.content.clone(),
             waiters: Vec::new(),
@@ -80,10 +80,10 @@
             asked: Vec::new(),
             version,
             rank: rank_of(asked),
-            no_copy: asked.no_copy,
+            no_copy: asked.no_store,
             begun: now,
             sent: now,
-            until: now + Span::millis(asked.waits_ms),
+            until: now + Span::millis(asked.timeout_ms),
             again: 0,
             come: None,
             forced: false,
@@ -93,7 +93,7 @@
     }
 }
 
-fn rank_of(asked: &Asked) -> u8 {
+fn rank_of(asked: &IncomingRequest) -> u8 {
     if asked.rank == 0 { USUAL_RANK } else { asked.rank.min(HIGHEST_RANK) }
 }
 
@@ -102,7 +102,7 @@
 pub(super) struct Fills {
     by_key: HashMap<Key, Fill>,
     /// Pulls below, so that a cancel finds its fill.
-    waiting: HashMap<(ConnNo, Hex), Key>,
+    waiting: HashMap<(ConnNo, HexId), Key>,
     pulls: HashMap<PullNo, Key>,
     most: usize,
     most_waiting: usize,
@@ -163,7 +163,7 @@
     }
 
     /// Whether a pull from below may wait: there is room, and it does not wait already.
-    pub fn may_wait(&self, conn: ConnNo, id: Hex) -> bool {
+    pub fn may_wait(&self, conn: ConnNo, id: HexId) -> bool {
         self.waiting.len() < self.most_waiting && !self.waiting.contains_key(&(conn, id))
     }
 
@@ -175,7 +175,7 @@
     }
 
     /// Somebody waits no more. The fill, if nobody else waits for it.
-    fn leave(&mut self, conn: ConnNo, id: Hex) -> Option<Key> {
+    fn leave(&mut self, conn: ConnNo, id: HexId) -> Option<Key> {
         let key = self.waiting.remove(&(conn, id))?;
         let fill = self.by_key.get_mut(&key)?;
         fill.waiters.retain(|waiter| (waiter.conn, waiter.id) != (conn, id));
@@ -199,10 +199,10 @@
     }
 
     /// Those of a connection who wait.
-    fn of_conn(&self, conn: ConnNo) -> Vec<Hex> {
+    fn of_conn(&self, conn: ConnNo) -> Vec<HexId> {
         let of_conn = self.waiting.keys().filter(|(c, _)| *c == conn);
-        let mut ids: Vec<Hex> = of_conn.map(|(_, id)| *id).collect();
-        ids.sort_by_key(Hex::number);
+        let mut ids: Vec<HexId> = of_conn.map(|(_, id)| *id).collect();
+        ids.sort_by_key(HexId::as_u64);
         ids
     }
 }
@@ -213,7 +213,7 @@
         self.fills.count()
     }
 
-    pub(super) fn begin(&mut self, key: Key, asked: &Asked, now: Moment) {
+    pub(super) fn begin(&mut self, key: Key, asked: &IncomingRequest, now: Moment) {
         self.rationing.first(now);
         let version = self.versions.pin().unwrap_or(0);
         self.fills.enter(key, Fill::new(asked, version, now));
@@ -224,18 +224,18 @@
         &mut self,
         conn: ConnNo,
         key: Key,
-        asked: &Asked,
+        asked: &IncomingRequest,
         oldest: Option<Span>,
         joined: bool,
         now: Moment,
     ) {
-        let until = now + Span::millis(asked.waits_ms);
-        let (held, ours) = (asked.held.clone(), asked.way.is_some());
+        let until = now + Span::millis(asked.timeout_ms);
+        let (held, ours) = (asked.known_digest.clone(), asked.route.is_some());
         self.fills.wait(key, Waiter { conn, id: asked.id, until, oldest, held, joined, ours });
         self.bells.set(until, Bell::Waiter(key));
         if let Some(fill) = self.fills.get_mut(key) {
             fill.until = fill.until.max(until);
-            fill.no_copy &= asked.no_copy;
+            fill.no_copy &= asked.no_store;
             fill.rank = fill.rank.max(rank_of(asked));
         }
     }
@@ -246,7 +246,7 @@
     }
 
     /// One of those who wait has left. When nobody waits any more, the fill is given up, and so is what it asked for.
-    pub(super) fn left(&mut self, conn: ConnNo, id: Hex) {
+    pub(super) fn left(&mut self, conn: ConnNo, id: HexId) {
         self.audit.iter_mut().for_each(|audit| audit.left(conn, id));
         if let Some(key) = self.fills.leave(conn, id) {
             self.give_up(key);
--- a/crates/hub/src/desk/messages.rs
+++ b/crates/hub/src/desk/messages.rs
@@ -11,9 +11,9 @@
 use harestage_shape::knots::{Key, Knot};
 use harestage_shape::parts::Part;
 use harestage_sites::standby::{Planned, Turn};
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Answer, Asked, CopyTag, Given};
-use harestage_wire::peer::{Chase, Mark, Way};
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{Answer, CopyTag, IncomingRequest, OutgoingAnswer};
+use harestage_wire::peer::{AuditMark, CycleProbe, HubRoute};
 use std::collections::BTreeSet;
 
 pub type ConnNo = u64;
@@ -48,11 +48,11 @@
 pub enum News {
     Asked {
         conn: ConnNo,
-        asked: Box<Asked>,
+        asked: Box<IncomingRequest>,
     },
     Cancelled {
         conn: ConnNo,
-        id: Hex,
+        id: HexId,
     },
     Gone {
         conn: ConnNo,
@@ -66,7 +66,7 @@
     Lost {
         pull: PullNo,
     },
-    Chased(Chase),
+    Chased(CycleProbe),
     Told(Box<ShapeForm>),
     Part {
         part: Part,
@@ -124,7 +124,7 @@
 pub enum Order {
     Answer {
         conn: ConnNo,
-        given: Given,
+        given: OutgoingAnswer,
     },
     Pull {
         pull: PullNo,
@@ -136,7 +136,7 @@
     },
     Chase {
         to: Peer,
-        chase: Chase,
+        chase: CycleProbe,
     },
     /// Asks a hub of another site whether it is there.
     Look {
@@ -177,6 +177,6 @@
     pub only_held: bool,
     pub no_copy: bool,
     /// None: it goes to the archive, which is not ours.
-    pub way: Option<Way>,
-    pub mark: Option<Mark>,
+    pub way: Option<HubRoute>,
+    pub mark: Option<AuditMark>,
 }
--- a/crates/hub/src/desk/ways.rs
+++ b/crates/hub/src/desk/ways.rs
@@ -7,7 +7,7 @@
 use harestage_shape::route::{self, Next};
 use harestage_shape::shield::ANSWERS_WITHIN;
 use harestage_shape::tree::{Place, PlaceIx, Shape};
-use harestage_wire::peer::Way;
+use harestage_wire::peer::HubRoute;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A fill that its source leaves without an answer for as long goes to the next, while there is time for that.
@@ -126,13 +126,13 @@
         }
     }
 
-    pub(super) fn way(&self, path: &[String], version: u64, hand_over: bool) -> Way {
+    pub(super) fn way(&self, path: &[String], version: u64, hand_over: bool) -> HubRoute {
         let mut path = path.to_vec();
         path.push(self.name.clone());
         // What came by more hubs than a path may name keeps its last ones: a circle still shows by them.
-        let over = path.len().saturating_sub(harestage_wire::peer::LONGEST_PATH);
+        let over = path.len().saturating_sub(harestage_wire::peer::MAX_PATH_HUBS);
         path.drain(..over);
-        Way { path, version, hand_over }
+        HubRoute { path, shape_version: version, hand_over }
     }
 
     pub(super) fn pull(
@@ -141,7 +141,7 @@
         place: PlaceIx,
         shape: &Shape,
         only_held: bool,
-        way: Option<Way>,
+        way: Option<HubRoute>,
         now: Moment,
     ) -> PullNo {
         let pull = self.next_pull();
--- a/crates/hub/src/net/down.rs
+++ b/crates/hub/src/net/down.rs
@@ -7,11 +7,11 @@
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::future::or;
-use harestage_sockets::{Source, Spawner, Stream, write_packets};
+use harestage_sockets::{SocketReader, Spawner, Stream, write_packets};
 use harestage_wire::Packet;
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{self, Given, ToNode};
-use harestage_wire::peer::{self, LOOK, WHO};
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{self, OutgoingAnswer, ToNode};
+use harestage_wire::peer::{self, LIVENESS_TAG_PREFIX, NAME_TAG};
 use harestage_wire::resp::{Bounds, Decoder};
 use slog::{Logger, info, warn};
 use std::cell::{Cell, RefCell};
@@ -30,7 +30,7 @@
 
 struct Line {
     queue: RefCell<VecDeque<Packet>>,
-    open: RefCell<HashSet<Hex>>,
+    open: RefCell<HashSet<HexId>>,
     unsent: Cell<usize>,
     wrote: Cell<Instant>,
     /// Since when a message stands half read.
@@ -84,11 +84,11 @@
     }
 
     /// Queues an answer; whoever has gone, or taken its pull back, gets none.
-    pub fn answer(&self, conn: ConnNo, given: &Given) {
+    pub fn answer(&self, conn: ConnNo, given: &OutgoingAnswer) {
         let line = self.lines.borrow().get(&conn).cloned();
         let Some(line) = line.filter(|line| line.open.borrow_mut().remove(&given.id)) else { return };
         line.room.notify(usize::MAX);
-        self.queue(&line, node::write_given(given));
+        self.queue(&line, node::encode_answer(given));
     }
 
     fn queue(&self, line: &Line, packet: Packet) {
@@ -202,7 +202,7 @@
 
 async fn serve(below: Rc<Below>, no: ConnNo, line: Rc<Line>, stream: Rc<Stream>, spawner: Spawner) {
     let _ = stream.get_ref().set_nodelay(true);
-    let writer = spawner.spawn_held(write(below.clone(), line.clone(), stream.clone()));
+    let writer = spawner.spawn_with_handle(write(below.clone(), line.clone(), stream.clone()));
     let ended = async {
         while !line.ending.get() {
             line.ended.listen().await;
@@ -220,14 +220,19 @@
 /// Reads until the other side closes, which says nothing, or sends what can't be read.
 async fn read(below: &Below, no: ConnNo, line: &Line, stream: &Stream) -> String {
     let limits = &below.limits;
-    let bounds = Bounds { items: limits.items, item_bytes: limits.asked_bytes, item_room: ITEM_ROOM };
+    let bounds = Bounds {
+        max_items: limits.items,
+        max_item_bytes: limits.asked_bytes,
+        initial_item_capacity: ITEM_ROOM,
+    };
     let mut decoder = Decoder::new(bounds, READ_BUFFER);
-    let mut source = Source::new(stream);
+    let mut source = SocketReader::new(stream);
     loop {
-        let items = match decoder.take() {
+        let items = match decoder.next_message() {
             Ok(Some(items)) => items,
             Ok(None) => {
-                line.inside.set(decoder.is_inside().then(|| line.inside.get().unwrap_or_else(Instant::now)));
+                line.inside
+                    .set(decoder.is_mid_message().then(|| line.inside.get().unwrap_or_else(Instant::now)));
                 match source.read_into(&mut decoder).await {
                     Ok(0) => return String::new(),
                     Ok(_) => continue,
@@ -238,7 +243,7 @@
         };
         line.inside.set(None);
         line.rests.set(Instant::now());
-        let Some(message) = node::read_asked(&items) else { return "an unreadable message".into() };
+        let Some(message) = node::decode_message(&items) else { return "an unreadable message".into() };
         let news = match message {
             // Two answers under one id could not be told apart.
             ToNode::Serve(asked) if !line.open.borrow_mut().insert(asked.id) => return "an id twice".into(),
@@ -247,13 +252,13 @@
                 line.open.borrow_mut().remove(&id);
                 News::Cancelled { conn: no, id }
             }
-            ToNode::Chase(chase) => News::Chased(chase),
+            ToNode::Probe(chase) => News::Chased(chase),
             ToNode::Health(tag) => {
-                below.queue(line, node::write_state(&tag, !below.shared.leaving.get(), None, None));
+                below.queue(line, node::encode_state(&tag, !below.shared.leaving.get(), None, None));
                 continue;
             }
-            ToNode::Gauges(tag) if peer::read_start_tag(&tag).is_some() => {
-                if let Some(held) = peer::read_start_tag(&tag).flatten() {
+            ToNode::Gauges(tag) if peer::decode_start_tag(&tag).is_some() => {
+                if let Some(held) = peer::decode_start_tag(&tag).flatten() {
                     below.shared.desk.borrow_mut().hold_start(held);
                 }
                 let start = {
@@ -267,20 +272,20 @@
                         held,
                     }
                 };
-                below.queue(line, peer::write_start(&tag, &start));
+                below.queue(line, peer::encode_start(&tag, &start));
                 continue;
             }
-            ToNode::Gauges(tag) if tag.starts_with(LOOK) => {
+            ToNode::Gauges(tag) if tag.starts_with(LIVENESS_TAG_PREFIX) => {
                 let unseen = below.shared.desk.borrow().unseen();
-                below.queue(line, peer::write_seen(&tag, below.shared.leaving.get(), &unseen));
+                below.queue(line, peer::encode_liveness(&tag, below.shared.leaving.get(), &unseen));
                 continue;
             }
             ToNode::Gauges(tag) => {
                 let (fills, hits) = below.shared.desk.borrow().gauges(below.shared.clock.now());
                 // Only a hub of ours asks under this tag, and is told what the platform has no field for.
-                let own = (tag.as_ref() == WHO).then_some(below.shared.name.as_str());
+                let own = (tag.as_ref() == NAME_TAG).then_some(below.shared.name.as_str());
                 let gauges = format!("inflight:{fills}/x0:{hits:.3}");
-                below.queue(line, node::write_state(&tag, true, Some(&gauges), own));
+                below.queue(line, node::encode_state(&tag, true, Some(&gauges), own));
                 continue;
             }
         };
--- a/crates/hub/src/net/purges.rs
+++ b/crates/hub/src/net/purges.rs
@@ -7,9 +7,9 @@
 use async_channel::Sender;
 use async_io::Timer;
 use harestage_following::subscribe;
-use harestage_sockets::clock::unix_ms;
-use harestage_sockets::lines::{Lines, within};
-use harestage_wire::feed::{self, Line, Told, read_line};
+use harestage_sockets::clock::moment_from_unix_ms;
+use harestage_sockets::lines::{LineReader, with_timeout};
+use harestage_wire::feed::{self, FeedEvent, FeedMessage, decode_line};
 use slog::{Logger, info, warn};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,24 +31,26 @@
 
 /// Follows one connection to its end. Events that come twice are passed over; a gap ends it, and is asked for again.
 async fn stay(from: SocketAddr, limits: &Limits, inbox: &Sender<News>, last: &mut u64) -> Result<(), String> {
-    let stream = subscribe(from, &feed::subscribe(*last), limits.connect).await?;
-    let mut lines = Lines::new(&stream, limits.line_bytes);
+    let stream = subscribe(from, &feed::encode_subscribe(*last), limits.connect).await?;
+    let mut lines = LineReader::new(&stream, limits.line_bytes);
     loop {
-        let line = within(limits.control_silence, "silent", lines.next()).await?;
+        let line = with_timeout(limits.control_silence, "silent", lines.next_line()).await?;
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        match read_line(&line).map_err(|why| format!("unreadable line: {why}"))? {
-            Line::Event(n, told) if n == *last + 1 || *last == 0 => {
-                if let Told::Purge { object, group, at_ms } = told {
+        match decode_line(&line).map_err(|why| format!("unreadable line: {why}"))? {
+            FeedMessage::Event(n, told) if n == *last + 1 || *last == 0 => {
+                if let FeedEvent::Purge { object, group, at_ms } = told {
                     let named = object.map_or(Named::Group(group), Named::Object);
-                    let _ = inbox.send(News::Purged { named, at: unix_ms(at_ms) }).await;
+                    let _ = inbox.send(News::Purged { named, at: moment_from_unix_ms(at_ms) }).await;
                 }
                 *last = n;
             }
-            Line::Event(n, _) | Line::Beat(n) if n <= *last => {}
-            Line::Beat(_) if *last == 0 => {}
-            Line::Event(n, _) | Line::Beat(n) => return Err(format!("event {n} follows {last}")),
+            FeedMessage::Event(n, _) | FeedMessage::Heartbeat(n) if n <= *last => {}
+            FeedMessage::Heartbeat(_) if *last == 0 => {}
+            FeedMessage::Event(n, _) | FeedMessage::Heartbeat(n) => {
+                return Err(format!("event {n} follows {last}"));
+            }
         }
     }
 }
--- a/crates/hub/src/net/up.rs
+++ b/crates/hub/src/net/up.rs
@@ -7,11 +7,11 @@
 use event_listener::Event;
 use futures_lite::future::or;
 use harestage::time::Span;
-use harestage_sockets::{Source, Spawner, Stream, write_packets};
+use harestage_sockets::{SocketReader, Spawner, Stream, write_packets};
 use harestage_wire::Packet;
-use harestage_wire::fields::{self, Hex};
-use harestage_wire::node::{self, Request, Word};
-use harestage_wire::peer::{self, Chase, LOOK, WHO};
+use harestage_wire::fields::{self, HexId};
+use harestage_wire::node::{self, AnswerStatus, Request};
+use harestage_wire::peer::{self, CycleProbe, LIVENESS_TAG_PREFIX, NAME_TAG};
 use harestage_wire::resp::{Bounds, Decoder};
 use slog::{Logger, info, warn};
 use std::cell::{Cell, RefCell};
@@ -66,26 +66,26 @@
     pub fn pull(&mut self, pull: PullNo, to: &Peer, ask: Ask) {
         let content = String::from_utf8_lossy(&ask.content).into_owned();
         let request = Request {
-            id: Hex::of(pull),
+            id: HexId::from_u64(pull),
             content: &content,
-            object: Hex::of(ask.object),
+            object: HexId::from_u64(ask.object),
             part: ask.part,
-            waits_ms: ask.waits.as_micros().div_ceil(1_000).max(1),
+            timeout_ms: ask.waits.as_micros().div_ceil(1_000).max(1),
             // A hub may fill; what only asks for what is held names no source. The archive has everything.
             source: (!ask.only_held && ask.way.is_some()).then_some("archive"),
             rank: 0,
-            oldest_ms: ask.oldest_ms,
+            max_age_ms: ask.oldest_ms,
             join: true,
-            only_held: ask.only_held,
-            no_copy: ask.no_copy,
-            renew: false,
+            only_if_cached: ask.only_held,
+            no_store: ask.no_copy,
+            stale_while_revalidate: false,
             dedup_key: None,
-            held: None,
+            known_digest: None,
             body: bytes::Bytes::new(),
-            way: ask.way.as_ref(),
+            route: ask.way.as_ref(),
             mark: ask.mark.as_ref(),
         };
-        let packet = node::write(&request);
+        let packet = node::encode_request(&request);
         let wire = self.wire(to, ask.way.is_some());
         wire.open.borrow_mut().insert(pull, Instant::now());
         wire.queue.borrow_mut().push_back(Queued { pull: Some(pull), packet });
@@ -109,7 +109,9 @@
             wake: Event::new(),
         });
         if ours {
-            wire.queue.borrow_mut().push_back(Queued { pull: None, packet: node::write_gauges(WHO) });
+            wire.queue
+                .borrow_mut()
+                .push_back(Queued { pull: None, packet: node::encode_gauges_query(NAME_TAG) });
         }
         self.wires.insert(to.clone(), wire.clone());
         let run = run(self.common.clone(), self.spawner.clone(), wire.clone(), to.clone());
@@ -124,7 +126,7 @@
         match queued {
             Some(at) => drop(wire.queue.borrow_mut().remove(at)),
             None => {
-                let packet = node::write_cancel(Hex::of(pull));
+                let packet = node::encode_cancel(HexId::from_u64(pull));
                 wire.queue.borrow_mut().push_back(Queued { pull: None, packet });
                 wire.wake.notify(usize::MAX);
             }
@@ -136,16 +138,16 @@
         let wire = self.wire(to, true);
         // A wire that gets nowhere is no reason to pile questions up on it.
         if wire.queue.borrow().len() < MOST_QUESTIONS {
-            let tag = [LOOK, ask.to_string().as_bytes()].concat();
-            wire.queue.borrow_mut().push_back(Queued { pull: None, packet: node::write_gauges(&tag) });
+            let tag = [LIVENESS_TAG_PREFIX, ask.to_string().as_bytes()].concat();
+            wire.queue.borrow_mut().push_back(Queued { pull: None, packet: node::encode_gauges_query(&tag) });
             wire.wake.notify(usize::MAX);
         }
     }
 
     /// Follows the pull that it is about over the same connection; without one there is nothing to follow.
-    pub fn chase(&mut self, to: &Peer, chase: &Chase) {
+    pub fn chase(&mut self, to: &Peer, chase: &CycleProbe) {
         if let Some(wire) = self.wires.get(to).filter(|wire| !wire.ended.get()) {
-            wire.queue.borrow_mut().push_back(Queued { pull: None, packet: peer::write_chase(chase) });
+            wire.queue.borrow_mut().push_back(Queued { pull: None, packet: peer::encode_probe(chase) });
             wire.wake.notify(usize::MAX);
         }
     }
@@ -156,7 +158,7 @@
         Ok(stream) => {
             wire.heard.set(Instant::now());
             let stream = Rc::new(stream);
-            let writer = spawner.spawn_held(write(wire.clone(), stream.clone()));
+            let writer = spawner.spawn_with_handle(write(wire.clone(), stream.clone()));
             let why = or(or(read(&common, &wire, &stream, &to), writer), watch(&common, &wire)).await;
             if !wire.open.borrow().is_empty() {
                 warn!(common.log, "source lost"; "source" => &to.name, "why" => why);
@@ -186,11 +188,15 @@
 
 async fn read(common: &Common, wire: &Wire, stream: &Stream, to: &Peer) -> String {
     let limits = &common.limits;
-    let bounds = Bounds { items: limits.items, item_bytes: limits.body_bytes, item_room: ITEM_ROOM };
+    let bounds = Bounds {
+        max_items: limits.items,
+        max_item_bytes: limits.body_bytes,
+        initial_item_capacity: ITEM_ROOM,
+    };
     let mut decoder = Decoder::new(bounds, READ_BUFFER);
-    let mut source = Source::new(stream);
+    let mut source = SocketReader::new(stream);
     loop {
-        let items = match decoder.take() {
+        let items = match decoder.next_message() {
             Ok(Some(items)) => items,
             Ok(None) => match source.read_into(&mut decoder).await {
                 Ok(0) => return "closed".into(),
@@ -202,26 +208,28 @@
             },
             Err(fault) => return fault.to_string(),
         };
-        if items.first().is_some_and(|tag| tag.as_ref() == WHO) {
+        if items.first().is_some_and(|tag| tag.as_ref() == NAME_TAG) {
             if let Some(own) = items.get(2).and_then(own_name) {
                 let _ = common.inbox.send(News::Named { addressed: to.name.clone(), own }).await;
             }
             continue;
         }
-        if let Some(ask) = items.first().and_then(|tag| tag.strip_prefix(LOOK)) {
+        if let Some(ask) = items.first().and_then(|tag| tag.strip_prefix(LIVENESS_TAG_PREFIX)) {
             let ask = std::str::from_utf8(ask).ok().and_then(|ask| ask.parse().ok());
-            if let Some((ask, (leaving, unseen))) = Option::zip(ask, peer::read_seen(&items)) {
+            if let Some((ask, (leaving, unseen))) = Option::zip(ask, peer::decode_liveness(&items)) {
                 wire.used.set(Instant::now());
                 let _ = common.inbox.send(News::Seen { ask, leaving, unseen }).await;
             }
             continue;
         }
-        let Some(answer) = node::read(&items) else { return "an unreadable answer".into() };
-        let pull = answer.id.number();
+        let Some(answer) = node::decode_answer(&items) else { return "an unreadable answer".into() };
+        let pull = answer.id.as_u64();
         wire.used.set(Instant::now());
         if wire.open.borrow_mut().remove(&pull).is_some() {
-            let copy = node::read_copy(&items);
-            if let Some(come_ms) = peer::read_come(&items).filter(|_| answer.word == Word::Full) {
+            let copy = node::decode_copy_tag(&items);
+            if let Some(come_ms) =
+                peer::decode_retry_after(&items).filter(|_| answer.status == AnswerStatus::Busy)
+            {
                 let after = Span::millis(come_ms.min(LONGEST_COME_MS));
                 let _ = common.inbox.send(News::ComeAgain { pull, after }).await;
             }
@@ -231,8 +239,8 @@
 }
 
 fn own_name(list: &bytes::Bytes) -> Option<String> {
-    let name = fields::read(list).find(|(name, _)| *name == b"name").map(|(_, value)| value)?;
-    String::from_utf8(name.to_vec()).ok().filter(|name| peer::is_name(name))
+    let name = fields::parse_list(list).find(|(name, _)| *name == b"name").map(|(_, value)| value)?;
+    String::from_utf8(name.to_vec()).ok().filter(|name| peer::is_valid_name(name))
 }
 
 async fn write(wire: Rc<Wire>, stream: Rc<Stream>) -> String {
--- a/crates/hub/src/start.rs
+++ b/crates/hub/src/start.rs
@@ -177,10 +177,10 @@
             let more = more.iter().enumerate().map(|(n, text)| address(&format!("{many}[{n}]"), text));
             first.chain(more).collect::<Result<Vec<_>, String>>()
         };
-        if !self.site.is_empty() && !harestage_wire::peer::is_name(&self.site) {
+        if !self.site.is_empty() && !harestage_wire::peer::is_valid_name(&self.site) {
             return Err(format!("key site: {:?} is not a name", self.site));
         }
-        if !harestage_wire::peer::is_name(&self.name) {
+        if !harestage_wire::peer::is_valid_name(&self.name) {
             return Err(format!(
                 "key name: {:?} is not a name of letters, digits, dots and dashes",
                 self.name
--- a/crates/hub/tests/audited.rs
+++ b/crates/hub/tests/audited.rs
@@ -10,9 +10,9 @@
 use harestage_hub::desk::{Bounds, Desk, Keeping, News, Order};
 use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
 use harestage_shape::parts::Part;
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Answer, Asked, CopyTag, Word};
-use harestage_wire::peer::Mark;
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{Answer, AnswerStatus, CopyTag, IncomingRequest};
+use harestage_wire::peer::AuditMark;
 use std::collections::HashMap;
 
 fn shape(version: u64) -> ShapeForm {
@@ -61,23 +61,23 @@
 }
 
 fn asked(no: u64, by: &str, shape: u64) -> News {
-    let mark = Mark { by: by.into(), place: "br".into(), stamp: stamp(shape).to_string() };
-    let asked = Asked {
-        id: Hex::of(no),
+    let mark = AuditMark { by: by.into(), place: "br".into(), stamp: stamp(shape).to_string() };
+    let asked = IncomingRequest {
+        id: HexId::from_u64(no),
         content: Bytes::from_static(b"clip"),
-        object: Hex::of(no),
+        object: HexId::from_u64(no),
         part: 0,
-        waits_ms: 3_000,
+        timeout_ms: 3_000,
         source: Some(Bytes::from_static(b"archive")),
         rank: 1,
-        oldest_ms: None,
+        max_age_ms: None,
         join: true,
-        only_held: false,
-        no_copy: false,
-        renew: false,
-        held: None,
+        only_if_cached: false,
+        no_store: false,
+        stale_while_revalidate: false,
+        known_digest: None,
         body: Bytes::new(),
-        way: None,
+        route: None,
         mark: Some(mark),
     };
     News::Asked { conn: 1, asked: Box::new(asked) }
@@ -92,11 +92,11 @@
 }
 
 /// The word that a pull got at once, and its reason; none where it runs.
-fn at_once(desk: &mut Desk, news: News) -> Option<(Word, Option<&'static str>)> {
+fn at_once(desk: &mut Desk, news: News) -> Option<(AnswerStatus, Option<&'static str>)> {
     let orders = desk.step(at(20), std::iter::once(news));
     let fetched = orders.iter().any(|order| matches!(order, Order::Pull { .. }));
     let given = orders.iter().find_map(|order| match order {
-        Order::Answer { given, .. } => Some((given.word, given.why)),
+        Order::Answer { given, .. } => Some((given.status, given.reason)),
         _ => None,
     });
     assert!(given.is_none() || !fetched, "what is refused never runs");
@@ -108,13 +108,13 @@
     let mut desk = desk();
     assert_eq!(at_once(&mut desk, asked(1, "r-1", 4)), None, "nobody is shut out yet");
     refuse(&mut desk, &[("r-1", 0.0), ("r-2", 0.5)]);
-    assert_eq!(at_once(&mut desk, asked(2, "r-1", 4)), Some((Word::Full, Some("old"))));
+    assert_eq!(at_once(&mut desk, asked(2, "r-1", 4)), Some((AnswerStatus::Busy, Some("old"))));
     assert_eq!(
         at_once(&mut desk, asked(3, "r-1", 5)),
-        Some((Word::Full, Some("old"))),
+        Some((AnswerStatus::Busy, Some("old"))),
         "let in by no share yet"
     );
-    assert_eq!(at_once(&mut desk, asked(4, "r-2", 4)), Some((Word::Full, Some("old"))));
+    assert_eq!(at_once(&mut desk, asked(4, "r-2", 4)), Some((AnswerStatus::Busy, Some("old"))));
     assert_eq!(at_once(&mut desk, asked(5, "r-3", 4)), None, "only those whom the keeper has decided on");
     let refused = (100..300).filter(|no| at_once(&mut desk, asked(*no, "r-2", 5)).is_some()).count();
     assert!((60..140).contains(&refused), "half of what is not forbidden: {refused} of 200");
@@ -134,10 +134,10 @@
     assert_eq!(mark, None, "the archive is not ours");
     let copy = CopyTag { digest: Bytes::from_static(b"d"), dated_ms: 700, group: None };
     let answer = Answer {
-        id: Hex::of(pull),
-        word: Word::Good,
+        id: HexId::from_u64(pull),
+        status: AnswerStatus::Fulfilled,
         remark: Remark::Nothing,
-        first_ms: 1.0,
+        first_byte_ms: 1.0,
         body: Bytes::from_static(b"body"),
     };
     desk.step(at(40), std::iter::once(News::Answered { pull, answer, copy: Some(copy) }));
--- a/crates/hub/tests/desks.rs
+++ b/crates/hub/tests/desks.rs
@@ -8,8 +8,8 @@
 use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
 use harestage_shape::knots::Knot;
 use harestage_shape::parts::Part;
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Answer, Asked, CopyTag, Given, Word};
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{Answer, AnswerStatus, CopyTag, IncomingRequest, OutgoingAnswer};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -66,12 +66,12 @@
     free_at: HashMap<(String, String), u64>,
     sent: u64,
     /// Pulls between hubs: the puller's number and name, by the id that the pulled sees.
-    pulls: HashMap<(String, Hex), (String, u64)>,
+    pulls: HashMap<(String, HexId), (String, u64)>,
     conns: HashMap<u64, String>,
     cancelled: HashSet<(String, u64)>,
     fetches: Vec<(u64, u64, String)>,
     fetch_takes: u64,
-    answers: Vec<(u64, Given)>,
+    answers: Vec<(u64, OutgoingAnswer)>,
     broke: Vec<(u64, String, Knot)>,
     /// When the archive changed an object last, in virtual microseconds.
     dated: HashMap<u64, u64>,
@@ -166,9 +166,9 @@
                 Some((puller, pull)) => {
                     let answer = Answer {
                         id: given.id,
-                        word: given.word,
+                        status: given.status,
                         remark: given.remark,
-                        first_ms: given.first_ms,
+                        first_byte_ms: given.first_byte_ms,
                         body: given.body,
                     };
                     self.send(
@@ -188,26 +188,26 @@
                     return self.send(&to.name, name, Message::News(News::Lost { pull }));
                 }
                 let number = name.bytes().fold(0, |n, b| n * 31 + u64::from(b)) * 100_000 + pull;
-                let id = Hex::of(number);
+                let id = HexId::from_u64(number);
                 self.pulls.insert((to.name.clone(), id), (name.into(), pull));
                 let conn = 1_000_000 + name.bytes().map(u64::from).sum::<u64>();
                 self.conns.insert(conn, name.into());
-                let asked = Asked {
+                let asked = IncomingRequest {
                     id,
                     content: ask.content,
-                    object: Hex::of(ask.object),
+                    object: HexId::from_u64(ask.object),
                     part: ask.part,
-                    waits_ms: ask.waits.as_micros().div_ceil(1_000),
+                    timeout_ms: ask.waits.as_micros().div_ceil(1_000),
                     source: (!ask.only_held).then(|| Bytes::from_static(b"up")),
                     rank: 0,
-                    oldest_ms: ask.oldest_ms,
+                    max_age_ms: ask.oldest_ms,
                     join: true,
-                    only_held: ask.only_held,
-                    no_copy: ask.no_copy,
-                    renew: false,
-                    held: None,
+                    only_if_cached: ask.only_held,
+                    no_store: ask.no_copy,
+                    stale_while_revalidate: false,
+                    known_digest: None,
                     body: Bytes::new(),
-                    way: ask.way,
+                    route: ask.way,
                     mark: None,
                 };
                 self.send(name, &to.name, Message::News(News::Asked { conn, asked: Box::new(asked) }));
@@ -235,10 +235,10 @@
                 let copy =
                     CopyTag { digest: Bytes::from(format!("d{}", dated_ms)), dated_ms, group: Some(3) };
                 let answer = Answer {
-                    id: Hex::of(pull),
-                    word: Word::Good,
+                    id: HexId::from_u64(pull),
+                    status: AnswerStatus::Fulfilled,
                     remark: Remark::Nothing,
-                    first_ms: 0.0,
+                    first_byte_ms: 0.0,
                     body: Bytes::from_static(b"bytes"),
                 };
                 let at = self.now + self.fetch_takes;
@@ -286,27 +286,27 @@
     }
 
     fn answered_well(&self, no: u64) -> bool {
-        self.answers.iter().any(|(conn, given)| *conn == no && given.word == Word::Good)
+        self.answers.iter().any(|(conn, given)| *conn == no && given.status == AnswerStatus::Fulfilled)
     }
 }
 
-fn asked(object: u64, waits_ms: u64, no: u64) -> Asked {
-    Asked {
-        id: Hex::of(no),
+fn asked(object: u64, waits_ms: u64, no: u64) -> IncomingRequest {
+    IncomingRequest {
+        id: HexId::from_u64(no),
         content: Bytes::from_static(CONTENT),
-        object: Hex::of(object),
+        object: HexId::from_u64(object),
         part: 0,
-        waits_ms,
+        timeout_ms: waits_ms,
         source: Some(Bytes::from_static(b"archive")),
         rank: 1,
-        oldest_ms: None,
+        max_age_ms: None,
         join: true,
-        only_held: false,
-        no_copy: false,
-        renew: false,
-        held: None,
+        only_if_cached: false,
+        no_store: false,
+        stale_while_revalidate: false,
+        known_digest: None,
         body: Bytes::new(),
-        way: None,
+        route: None,
         mark: None,
     }
 }
@@ -444,7 +444,7 @@
     net.ask("a", 5, 1);
     net.ask("a", 5, 2);
     net.run(100);
-    net.step("a", vec![News::Cancelled { conn: 1, id: Hex::of(1) }]);
+    net.step("a", vec![News::Cancelled { conn: 1, id: HexId::from_u64(1) }]);
     net.run(100);
     assert_eq!(net.desks["b"].fills(), 1, "the second still waits");
     net.step("a", vec![News::Gone { conn: 2 }]);
@@ -467,7 +467,7 @@
     net.run(200);
     let (_, given) = net.answers.iter().find(|(no, _)| *no == 1).unwrap();
     let dated = given.copy.as_ref().unwrap().dated_ms;
-    assert!(given.word == Word::Good && dated * 1_000 > at.micros(), "{given:?}");
+    assert!(given.status == AnswerStatus::Fulfilled && dated * 1_000 > at.micros(), "{given:?}");
     assert_eq!(net.fetches.len(), 2);
 }
 
@@ -475,35 +475,46 @@
 fn what_a_pull_says_is_honoured() {
     let mut net = Net::new(&["a"], 1);
     net.tell("a", &tops(1, &["a"]));
-    let ask = |net: &mut Net, no: u64, object: u64, change: &dyn Fn(&mut Asked)| {
+    let ask = |net: &mut Net, no: u64, object: u64, change: &dyn Fn(&mut IncomingRequest)| {
         let mut asked = asked(object, 2_000, no);
         change(&mut asked);
         net.step("a", vec![News::Asked { conn: no, asked: Box::new(asked) }]);
         net.run(100);
         let found = net.answers.iter().rev().find(|(conn, _)| *conn == no).unwrap();
-        (found.1.word, found.1.remark)
+        (found.1.status, found.1.remark)
     };
     assert_eq!(
         ask(&mut net, 1, 1, &|a| a.source = None),
-        (Word::Lacks, Remark::Nothing),
+        (AnswerStatus::NotFound, Remark::Nothing),
         "no source: no fill"
     );
-    assert_eq!(ask(&mut net, 2, 1, &|a| a.only_held = true), (Word::Lacks, Remark::Nothing));
-    assert_eq!(ask(&mut net, 3, 1, &|a| a.no_copy = true), (Word::Good, Remark::FromOrigin));
+    assert_eq!(ask(&mut net, 2, 1, &|a| a.only_if_cached = true), (AnswerStatus::NotFound, Remark::Nothing));
+    assert_eq!(ask(&mut net, 3, 1, &|a| a.no_store = true), (AnswerStatus::Fulfilled, Remark::FromOrigin));
     assert_eq!(
-        ask(&mut net, 4, 1, &|a| a.only_held = true),
-        (Word::Lacks, Remark::Nothing),
+        ask(&mut net, 4, 1, &|a| a.only_if_cached = true),
+        (AnswerStatus::NotFound, Remark::Nothing),
         "it was not kept"
     );
-    assert_eq!(ask(&mut net, 5, 1, &|_| {}), (Word::Good, Remark::FromOrigin));
-    assert_eq!(ask(&mut net, 6, 1, &|a| a.only_held = true), (Word::Good, Remark::Hit));
+    assert_eq!(ask(&mut net, 5, 1, &|_| {}), (AnswerStatus::Fulfilled, Remark::FromOrigin));
+    assert_eq!(ask(&mut net, 6, 1, &|a| a.only_if_cached = true), (AnswerStatus::Fulfilled, Remark::Hit));
     let copy = net.answers.last().unwrap().1.copy.clone().unwrap();
     assert_eq!(copy.group, None, "a cache of the platform knows no such field");
     let digest = copy.digest;
-    assert_eq!(ask(&mut net, 7, 1, &|a| a.held = Some(digest.clone())), (Word::StillGood, Remark::Hit));
-    assert_eq!(ask(&mut net, 8, 1, &|a| a.oldest_ms = Some(20)), (Word::Good, Remark::FromOrigin), "too old");
-    let body = |a: &mut Asked| a.body = Bytes::from_static(b"filing");
-    assert_eq!(ask(&mut net, 9, 1, &body), (Word::Full, Remark::SourceRefused), "no hub runs a write");
+    assert_eq!(
+        ask(&mut net, 7, 1, &|a| a.known_digest = Some(digest.clone())),
+        (AnswerStatus::NotModified, Remark::Hit)
+    );
+    assert_eq!(
+        ask(&mut net, 8, 1, &|a| a.max_age_ms = Some(20)),
+        (AnswerStatus::Fulfilled, Remark::FromOrigin),
+        "too old"
+    );
+    let body = |a: &mut IncomingRequest| a.body = Bytes::from_static(b"filing");
+    assert_eq!(
+        ask(&mut net, 9, 1, &body),
+        (AnswerStatus::Busy, Remark::SourceRefused),
+        "no hub runs a write"
+    );
 }
 
 /// An ageing copy is given at once where the pull allows its age, and renewed behind where it asks for that.
@@ -519,7 +530,7 @@
     net.run(900);
     let aged = |net: &mut Net, no: u64, renew: bool| {
         let mut asked = asked(1, 2_000, no);
-        (asked.oldest_ms, asked.renew) = (Some(5_000), renew);
+        (asked.max_age_ms, asked.stale_while_revalidate) = (Some(5_000), renew);
         net.step("a", vec![News::Asked { conn: no, asked: Box::new(asked) }]);
         net.run(200);
         net.answers.iter().find(|(conn, _)| *conn == no).map(|(_, given)| given.remark)
@@ -539,6 +550,6 @@
     net.fetch_takes = 3_000_000;
     net.tell("a", &tops(1, &["a"]));
     (0..1_200).for_each(|object| net.ask("a", object, object + 1));
-    let full = net.answers.iter().filter(|(_, given)| given.word == Word::Full).count();
+    let full = net.answers.iter().filter(|(_, given)| given.status == AnswerStatus::Busy).count();
     assert_eq!((full, net.desks["a"].fills()), (200, 1_000));
 }
--- a/crates/hub/tests/keeping.rs
+++ b/crates/hub/tests/keeping.rs
@@ -10,8 +10,8 @@
 use harestage_restart::stage::Stage;
 use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
 use harestage_shape::parts::Part;
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Answer, Asked, CopyTag, Word};
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{Answer, AnswerStatus, CopyTag, IncomingRequest};
 use std::collections::HashMap;
 
 const DAY: u64 = 86_400_000;
@@ -97,22 +97,22 @@
 
     fn ask(&mut self, object: u64, content: &'static str, oldest_ms: Option<u64>) -> Vec<Order> {
         self.no += 1;
-        let asked = Asked {
-            id: Hex::of(self.no),
+        let asked = IncomingRequest {
+            id: HexId::from_u64(self.no),
             content: Bytes::from_static(content.as_bytes()),
-            object: Hex::of(object),
+            object: HexId::from_u64(object),
             part: 0,
-            waits_ms: 3_000,
+            timeout_ms: 3_000,
             source: Some(Bytes::from_static(b"archive")),
             rank: 1,
-            oldest_ms,
+            max_age_ms: oldest_ms,
             join: true,
-            only_held: false,
-            no_copy: false,
-            renew: false,
-            held: None,
+            only_if_cached: false,
+            no_store: false,
+            stale_while_revalidate: false,
+            known_digest: None,
             body: Bytes::new(),
-            way: None,
+            route: None,
             mark: None,
         };
         self.step(vec![News::Asked { conn: 1, asked: Box::new(asked) }])
@@ -133,15 +133,16 @@
         });
         let pull = pull.expect("it is fetched");
         let copy = Some(CopyTag { digest: Bytes::from_static(b"new"), dated_ms: archive_ms, group: Some(1) });
-        let (id, word, remark) = (Hex::of(pull), Word::Good, Remark::Nothing);
-        let answer = Answer { id, word, remark, first_ms: 1.0, body: Bytes::from_static(b"newer") };
+        let (id, word, remark) = (HexId::from_u64(pull), AnswerStatus::Fulfilled, Remark::Nothing);
+        let answer =
+            Answer { id, status: word, remark, first_byte_ms: 1.0, body: Bytes::from_static(b"newer") };
         self.step(vec![News::Answered { pull, answer, copy }])
     }
 }
 
-fn word(orders: &[Order]) -> Option<Word> {
+fn word(orders: &[Order]) -> Option<AnswerStatus> {
     orders.iter().find_map(|order| match order {
-        Order::Answer { given, .. } => Some(given.word),
+        Order::Answer { given, .. } => Some(given.status),
         _ => None,
     })
 }
@@ -157,7 +158,7 @@
     bed.run(1_000);
     assert_eq!(bed.desk.start().stage(), Stage::AwaitsPurges);
     let orders = bed.ask(1, "clip", None);
-    assert!(word(&orders) == Some(Word::Full) && !reads(&orders));
+    assert!(word(&orders) == Some(AnswerStatus::Busy) && !reads(&orders));
     // All that lives is told: objects 2 and 3 went while it was away, and everything of group 1.
     let covered =
         |scope: Scope, ms: u64| News::Covered { scope: Box::new(scope.checked().unwrap()), at: at(ms) };
@@ -183,11 +184,11 @@
     assert_eq!(bed.desk.start().stage(), Stage::FromCopies);
     let orders = bed.ask(5, "clip", None);
     assert!(reads(&orders) && word(&orders).is_none());
-    assert_eq!(word(&bed.disk_gives(5)), Some(Word::Good));
+    assert_eq!(word(&bed.disk_gives(5)), Some(AnswerStatus::Fulfilled));
     for gone in [1, 2, 3, 4, 7] {
         let orders = bed.ask(gone, "clip", None);
         assert!(
-            word(&orders) == Some(Word::Full) && !reads(&orders),
+            word(&orders) == Some(AnswerStatus::Busy) && !reads(&orders),
             "{gone} is gone, and nothing is fetched yet"
         );
     }
@@ -202,9 +203,9 @@
     bed.step(vec![News::Covered { scope: Box::new(Scope::Group(2).checked().unwrap()), at: at(400) }]);
     bed.run(3_000);
     let orders = bed.disk_gives(5);
-    assert!(
-        !orders.iter().any(|order| matches!(order, Order::Answer { given, .. } if given.word == Word::Good))
-    );
+    assert!(!orders.iter().any(
+        |order| matches!(order, Order::Answer { given, .. } if given.status == AnswerStatus::Fulfilled)
+    ));
 }
 
 #[test]
@@ -246,7 +247,7 @@
             orders = bed.step(Vec::new());
         }
         let answered = bed.fetched(&orders, DAY + bed.ms);
-        assert_eq!(word(&answered), Some(Word::Good));
+        assert_eq!(word(&answered), Some(AnswerStatus::Fulfilled));
         assert!(!answered.iter().any(|order| matches!(order, Order::Keep { .. })));
     }
 }
--- a/crates/hub/tests/rationing.rs
+++ b/crates/hub/tests/rationing.rs
@@ -5,8 +5,8 @@
 use harestage_hub::desk::{Bounds, Desk, Keeping, News, Order};
 use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
 use harestage_shape::parts::Part;
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Answer, Asked, CopyTag, Word};
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{Answer, AnswerStatus, CopyTag, IncomingRequest};
 use std::collections::{BTreeMap, HashMap};
 
 fn hub(name: &str, site: &str, capacity: f64) -> HubForm {
@@ -36,23 +36,23 @@
     ShapeForm { version: 1, archive, hubs, branches: Vec::new(), links: Vec::new() }
 }
 
-fn asked(no: u64, content: &'static str, object: u64) -> Box<Asked> {
-    Box::new(Asked {
-        id: Hex::of(no),
+fn asked(no: u64, content: &'static str, object: u64) -> Box<IncomingRequest> {
+    Box::new(IncomingRequest {
+        id: HexId::from_u64(no),
         content: Bytes::from_static(content.as_bytes()),
-        object: Hex::of(object),
+        object: HexId::from_u64(object),
         part: 0,
-        waits_ms: 3_000,
+        timeout_ms: 3_000,
         source: Some(Bytes::from_static(b"archive")),
         rank: 1,
-        oldest_ms: None,
+        max_age_ms: None,
         join: true,
-        only_held: false,
-        no_copy: false,
-        renew: false,
-        held: None,
+        only_if_cached: false,
+        no_store: false,
+        stale_while_revalidate: false,
+        known_digest: None,
         body: Bytes::new(),
-        way: None,
+        route: None,
         mark: None,
     })
 }
@@ -62,7 +62,7 @@
     ms: u64,
     no: u64,
     /// What became of each pull, by its number.
-    became: BTreeMap<u64, Word>,
+    became: BTreeMap<u64, AnswerStatus>,
     content: BTreeMap<u64, &'static str>,
     /// Pulls to other hubs and to the archive.
     hubs: usize,
@@ -96,7 +96,7 @@
         while let Some(order) = orders.pop() {
             let next = match order {
                 Order::Answer { given, .. } => {
-                    self.became.insert(given.id.number(), given.word);
+                    self.became.insert(given.id.as_u64(), given.status);
                     continue;
                 }
                 Order::Pull { pull, to, .. } if to.name == "archive" => {
@@ -115,8 +115,9 @@
 
     fn good(&self, pull: u64) -> News {
         let copy = CopyTag { digest: Bytes::from_static(b"d"), dated_ms: self.ms, group: None };
-        let (id, word, remark) = (Hex::of(pull), Word::Good, Remark::FromOrigin);
-        let answer = Answer { id, word, remark, first_ms: 1.0, body: Bytes::from_static(b"body") };
+        let (id, word, remark) = (HexId::from_u64(pull), AnswerStatus::Fulfilled, Remark::FromOrigin);
+        let answer =
+            Answer { id, status: word, remark, first_byte_ms: 1.0, body: Bytes::from_static(b"body") };
         News::Answered { pull, answer, copy: Some(copy) }
     }
 
@@ -138,7 +139,7 @@
         }
     }
 
-    fn share(&self, content: &str, word: Word, after: u64) -> f64 {
+    fn share(&self, content: &str, word: AnswerStatus, after: u64) -> f64 {
         let of: Vec<&u64> =
             self.content.iter().filter(|(no, c)| **c == content && **no > after).map(|(no, _)| no).collect();
         of.iter().filter(|no| self.became.get(*no) == Some(&word)).count() as f64 / of.len().max(1) as f64
@@ -151,24 +152,31 @@
     bed.run(2_000, 100, 300);
     let settled = bed.no;
     bed.run(4_000, 100, 300);
-    assert!(bed.share("clip", Word::Good, settled) > 0.99, "{}", bed.share("clip", Word::Good, settled));
-    let pages = bed.share("page", Word::Good, settled);
+    assert!(
+        bed.share("clip", AnswerStatus::Fulfilled, settled) > 0.99,
+        "{}",
+        bed.share("clip", AnswerStatus::Fulfilled, settled)
+    );
+    let pages = bed.share("page", AnswerStatus::Fulfilled, settled);
     assert!((0.15..0.45).contains(&pages), "80 of 300 a second fit: {pages}");
     assert!(
-        bed.share("page", Word::Full, settled) > 0.5,
+        bed.share("page", AnswerStatus::Busy, settled) > 0.5,
         "refused at once, with the proof that they never ran"
     );
     let settled = bed.no;
     bed.run(2_000, 50, 50);
     bed.run(2_000, 50, 50);
-    assert!(bed.share("page", Word::Full, settled + 100) < 0.02, "with room for all, nothing is refused");
+    assert!(
+        bed.share("page", AnswerStatus::Busy, settled + 100) < 0.02,
+        "with room for all, nothing is refused"
+    );
 }
 
 #[test]
 fn a_hub_that_names_no_site_refuses_nothing_by_worth() {
     let mut bed = Bed::new("", shape(vec![hub("a", "", 200.0)]));
     bed.run(2_000, 100, 300);
-    assert_eq!(bed.share("page", Word::Full, 0), 0.0);
+    assert_eq!(bed.share("page", AnswerStatus::Busy, 0), 0.0);
 }
 
 /// Other homes are gone and every pull to them fails: what a hub repeats stays within what first attempts paid for.
@@ -191,14 +199,14 @@
 /// its protocol has no word for.
 #[test]
 fn a_hub_that_was_refused_tells_hubs_below_when_to_come_again() {
-    use harestage_wire::peer::Way;
+    use harestage_wire::peer::HubRoute;
     let mut bed = Bed::new("east", shape(vec![hub("b", "west", 1e4)]));
-    let ask = |no: u64, way: Option<Way>| {
+    let ask = |no: u64, way: Option<HubRoute>| {
         let mut asked = asked(no, "clip", 7);
-        asked.way = way;
+        asked.route = way;
         News::Asked { conn: no, asked }
     };
-    let way = Way { path: vec!["low".into()], version: 1, hand_over: false };
+    let way = HubRoute { path: vec!["low".into()], shape_version: 1, hand_over: false };
     let orders = bed.desk.step(bed.at(), [ask(1, Some(way)), ask(2, None)].into_iter());
     let pull = orders.iter().find_map(|order| match order {
         Order::Pull { pull, to, .. } if to.name == "b" => Some(*pull),
@@ -207,10 +215,10 @@
     let pull = pull.expect("it asks the object's home");
     bed.ms += 5;
     let answer = Answer {
-        id: Hex::of(pull),
-        word: Word::Full,
+        id: HexId::from_u64(pull),
+        status: AnswerStatus::Busy,
         remark: Remark::NoPlace,
-        first_ms: 0.0,
+        first_byte_ms: 0.0,
         body: Bytes::new(),
     };
     let news =
@@ -221,9 +229,12 @@
     assert!(!to_archive, "what the home refuses for want of room is not asked of the archive past it");
     let given = |no: u64| {
         orders.iter().find_map(|order| match order {
-            Order::Answer { conn, given } if *conn == no => Some((given.word, given.come_ms)),
+            Order::Answer { conn, given } if *conn == no => Some((given.status, given.retry_after_ms)),
             _ => None,
         })
     };
-    assert_eq!((given(1), given(2)), (Some((Word::Full, Some(705))), Some((Word::Full, None))));
+    assert_eq!(
+        (given(1), given(2)),
+        (Some((AnswerStatus::Busy, Some(705))), Some((AnswerStatus::Busy, None)))
+    );
 }
--- a/crates/keeper/src/serve.rs
+++ b/crates/keeper/src/serve.rs
@@ -20,9 +20,9 @@
 use harestage_shape::form::ShapeForm;
 use harestage_shape::lines as shape_lines;
 use harestage_sockets::Spawner;
-use harestage_sockets::accept::Open;
+use harestage_sockets::accept::ConnectionLimit;
 use harestage_sockets::clock::Clock;
-use harestage_sockets::lines::{Lines, within};
+use harestage_sockets::lines::{LineReader, with_timeout};
 use slog::{Logger, error, info, warn};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -122,7 +122,7 @@
             purges: Cell::new(0),
             follows,
         };
-        Listening::at(listen, council, links, Open::new(MOST_CONNECTIONS)).map(Keeper)
+        Listening::at(listen, council, links, ConnectionLimit::new(MOST_CONNECTIONS)).map(Keeper)
     }
 
     /// Serves until `stop` says so; an error if the disk takes nothing more.
@@ -211,7 +211,7 @@
         turns(host, spawner).await;
     }
 
-    async fn serve(host: &Service, lines: &mut Lines<'_>, first: Vec<u8>) -> Result<(), String> {
+    async fn serve(host: &Service, lines: &mut LineReader<'_>, first: Vec<u8>) -> Result<(), String> {
         serve(host, lines, first).await
     }
 }
@@ -315,8 +315,8 @@
         let at = controls[n % controls.len()];
         let said = async {
             let stream = subscribe(at, &shape_lines::line(&call), terms().connect).await?;
-            let mut lines = Lines::new(&stream, terms().bytes);
-            let line = within(terms().silence, "silent", lines.next()).await?;
+            let mut lines = LineReader::new(&stream, terms().bytes);
+            let line = with_timeout(terms().silence, "silent", lines.next_line()).await?;
             serde_json::from_slice::<shape_lines::Answer>(&line).map_err(|why| why.to_string())
         };
         match said.await {
@@ -378,7 +378,7 @@
     }
 }
 
-async fn serve(service: &Service, lines: &mut Lines<'_>, first: Vec<u8>) -> Result<(), String> {
+async fn serve(service: &Service, lines: &mut LineReader<'_>, first: Vec<u8>) -> Result<(), String> {
     let (mut next, stream) = (first, lines.stream());
     loop {
         if let Ok(FromAudited::Audited(report)) = serde_json::from_slice(&next) {
@@ -388,7 +388,7 @@
             if elsewhere {
                 return Ok(());
             }
-            next = within(STALL, "silent", lines.next()).await?;
+            next = with_timeout(STALL, "silent", lines.next_line()).await?;
             continue;
         }
         // Staff may ask for the group on a line that reports came on.
--- a/crates/measure/src/branch.rs
+++ b/crates/measure/src/branch.rs
@@ -2,9 +2,9 @@
 //! the hubs that the feed lists, open loop, so that a slow hub does not slow the asking down.
 use harestage_shape::form::BranchForm;
 use harestage_standins::{Caller, pull};
-use harestage_wire::feed::{Line, MemberState, Told, read_line};
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Request, Word};
+use harestage_wire::feed::{FeedEvent, FeedMessage, MemberState, decode_line};
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{AnswerStatus, Request};
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -40,7 +40,9 @@
         if stop.load(Ordering::Relaxed) {
             return Ok(());
         }
-        let Ok(Line::Event(n, Told::Members { whole, members })) = read_line(line.as_bytes()) else {
+        let Ok(FeedMessage::Event(n, FeedEvent::Members { is_snapshot: whole, members })) =
+            decode_line(line.as_bytes())
+        else {
             continue;
         };
         assert_eq!(n, *last + 1, "a router takes no gap");
@@ -153,14 +155,14 @@
         let Some((name, address)) = home(&listed, object, &failed) else { break };
         let left = load.gives_up.saturating_sub(due.elapsed());
         let request: Request =
-            Request { id: Hex::of(id), ..pull(id, "clip", object, left.as_millis() as u64 + 1) };
+            Request { id: HexId::from_u64(id), ..pull(id, "clip", object, left.as_millis() as u64 + 1) };
         let pooled = pools.lock().expect("no holder panics").entry(address).or_default().pop();
         let caller = pooled.or_else(|| Caller::to(address).ok());
         let reply = caller.as_ref().and_then(|caller| caller.ask(&request, left));
         if let (Some(caller), Some(_)) = (caller, &reply) {
             pools.lock().expect("no holder panics").entry(address).or_default().push(caller);
         }
-        if reply.is_some_and(|reply| reply.answer.word == Word::Good) {
+        if reply.is_some_and(|reply| reply.answer.status == AnswerStatus::Fulfilled) {
             good = true;
             break;
         }
--- a/crates/measure/src/capacity/fleet.rs
+++ b/crates/measure/src/capacity/fleet.rs
@@ -13,7 +13,7 @@
 use harestage_purge::scope::Scope;
 use harestage_sockets::Spawner;
 use harestage_sockets::clock::Clock;
-use harestage_sockets::lines::{Lines, within};
+use harestage_sockets::lines::{LineReader, with_timeout};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader};
@@ -534,7 +534,7 @@
             latest = latest.max(due.elapsed());
             let (serves, generated, key) = (serves.clone(), outcome.clone(), format!("{key}-{n}"));
             generated.borrow_mut().submitted += 1;
-            under_way.push(spawner.spawn_held(async move {
+            under_way.push(spawner.spawn_with_handle(async move {
                 match one(&serves, n, &key, due, clock).await {
                     Some(done) => generated.borrow_mut().done.push(done),
                     None => generated.borrow_mut().unreported += 1,
@@ -593,7 +593,7 @@
 async fn call(at: SocketAddr, call: &Call) -> Option<Answer> {
     let connect = Duration::from_millis(500);
     let stream = harestage_following::subscribe(at, &line(call), connect).await.ok()?;
-    let mut lines = Lines::new(&stream, 1 << 20);
-    let answer = within(REPORTED_WITHIN, "no answer", lines.next()).await.ok()?;
+    let mut lines = LineReader::new(&stream, 1 << 20);
+    let answer = with_timeout(REPORTED_WITHIN, "no answer", lines.next_line()).await.ok()?;
     serde_json::from_slice(&answer).ok()
 }
--- a/crates/measure/src/capacity/hollow.rs
+++ b/crates/measure/src/capacity/hollow.rs
@@ -217,7 +217,7 @@
 /// The main of a process of hollow members.
 pub fn host(spec: &str, input: impl BufRead + Send + 'static) -> Result<(), String> {
     let spec: Spec = serde_json::from_str(spec).map_err(|why| format!("the specification: {why}"))?;
-    harestage_sockets::clock::set_off(spec.clock_off_ms);
+    harestage_sockets::clock::set_offset(spec.clock_off_ms);
     let member = |hollow: Hollow| Member {
         name: hollow.name,
         services: hollow.services,
--- a/crates/measure/tests/purge.rs
+++ b/crates/measure/tests/purge.rs
@@ -6,7 +6,7 @@
 use harestage_purge::scope::Scope;
 use harestage_shape::form::ShapeForm;
 use harestage_standins::{Archive, ArchiveScript, Caller, Fault, Link, pull};
-use harestage_wire::node::Word;
+use harestage_wire::node::AnswerStatus;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -83,7 +83,7 @@
     /// When the copy that a hub gives was made; none if it gives none.
     fn dated(&self, hub: usize, object: u64) -> Option<u64> {
         let reply = Caller::to(self.hubs[hub].0).ok()?.ask(&pull(1, "clip", object, 3_000), LONG)?;
-        (reply.answer.word == Word::Good).then_some(reply.copy?.dated_ms)
+        (reply.answer.status == AnswerStatus::Fulfilled).then_some(reply.copy?.dated_ms)
     }
 }
 
--- a/crates/measure/tests/shape.rs
+++ b/crates/measure/tests/shape.rs
@@ -5,7 +5,7 @@
 use harestage_shape::form::{HubForm, ShapeForm};
 use harestage_shape::lines::{Answer, Call, ToMember, line};
 use harestage_standins::{Archive, ArchiveScript, Caller, Fault, Link, pull};
-use harestage_wire::node::Word;
+use harestage_wire::node::AnswerStatus;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -138,7 +138,7 @@
             callers.iter().for_each(|c| c.send(&pull(object + 1, "clip", object, 3_000)).unwrap());
             for caller in &callers {
                 let reply = caller.next(LONG).expect("an answer");
-                assert_eq!(reply.answer.word, Word::Good, "{many} hubs, object {object}");
+                assert_eq!(reply.answer.status, AnswerStatus::Fulfilled, "{many} hubs, object {object}");
             }
             assert!(asked.elapsed() < Duration::from_secs(1), "{many} hubs: {:?}", asked.elapsed());
         }
@@ -236,7 +236,7 @@
     // It knows the shape when it can fill: what the service last heard may be of the one before it.
     let knows = || Caller::to(b_address).ok()?.ask(&pull(1, "clip", 9_999, 500), LONG);
     let until = Instant::now() + LONG;
-    while knows().is_none_or(|reply| reply.answer.word != Word::Good) {
+    while knows().is_none_or(|reply| reply.answer.status != AnswerStatus::Fulfilled) {
         assert!(Instant::now() < until, "b never followed");
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -253,7 +253,7 @@
     for object in 0..60 {
         let caller = &callers[object as usize % 3];
         let reply = caller.ask(&pull(object + 1, "clip", object, 2_000), LONG).expect("an answer");
-        assert_eq!(reply.answer.word, Word::Good, "object {object}: {:?}", reply.answer);
+        assert_eq!(reply.answer.status, AnswerStatus::Fulfilled, "object {object}: {:?}", reply.answer);
     }
     assert_eq!(site.archive.most_of_one(Instant::now() - LONG).0, 1, "hubs that reach each other fetch once");
     link.set(Fault::None);
@@ -322,7 +322,7 @@
         let _ = bad.send_raw(bytes);
         assert!(bad.is_ended(Duration::from_secs(3)), "noise {n}");
         let reply = good.ask(&pull(n as u64 + 1, "clip", n as u64, 1_000), LONG).expect("an answer");
-        assert_eq!(reply.answer.word, Word::Good);
+        assert_eq!(reply.answer.status, AnswerStatus::Fulfilled);
     }
     // Half a message, and then nothing: ended by its time, and nobody waits for it.
     let half = Caller::to(address).unwrap();
@@ -356,7 +356,7 @@
     let caller = Caller::to(a).unwrap();
     (0..30).for_each(|object| caller.send(&pull(object + 1, "clip", object, 4_000)).unwrap());
     let replies: Vec<_> = (0..30).map_while(|_| caller.next(LONG)).collect();
-    let good = replies.iter().filter(|reply| reply.answer.word == Word::Good).count();
+    let good = replies.iter().filter(|reply| reply.answer.status == AnswerStatus::Fulfilled).count();
     assert_eq!(good, 30, "a silent hub costs its pulls a moment, and not their answer");
 }
 
@@ -376,7 +376,7 @@
     let caller = Caller::to(address).unwrap();
     let fetch = |id: u64, object: u64| {
         let reply = caller.ask(&pull(id, "clip", object, 2_000), LONG).expect("an answer");
-        assert_eq!(reply.answer.word, Word::Good);
+        assert_eq!(reply.answer.status, AnswerStatus::Fulfilled);
         reply.copy.unwrap().dated_ms
     };
     let before = [fetch(1, 5), fetch(2, 261)];
--- a/crates/purger/src/below.rs
+++ b/crates/purger/src/below.rs
@@ -5,7 +5,7 @@
 use harestage_purge::kept::PIECE;
 use harestage_purge::lines::{Confirm, ToMember};
 use harestage_seats::host::{LOOK, STALL, say};
-use harestage_sockets::lines::{Lines, within};
+use harestage_sockets::lines::{LineReader, with_timeout};
 use std::time::Duration;
 
 /// Whoever tells members: what it says, and when it may.
@@ -50,7 +50,7 @@
 }
 
 /// Serves a member from its first word on, to the end of its connection.
-pub async fn serve(teller: &impl Teller, lines: &mut Lines<'_>, first: Confirm) -> Result<(), String> {
+pub async fn serve(teller: &impl Teller, lines: &mut LineReader<'_>, first: Confirm) -> Result<(), String> {
     if !first.is_named_well() {
         return Err("a member of no usable name".into());
     }
@@ -72,7 +72,7 @@
         let waits = is_full || !next.told_all && matches!(answer, ToMember::Items { .. }) && next.has == 0;
         say(stream, &answer).await?;
         // What is new is told without being asked; the next line comes in its time.
-        let heard = async { Some(lines.next().await) };
+        let heard = async { Some(lines.next_line().await) };
         let new = async {
             while waits || teller.told().is_some_and(|told| told <= has) {
                 teller.until_news(LOOK).await;
@@ -91,7 +91,7 @@
                 };
                 say(stream, &news).await?;
                 told.1 = upto(&news, has).0;
-                within(STALL, "it says nothing", lines.next()).await?
+                with_timeout(STALL, "it says nothing", lines.next_line()).await?
             }
         };
         next = serde_json::from_slice(&line).map_err(|why| format!("{name}: an unreadable line: {why}"))?;
--- a/crates/purger/src/gather.rs
+++ b/crates/purger/src/gather.rs
@@ -11,10 +11,10 @@
 use harestage_purge::lines::{Confirm, ToMember, line};
 use harestage_seats::host::{STALL, say};
 use harestage_seats::until;
-use harestage_sockets::accept::{Open, accept};
+use harestage_sockets::accept::{ConnectionLimit, accept};
 use harestage_sockets::clock::Clock;
-use harestage_sockets::leader::Leader;
-use harestage_sockets::lines::{Lines, within, write_text};
+use harestage_sockets::leader::LeaderFinder;
+use harestage_sockets::lines::{LineReader, with_timeout, write_text};
 use harestage_sockets::{Spawner, Stream};
 use slog::{Logger, info, warn};
 use std::cell::RefCell;
@@ -110,7 +110,7 @@
             }
         };
         let failed = move |why| warn!(failing, "accept failed"; "why" => %why);
-        spawner.spawn(accept(listener, Open::new(MOST_CONNECTIONS), spawner.clone(), one, failed));
+        spawner.spawn(accept(listener, ConnectionLimit::new(MOST_CONNECTIONS), spawner.clone(), one, failed));
         spawner.block_on(async {
             let _ = stop.recv().await;
         });
@@ -129,20 +129,20 @@
 /// Keeps a line to whoever speaks for the service.
 async fn follow(site: Rc<Site>, services: Vec<SocketAddr>) {
     let mut down = false;
-    let Some(mut leader) = Leader::among(services) else { return };
+    let Some(mut leader) = LeaderFinder::from_addresses(services) else { return };
     loop {
         let why = stay(&site, &mut leader, &mut down).await.err().unwrap_or_default();
         if !std::mem::replace(&mut down, true) {
             warn!(site.log, "purges down"; "why" => why, "has" => site.gatherer.borrow().last());
         }
-        Timer::after(terms().pause * leader.wait()).await;
+        Timer::after(terms().pause * leader.backoff_factor()).await;
     }
 }
 
-async fn stay(site: &Site, leader: &mut Leader, down: &mut bool) -> Result<(), String> {
-    let at = leader.next();
+async fn stay(site: &Site, leader: &mut LeaderFinder, down: &mut bool) -> Result<(), String> {
+    let at = leader.next_address();
     // Where it breaks without a word of who speaks, the next one is tried.
-    leader.missed();
+    leader.on_failure();
     site.gatherer.borrow_mut().connected();
     let first = site.gatherer.borrow_mut().line(site.clock.now());
     let first = first.ok_or("nothing to say at first")?;
@@ -154,24 +154,24 @@
     site: &Site,
     stream: &Stream,
     at: SocketAddr,
-    leader: &mut Leader,
+    leader: &mut LeaderFinder,
     down: &mut bool,
 ) -> Result<(), String> {
-    let mut lines = Lines::new(stream, terms().bytes);
+    let mut lines = LineReader::new(stream, terms().bytes);
     let mut up = false;
     loop {
-        let told = within(terms().silence, "silent", lines.next()).await?;
+        let told = with_timeout(terms().silence, "silent", lines.next_line()).await?;
         let told: ToMember =
             serde_json::from_slice(&told).map_err(|why| format!("an unreadable line: {why}"))?;
         if let ToMember::Elsewhere { serves } = &told {
-            leader.elsewhere(serves.as_deref());
+            leader.on_redirect(serves.as_deref());
             return Err("this member does not speak".into());
         }
         let before = site.gatherer.borrow().last();
         let heard = site.gatherer.borrow_mut().hear(told, site.clock.now());
         heard.map_err(|why| format!("{why:?}"))?;
         if !std::mem::replace(&mut up, true) {
-            leader.found(at);
+            leader.on_leader(at);
             *down = false;
             info!(site.log, "purges up"; "has" => site.gatherer.borrow().last());
         }
@@ -200,8 +200,8 @@
 }
 
 async fn member(site: &Site, stream: &Stream) -> Result<(), String> {
-    let mut lines = Lines::new(stream, LONGEST_LINE);
-    let first = within(STALL, "too slow", lines.next()).await?;
+    let mut lines = LineReader::new(stream, LONGEST_LINE);
+    let first = with_timeout(STALL, "too slow", lines.next_line()).await?;
     let Ok(first) = serde_json::from_slice::<Confirm>(&first) else {
         return say(stream, &ToMember::Elsewhere { serves: None }).await;
     };
--- a/crates/purger/src/lib.rs
+++ b/crates/purger/src/lib.rs
@@ -19,9 +19,9 @@
 use harestage_purge::service::{Effect, Pushed, Service};
 use harestage_seats::host::{Host, Hosted, LOOK, Listening, STALL, say};
 use harestage_seats::{Council, CouncilStart, Recent};
-use harestage_sockets::accept::Open;
+use harestage_sockets::accept::ConnectionLimit;
 use harestage_sockets::clock::Clock;
-use harestage_sockets::lines::Lines;
+use harestage_sockets::lines::LineReader;
 use harestage_sockets::{Spawner, Stream};
 use slog::{Logger, info, warn};
 use std::cell::RefCell;
@@ -102,7 +102,7 @@
         read_entries(&council.data()).map_err(|why| format!("{}: {why}", folder.display()))?;
         let told = RefCell::new(Recent::new(MOST_REPORTS));
         let purges = Purges { told, reports: RefCell::default() };
-        Listening::at(listen, council, purges, Open::new(MOST_CONNECTIONS)).map(Purger)
+        Listening::at(listen, council, purges, ConnectionLimit::new(MOST_CONNECTIONS)).map(Purger)
     }
 
     /// Serves until `stop` says so; an error if the log could not be written.
@@ -177,7 +177,7 @@
         }
     }
 
-    async fn serve(host: &Keeper, lines: &mut Lines<'_>, first: Vec<u8>) -> Result<(), String> {
+    async fn serve(host: &Keeper, lines: &mut LineReader<'_>, first: Vec<u8>) -> Result<(), String> {
         if let Ok(confirm) = serde_json::from_slice::<Confirm>(&first) {
             return below::serve(&Direct(host), lines, confirm).await;
         }
@@ -258,7 +258,7 @@
 }
 
 /// A gatherer: each of its lines is heard, and what is new goes to it as it comes.
-async fn gatherer(host: &Keeper, lines: &mut Lines<'_>, first: Gathered) -> Result<(), String> {
+async fn gatherer(host: &Keeper, lines: &mut LineReader<'_>, first: Gathered) -> Result<(), String> {
     let stream = lines.stream();
     let (mut pushed, mut next, mut is_first) = (Pushed::default(), first, true);
     loop {
@@ -284,7 +284,7 @@
             say(stream, &told).await?;
         }
         let line = loop {
-            let heard = async { Some(lines.next().await) };
+            let heard = async { Some(lines.next_line().await) };
             let new = async {
                 while !pushed.wants(host.hosted.told.borrow().last()) && host.speaks() {
                     host.until_news(LOOK).await;
--- a/crates/purger/tests/below.rs
+++ b/crates/purger/tests/below.rs
@@ -5,7 +5,7 @@
 use harestage_purge::scope::Scope;
 use harestage_purger::below::{Teller, serve};
 use harestage_sockets::Spawner;
-use harestage_sockets::lines::{Lines, write_text};
+use harestage_sockets::lines::{LineReader, write_text};
 use std::cell::Cell;
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
@@ -53,18 +53,18 @@
     let last = Rc::new(Cell::new(3));
     let (spawner, script) = (Spawner::default(), Script(last.clone()));
     spawner.spawn(async move {
-        let mut lines = Lines::new(&far, 64 << 10);
-        let first = lines.next().await.unwrap();
+        let mut lines = LineReader::new(&far, 64 << 10);
+        let first = lines.next_line().await.unwrap();
         let _ = serve(&script, &mut lines, serde_json::from_slice(&first).unwrap()).await;
     });
     spawner.block_on(async {
-        let mut lines = Lines::new(&near, 64 << 10);
+        let mut lines = LineReader::new(&near, 64 << 10);
         let say = async |start: u64, has: u64| {
             let said = Confirm { member: "a".into(), start, has, told_all: true, past: Past::default() };
             write_text(&near, &line(&said), Duration::from_secs(5)).await.unwrap();
         };
         let mut told = async || {
-            let text = lines.next().await.unwrap();
+            let text = lines.next_line().await.unwrap();
             match serde_json::from_slice(&text).unwrap() {
                 ToMember::Items { items, .. } => items.iter().map(|item| item.number).collect::<Vec<_>>(),
                 other => panic!("{other:?}"),
--- a/crates/router/src/program/config.rs
+++ b/crates/router/src/program/config.rs
@@ -2,7 +2,7 @@
 use super::limits::Limits;
 use harestage::door::ServiceProfile;
 use harestage_profile::{Kinds, Outside, read_outside, read_profile};
-use harestage_wire::feed::{Told, read_known};
+use harestage_wire::feed::{FeedEvent, decode_known};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
     pub seed: u64,
     pub feed: SocketAddr,
     pub known_last: u64,
-    pub known: Vec<Told>,
+    pub known: Vec<FeedEvent>,
     pub profile: ServiceProfile,
     pub kinds: Kinds,
     pub outside: Outside,
@@ -58,7 +58,7 @@
     };
     let seed = text("seed")?;
     let seed = u64::from_str_radix(seed, 16).map_err(|_| format!("key seed is not a hex number: {seed}"))?;
-    let (known_last, known) = read_known(need("known")?)?;
+    let (known_last, known) = decode_known(need("known")?)?;
     let settings = need("settings")?;
     let in_settings = |why: String| format!("settings: {why}");
     let (profile, kinds) = read_profile(settings).map_err(in_settings)?;
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -12,10 +12,10 @@
 use harestage::time::{Moment, Span};
 use harestage_profile::{Kinds, Outside};
 use harestage_sockets::clock;
-use harestage_wire::client::{ToClient, Wish};
-use harestage_wire::feed::{Marks, Told};
-use harestage_wire::node::{Answer, Request, Word};
-use harestage_wire::{Packet, fields::Hex, node};
+use harestage_wire::client::{DownloadRequest, ToClient};
+use harestage_wire::feed::{FeedEvent, ServiceState};
+use harestage_wire::node::{Answer, AnswerStatus, Request};
+use harestage_wire::{Packet, fields::HexId, node};
 use nodes::{Contact, Contacts, NodeNo};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
@@ -41,7 +41,7 @@
     Asked {
         client: ClientNo,
         tag: u64,
-        wish: Wish,
+        wish: DownloadRequest,
         at: Moment,
     },
     NeverMind {
@@ -61,9 +61,9 @@
         pull: PullNo,
         loss: Loss,
     },
-    Told(Told),
+    Told(FeedEvent),
     /// What the events before it amount to; only where a witness is attached.
-    GoesBy(Marks),
+    GoesBy(ServiceState),
     /// Once the core has taken in all that came before, the number goes to whoever asked; what waits there is replaced.
     Confirm {
         number: u64,
@@ -75,7 +75,7 @@
 pub trait Outward {
     fn answer(&mut self, client: ClientNo, tag: u64, answer: ToClient);
     /// False: there is no way to that node now, and nothing was queued.
-    fn pull(&mut self, node: NodeNo, contact: &Contact, pull: PullNo, id: Hex, packet: Packet) -> bool;
+    fn pull(&mut self, node: NodeNo, contact: &Contact, pull: PullNo, id: HexId, packet: Packet) -> bool;
     /// Gives a pull up. True: it had not been written whole, and now never will be.
     fn cancel(&mut self, node: NodeNo, pull: PullNo) -> bool;
     /// Takes a pull out of its queue. True: not a byte of it had been written.
@@ -111,7 +111,7 @@
 struct Held {
     client: ClientNo,
     tag: u64,
-    wish: Wish,
+    wish: DownloadRequest,
     content: ContentIx,
     leaves_at: Moment,
     deadline: TimerNo,
@@ -148,7 +148,7 @@
     held: HashMap<DlNo, Held>,
     open: HashMap<(ClientNo, u64), DlNo>,
     /// Those whose downloads are held, so that no two are under way under one.
-    ids: HashSet<Hex>,
+    ids: HashSet<HexId>,
     out: HashMap<PullNo, Out>,
     timers: BTreeMap<TimerNo, Timer>,
     events: Vec<Event>,
@@ -262,11 +262,18 @@
         Some(witness.come_again_ms())
     }
 
-    fn asked(&mut self, client: ClientNo, tag: u64, wish: Wish, at: Moment, outward: &mut dyn Outward) {
+    fn asked(
+        &mut self,
+        client: ClientNo,
+        tag: u64,
+        wish: DownloadRequest,
+        at: Moment,
+        outward: &mut dyn Outward,
+    ) {
         let Some(content) = self.contents.get(wish.content.as_ref()).copied() else {
             return outward.answer(client, tag, ToClient::Abandoned);
         };
-        if let Some(retry_after_ms) = self.turned_away(content, wish.id.number(), at) {
+        if let Some(retry_after_ms) = self.turned_away(content, wish.id.as_u64(), at) {
             return outward.answer(client, tag, ToClient::Throttled { retry_after_ms });
         }
         // Guards against a client that uses the id of another download: on one connection to a node the answers
@@ -276,10 +283,10 @@
         }
         self.last_dl += 1;
         let dl = self.last_dl;
-        let leaves_at = at + Span::millis(wish.waits_ms.min(u64::from(u32::MAX)));
+        let leaves_at = at + Span::millis(wish.timeout_ms.min(u64::from(u32::MAX)));
         let download = Download {
             content,
-            object: ObjectKey(wish.object.number()),
+            object: ObjectKey(wish.object.as_u64()),
             part: wish.part,
             group: wish.group,
             kilobytes: wish.kilobytes,
@@ -315,7 +322,7 @@
         if let Some((client, tag)) = self.close(dl) {
             if self.witness.is_some() {
                 let became = match &answer {
-                    ToClient::Fulfilled { .. } | ToClient::StillGood => Became::Fulfilled,
+                    ToClient::Fulfilled { .. } | ToClient::NotModified => Became::Fulfilled,
                     ToClient::Throttled { .. } => Became::Throttled,
                     _ => Became::Abandoned,
                 };
@@ -327,7 +334,7 @@
 
     fn witnessed(&self, dl: DlNo, became: Became) {
         if let Some((witness, held)) = self.witness.as_ref().zip(self.held.get(&dl)) {
-            witness.ended(held.content, became, held.wish.id.number(), held.acted, self.now);
+            witness.ended(held.content, became, held.wish.id.as_u64(), held.acted, self.now);
         }
     }
 
@@ -341,25 +348,25 @@
     ) {
         let Some(out) = self.out.get(&pull) else { return };
         let dl = out.dl;
-        let held = self.held.get(&dl).and_then(|held| held.wish.held.as_ref());
+        let held = self.held.get(&dl).and_then(|held| held.wish.known_digest.as_ref());
         let offered = held.is_some() && held == names.as_ref();
-        let ending = match answer.word {
-            Word::Good => Ending::Fulfilled,
+        let ending = match answer.status {
+            AnswerStatus::Fulfilled => Ending::Fulfilled,
             // An answer may be spoilt, and then names no copy, or another one than the client has.
-            Word::StillGood if offered => Ending::Fulfilled,
-            Word::StillGood | Word::Failed => Ending::Error,
-            Word::Lacks => Ending::Missed,
-            Word::Full => Ending::Full,
-            Word::TooLate => Ending::NotSent,
+            AnswerStatus::NotModified if offered => Ending::Fulfilled,
+            AnswerStatus::NotModified | AnswerStatus::Failed => Ending::Error,
+            AnswerStatus::NotFound => Ending::Missed,
+            AnswerStatus::Busy => Ending::Full,
+            AnswerStatus::TooLate => Ending::NotSent,
         };
         if ending == Ending::Fulfilled {
-            let good = match answer.word {
-                Word::StillGood => ToClient::StillGood,
+            let good = match answer.status {
+                AnswerStatus::NotModified => ToClient::NotModified,
                 _ => ToClient::Fulfilled { body: answer.body },
             };
             self.reply(dl, good, outward);
         }
-        self.ended(pull, ending, answer.remark, Span::of_seconds(answer.first_ms / 1e3), now);
+        self.ended(pull, ending, answer.remark, Span::of_seconds(answer.first_byte_ms / 1e3), now);
     }
 
     fn ended(&mut self, pull: PullNo, ending: Ending, remark: Remark, first_byte: Span, now: Moment) {
@@ -382,9 +389,9 @@
 
     /// The core hears the news first: what is taken back because of them must not be placed again without
     /// them.
-    fn told(&mut self, told: Told, now: Moment, outward: &mut dyn Outward) {
+    fn told(&mut self, told: FeedEvent, now: Moment, outward: &mut dyn Outward) {
         match told {
-            Told::Members { whole, members } => {
+            FeedEvent::Members { is_snapshot: whole, members } => {
                 let mut listings = Vec::with_capacity(members.len());
                 let (mut closed, mut gone) = (Vec::new(), Vec::new());
                 for member in &members {
@@ -417,10 +424,12 @@
                     outward,
                 );
             }
-            Told::Purge { object, group, at_ms } => {
-                let ago = now.since(clock::unix_ms(at_ms));
+            FeedEvent::Purge { object, group, at_ms } => {
+                let ago = now.since(clock::moment_from_unix_ms(at_ms));
                 self.events.push(Event::Purged { object: object.map(ObjectKey), group, ago });
-                let meant = |w: &Wish| object.map_or(w.group == group, |object| w.object.number() == object);
+                let meant = |w: &DownloadRequest| {
+                    object.map_or(w.group == group, |object| w.object.as_u64() == object)
+                };
                 self.take_back(|_, held| meant(&held.wish), now, outward);
             }
         }
@@ -550,24 +559,25 @@
             content: &self.outside.contents[held.content.0 as usize],
             object: held.wish.object,
             part: held.wish.part,
-            waits_ms: until.since(now).as_micros().div_ceil(1_000).max(1),
+            timeout_ms: until.since(now).as_micros().div_ceil(1_000).max(1),
             source: source.map(|(_, contact)| contact.name.as_str()),
             rank: order.rank,
             // Rounded down: a copy that is a moment too old will not do, and 0 would mean the usual.
-            oldest_ms: (order.oldest > Span::ZERO).then(|| (order.oldest.as_micros() / 1_000).max(1)),
+            max_age_ms: (order.oldest > Span::ZERO).then(|| (order.oldest.as_micros() / 1_000).max(1)),
             join: order.join,
-            only_held: order.only_held,
-            no_copy: order.no_copy,
-            renew: order.renew,
+            only_if_cached: order.only_held,
+            no_store: order.no_copy,
+            stale_while_revalidate: order.renew,
             dedup_key: held.wish.dedup_key.as_ref().and_then(|k| std::str::from_utf8(k).ok()),
-            held: held.wish.held.as_ref().and_then(|h| std::str::from_utf8(h).ok()),
+            known_digest: held.wish.known_digest.as_ref().and_then(|h| std::str::from_utf8(h).ok()),
             body: held.wish.body.clone(),
             // Nodes of the platform know no fields beyond its protocol.
-            way: None,
+            route: None,
             mark: mark.as_ref(),
         };
-        let queued =
-            may_act && until > now && outward.pull(node, contact, pull, held.wish.id, node::write(&request));
+        let queued = may_act
+            && until > now
+            && outward.pull(node, contact, pull, held.wish.id, node::encode_request(&request));
         let source = source.map(|(source, _)| source);
         self.out.insert(pull, Out { dl, number, node, source, sent: now });
         if !queued {
--- a/crates/router/src/routing/nodes.rs
+++ b/crates/router/src/routing/nodes.rs
@@ -3,7 +3,7 @@
 use harestage::state::{Listing, NodeIx, Phase, Role};
 use harestage::time::{Moment, Span};
 use harestage_profile::{Kinds, Outside};
-use harestage_sockets::clock::unix_ms;
+use harestage_sockets::clock::moment_from_unix_ms;
 use harestage_wire::feed::{Member, MemberState};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -86,7 +86,7 @@
                 _ => Role::Cache,
             },
             phase,
-            started: (member.since_ms > 0).then(|| unix_ms(member.since_ms)),
+            started: (member.since_ms > 0).then(|| moment_from_unix_ms(member.since_ms)),
         };
         Relisted { node, listing, replaced }
     }
--- a/crates/router/src/routing/witness.rs
+++ b/crates/router/src/routing/witness.rs
@@ -2,8 +2,8 @@
 //! and may say that no further order goes out. The platform's router has none, and links nothing for it.
 use harestage::state::ContentIx;
 use harestage::time::Moment;
-use harestage_wire::feed::Marks;
-use harestage_wire::peer::Mark;
+use harestage_wire::feed::ServiceState;
+use harestage_wire::peer::AuditMark;
 
 /// What became of a download.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,7 +17,7 @@
 /// Whoever watches. Calls come from the routing task and from writers of connections, none of them waits.
 pub trait Witness {
     /// Everything that was told before is taken in; from here on the router goes by this.
-    fn goes_by(&self, marks: &Marks, now: Moment);
+    fn goes_by(&self, marks: &ServiceState, now: Moment);
     /// Whether an order may go out, by the clock as it is now: the process may have been stopped since its turn began.
     fn may_act(&self) -> bool;
     /// When whoever is turned away for that may come again, in milliseconds.
@@ -29,5 +29,5 @@
     /// Nothing more will come: what is open is to be told before the router ends.
     fn ends(&self);
     /// A pull goes out to that node; none: nothing of the router is told to it.
-    fn pulled(&self, node: &str, now: Moment) -> Option<Mark>;
+    fn pulled(&self, node: &str, now: Moment) -> Option<AuditMark>;
 }
--- a/crates/router/src/transport/client.rs
+++ b/crates/router/src/transport/client.rs
@@ -2,7 +2,7 @@
 //! or cancels is noticed at once, and a writer with its own queue. What is past a bound is throttled at once. One
 //! sweep over all of them ends those that have stalled, and where no more connections may be held, the one that is
 //! needed least. A connection is ended by a half-close wherever its client may still be writing (docs/crossings.md).
-use super::{Source, Stream, write_packets};
+use super::{SocketReader, Stream, write_packets};
 use crate::program::limits::Limits;
 use crate::routing::{ClientNo, News};
 use async_channel::Sender;
@@ -209,7 +209,7 @@
             return;
         };
         if !connection.is_cut() {
-            self.queue(&connection, client::write(tag, answer));
+            self.queue(&connection, client::encode_answer(tag, answer));
         }
     }
 
@@ -432,7 +432,7 @@
     let _ = stream.get_ref().set_nodelay(true);
     let mut writer = executor.spawn(write(clients.clone(), connection.clone(), stream.clone()));
     let reader = async {
-        let mut source = Source::new(&stream);
+        let mut source = SocketReader::new(&stream);
         match read(&clients, no, &connection, &mut source).await {
             Read::Gone(why) => why,
             Read::Closes(why) => {
@@ -453,17 +453,26 @@
 
 /// Reads until the client has gone or the connection is to be closed. Nothing else stops it: whoever does not read
 /// can't know that its client has gone.
-async fn read(clients: &Clients, no: ClientNo, connection: &Connection, source: &mut Source<'_>) -> Read {
+async fn read(
+    clients: &Clients,
+    no: ClientNo,
+    connection: &Connection,
+    source: &mut SocketReader<'_>,
+) -> Read {
     let limits = &clients.limits;
     let (items, item_bytes) = (limits.client_items, limits.client_item_bytes);
-    let bounds = Bounds { items, item_bytes, item_room: limits.client_item_room };
+    let bounds = Bounds {
+        max_items: items,
+        max_item_bytes: item_bytes,
+        initial_item_capacity: limits.client_item_room,
+    };
     let mut decoder = Decoder::new(bounds, limits.read_buffer);
     let mut unusable = 0;
     loop {
-        let taken = match decoder.take() {
-            Ok(Some(items)) => client::read(items),
+        let taken = match decoder.next_message() {
+            Ok(Some(items)) => client::decode(items),
             Ok(None) => {
-                if decoder.is_inside() && connection.stand.get() == Stand::AtRest {
+                if decoder.is_mid_message() && connection.stand.get() == Stand::AtRest {
                     connection.stands(Stand::Inside);
                 }
                 match next_bytes(connection, source, &mut decoder).await {
@@ -482,7 +491,7 @@
         };
         connection.stands(Stand::AtRest);
         // Two answers under one tag could not be told apart, whatever they said.
-        let tag = message.answered_under();
+        let tag = message.answer_tag();
         if tag.is_some_and(|tag| connection.open.borrow().contains_key(&tag)) {
             clients.complain(no, "client ended: a tag twice", "");
             return Read::Closes("a tag twice".into());
@@ -494,7 +503,7 @@
                 return Read::Gone("too many unusable messages".into());
             }
             clients.complain(no, "client message unusable", why);
-            clients.queue(connection, client::write(tag, &ToClient::Abandoned));
+            clients.queue(connection, client::encode_answer(tag, &ToClient::Abandoned));
         }
     }
 }
@@ -510,22 +519,22 @@
     match message {
         FromClient::Status { tag } => {
             let ready = if clients.ready.get() { ToClient::Ready } else { ToClient::NotReady };
-            clients.queue(connection, client::write(tag, &ready));
+            clients.queue(connection, client::encode_answer(tag, &ready));
         }
-        FromClient::Unusable { tag, why } => return Some((tag, why)),
-        FromClient::NeverMind { tag } => {
+        FromClient::Invalid { tag, reason: why } => return Some((tag, why)),
+        FromClient::Cancel { tag } => {
             if clients.close_one(connection, tag) {
                 clients.tell(News::NeverMind { client: no, tag });
             }
         }
-        FromClient::Wish { tag, .. } if connection.open.borrow().len() >= limits.client_open => {
+        FromClient::Download { tag, .. } if connection.open.borrow().len() >= limits.client_open => {
             return Some((tag, "too many open"));
         }
-        FromClient::Wish { tag, .. } if clients.is_full(connection) => {
+        FromClient::Download { tag, .. } if clients.is_full(connection) => {
             let retry_after_ms = limits.full_retry_after.as_millis() as u64;
-            clients.queue(connection, client::write(tag, &ToClient::Throttled { retry_after_ms }));
+            clients.queue(connection, client::encode_answer(tag, &ToClient::Throttled { retry_after_ms }));
         }
-        FromClient::Wish { tag, wish } => {
+        FromClient::Download { tag, request: wish } => {
             clients.open_one(connection, tag, wish.body.len() + limits.download_bytes);
             clients.tell(News::Asked { client: no, tag, wish, at: clients.clock.now() });
         }
@@ -538,7 +547,7 @@
 /// task hears both at once, and what was there before a close is taken.
 async fn next_bytes(
     connection: &Connection,
-    source: &mut Source<'_>,
+    source: &mut SocketReader<'_>,
     decoder: &mut Decoder,
 ) -> Result<(), Read> {
     let gone = |why: String| Err(Read::Gone(why));
@@ -548,13 +557,13 @@
     }
     loop {
         let (rests, ended) = (connection.rests.listen(), connection.ended.listen());
-        match source.look(decoder) {
+        match source.try_read(decoder) {
             Ok(None) => {}
             Ok(Some(0)) => return gone("closed by the client".into()),
             Ok(Some(_)) => return Ok(()),
             Err(why) => return gone(why.to_string()),
         }
-        if let Some(why) = connection.may_close(decoder.is_inside()) {
+        if let Some(why) = connection.may_close(decoder.is_mid_message()) {
             return Err(Read::Closes(why.into()));
         }
         // What is dropped here has read nothing.
@@ -571,7 +580,7 @@
 
 /// Guards answers that are on their way against a reset: a close over unread bytes sends one. What is open gets its
 /// answer, then this side is shut, and what the client still writes is thrown away until it has closed its own.
-async fn close(clients: &Clients, connection: &Connection, source: &mut Source<'_>) {
+async fn close(clients: &Clients, connection: &Connection, source: &mut SocketReader<'_>) {
     let limits = &clients.limits;
     let answered = async {
         loop {
@@ -597,7 +606,7 @@
 }
 
 /// Returns once the client has gone; past the bound it never does.
-async fn discard(source: &mut Source<'_>, most: usize) {
+async fn discard(source: &mut SocketReader<'_>, most: usize) {
     let mut left = most;
     while left > 0 {
         match source.discard().await {
--- a/crates/router/src/transport/feed.rs
+++ b/crates/router/src/transport/feed.rs
@@ -12,7 +12,7 @@
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use harestage::time::Span;
-use harestage_wire::feed::{self, Had, Line, Marks, Word};
+use harestage_wire::feed::{self, Ack, AppliedPurges, FeedMessage, ServiceState};
 use slog::{Logger, info, warn};
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -94,7 +94,11 @@
                 info!(feed.log, "feed up"; "after" => feed.last);
                 let says = Says { core: bounded(1), hears: Event::new(), heard: Cell::new(false) };
                 let had = feed.had.unwrap_or_default();
-                let had = Had { number: had.0, at_ms: had.1, keeps_ms: feed.purges_kept.as_micros() / 1_000 };
+                let had = AppliedPurges {
+                    number: had.0,
+                    at_ms: had.1,
+                    retention_ms: feed.purges_kept.as_micros() / 1_000,
+                };
                 let silence = feed.limits.feed_silence;
                 or(read(feed, &stream, &says), say(&stream, &says, had, silence)).await
             }
@@ -117,7 +121,7 @@
     let silence = feed.limits.feed_silence;
     let stream = within(silence, up).await?;
     within(silence, async {
-        let text = feed::subscribe(feed.last);
+        let text = feed::encode_subscribe(feed.last);
         (&stream).write_all(&text).await.map_err(|why| why.to_string())
     })
     .await?;
@@ -133,14 +137,14 @@
 }
 
 /// Says what there is to say, once the feed hears it; why it can't.
-async fn say(mut stream: &Stream, says: &Says, had: Had, silence: Duration) -> String {
+async fn say(mut stream: &Stream, says: &Says, had: AppliedPurges, silence: Duration) -> String {
     let hears = says.hears.listen();
     if !says.heard.get() {
         hears.await;
     }
-    let (mut word, mut said) = (Word::Had(had), None);
+    let (mut word, mut said) = (Ack::Initial(had), None);
     loop {
-        let write = async { stream.write_all(&word.line()).await.map_err(|why| why.to_string()) };
+        let write = async { stream.write_all(&word.encode()).await.map_err(|why| why.to_string()) };
         if let Err(why) = within(silence, write).await {
             return why;
         }
@@ -149,7 +153,7 @@
                 // Marks that say nothing new of purges are not answered.
                 Ok(number) if said.is_none_or(|said| number > said) => {
                     said = Some(number);
-                    break Word::Has(number);
+                    break Ack::Applied(number);
                 }
                 Ok(_) => {}
                 Err(_) => std::future::pending().await,
@@ -180,13 +184,14 @@
             if line.iter().all(u8::is_ascii_whitespace) {
                 continue;
             }
-            match feed::read_line(line) {
-                Ok(Line::Event(n, told)) if n == feed.last + 1 => {
-                    if std::mem::take(&mut first) && feed::hears_words(line) {
+            match feed::decode_line(line) {
+                Ok(FeedMessage::Event(n, told)) if n == feed.last + 1 => {
+                    if std::mem::take(&mut first) && feed::accepts_acks(line) {
                         says.heard.set(true);
                         says.hears.notify(1);
                     }
-                    let marks = (feed.marks || says.heard.get()).then(|| feed::read_marks(line)).flatten();
+                    let marks =
+                        (feed.marks || says.heard.get()).then(|| feed::decode_service_state(line)).flatten();
                     // In this order: a move to another address may end this while it waits for room, and what
                     // was not passed on must be asked for again.
                     let _ = feed.inbox.send(News::Told(told)).await;
@@ -196,9 +201,9 @@
                     feed.last = n;
                     heard = Instant::now();
                 }
-                Ok(Line::Beat(n)) if n == feed.last => heard = Instant::now(),
-                Ok(Line::Event(n, _)) | Ok(Line::Beat(n)) if n <= feed.last => {}
-                Ok(Line::Event(n, _)) | Ok(Line::Beat(n)) => {
+                Ok(FeedMessage::Heartbeat(n)) if n == feed.last => heard = Instant::now(),
+                Ok(FeedMessage::Event(n, _)) | Ok(FeedMessage::Heartbeat(n)) if n <= feed.last => {}
+                Ok(FeedMessage::Event(n, _)) | Ok(FeedMessage::Heartbeat(n)) => {
                     return format!("event {n} follows {}", feed.last);
                 }
                 Err(why) => {
@@ -214,9 +219,9 @@
     }
 }
 
-async fn pass_on(feed: &mut Feed, marks: Marks, says: &Says) {
-    let purges = marks.purges.filter(|_| says.heard.get());
-    let at_ms = marks.at_ms.unwrap_or_default();
+async fn pass_on(feed: &mut Feed, marks: ServiceState, says: &Says) {
+    let purges = marks.purge_number.filter(|_| says.heard.get());
+    let at_ms = marks.purged_at_ms.unwrap_or_default();
     if feed.marks {
         let _ = feed.inbox.send(News::GoesBy(marks)).await;
     }
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -6,9 +6,9 @@
 
 use crate::routing::nodes::{Contact, NodeNo};
 use crate::routing::{ClientNo, Outward, PullNo};
-use harestage_sockets::{Executor, Source, Stream, write_packets};
+use harestage_sockets::{Executor, SocketReader, Stream, write_packets};
 use harestage_wire::client::ToClient;
-use harestage_wire::{Packet, fields::Hex};
+use harestage_wire::{Packet, fields::HexId};
 use std::rc::Rc;
 
 /// Both sides of a router, as the routing task sees them.
@@ -21,7 +21,7 @@
     fn answer(&mut self, client: ClientNo, tag: u64, answer: ToClient) {
         self.clients.answer(client, tag, &answer);
     }
-    fn pull(&mut self, node: NodeNo, contact: &Contact, pull: PullNo, id: Hex, packet: Packet) -> bool {
+    fn pull(&mut self, node: NodeNo, contact: &Contact, pull: PullNo, id: HexId, packet: Packet) -> bool {
         self.nodes.pull(node, contact, pull, id, packet)
     }
     fn cancel(&mut self, node: NodeNo, pull: PullNo) -> bool {
--- a/crates/router/src/transport/node.rs
+++ b/crates/router/src/transport/node.rs
@@ -1,6 +1,6 @@
 //! Connections to caches, parents and the origin. Each carries a few pulls at once, so that one spoilt answer
 //! takes few others with it; a further one is opened where those are busy, were replaced, or get nowhere.
-use super::{Executor, Source, Stream, write_packets};
+use super::{Executor, SocketReader, Stream, write_packets};
 use crate::program::limits::Limits;
 use crate::routing::nodes::{Contact, NodeNo};
 use crate::routing::witness::Witness;
@@ -10,7 +10,7 @@
 use event_listener::Event;
 use futures_lite::future::or;
 use harestage_wire::resp::{Bounds, Decoder};
-use harestage_wire::{Packet, fields::Hex, node, node::Word};
+use harestage_wire::{Packet, fields::HexId, node, node::AnswerStatus};
 use slog::{Logger, debug, info, warn};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Message {
-    Pull(PullNo, Hex),
+    Pull(PullNo, HexId),
     /// Calls a pull back.
     Cancel(PullNo),
 }
@@ -34,15 +34,15 @@
 }
 
 impl Queued {
-    fn pull(&self) -> Option<(PullNo, Hex)> {
+    fn pull(&self) -> Option<(PullNo, HexId)> {
         match self.message {
             Message::Pull(pull, id) => Some((pull, id)),
             Message::Cancel(_) => None,
         }
     }
 
-    fn cancel(pull: PullNo, id: Hex) -> Queued {
-        Queued { message: Message::Cancel(pull), packet: node::write_cancel(id) }
+    fn cancel(pull: PullNo, id: HexId) -> Queued {
+        Queued { message: Message::Cancel(pull), packet: node::encode_cancel(id) }
     }
 }
 
@@ -50,12 +50,12 @@
 /// pass for the answer to a new pull of the same download. The oldest are forgotten past a bound.
 #[derive(Default)]
 struct SpentIds {
-    by_age: VecDeque<Hex>,
-    ids: HashSet<Hex>,
+    by_age: VecDeque<HexId>,
+    ids: HashSet<HexId>,
 }
 
 impl SpentIds {
-    fn spend(&mut self, id: Hex, most: usize) {
+    fn spend(&mut self, id: HexId, most: usize) {
         if self.by_age.len() >= most
             && let Some(oldest) = self.by_age.pop_front()
         {
@@ -71,9 +71,9 @@
 struct Connection {
     queue: RefCell<VecDeque<Queued>>,
     /// Pulls that were written whole and wait for their answer, and when that was.
-    written: RefCell<HashMap<Hex, (PullNo, Instant)>>,
+    written: RefCell<HashMap<HexId, (PullNo, Instant)>>,
     /// The pull being written, which may still be given up as one that never came whole.
-    writing: Cell<Option<(PullNo, Hex)>>,
+    writing: Cell<Option<(PullNo, HexId)>>,
     /// Since when a packet, given up or not, has been on its way out.
     writes: Cell<Option<Instant>>,
     /// Called back, and the cancel is not written yet: until it is, the node may be at work on them.
@@ -97,14 +97,14 @@
     }
 
     /// Two pulls of one id on one connection could not be told apart, nor a new one from one given up.
-    fn knows(&self, id: Hex) -> bool {
+    fn knows(&self, id: HexId) -> bool {
         self.written.borrow().contains_key(&id)
             || self.writing.get().is_some_and(|(_, writing)| writing == id)
             || self.queue.borrow().iter().any(|q| q.pull().is_some_and(|(_, queued)| queued == id))
             || self.spent.borrow().ids.contains(&id)
     }
 
-    fn takes(&self, id: Hex, most: usize) -> bool {
+    fn takes(&self, id: HexId, most: usize) -> bool {
         !self.retired.get() && !self.ended.get() && self.load() < most && !self.knows(id)
     }
 
@@ -135,7 +135,7 @@
         at.and_then(|at| queue.remove(at)).is_some()
     }
 
-    fn call_back(&self, pull: PullNo, id: Hex, most: usize) {
+    fn call_back(&self, pull: PullNo, id: HexId, most: usize) {
         self.spent.borrow_mut().spend(id, most);
         self.called_back.borrow_mut().push(pull);
     }
@@ -212,7 +212,7 @@
         let _ = self.common.witness.set(witness);
     }
 
-    pub fn pull(&mut self, node: NodeNo, contact: &Contact, pull: PullNo, id: Hex, packet: Packet) -> bool {
+    pub fn pull(&mut self, node: NodeNo, contact: &Contact, pull: PullNo, id: HexId, packet: Packet) -> bool {
         let Some(address) = contact.address else { return false };
         let limits = self.common.limits.clone();
         let connections = self.connections.entry(node).or_default();
@@ -397,13 +397,14 @@
 async fn read(common: &Common, connection: &Connection, stream: &Stream, name: &str) -> String {
     let limits = &common.limits;
     let (items, item_bytes) = (limits.node_items, limits.body_bytes);
-    let bounds = Bounds { items, item_bytes, item_room: limits.node_item_room };
+    let bounds =
+        Bounds { max_items: items, max_item_bytes: item_bytes, initial_item_capacity: limits.node_item_room };
     let mut decoder = Decoder::new(bounds, limits.read_buffer);
-    let mut source = Source::new(stream);
+    let mut source = SocketReader::new(stream);
     loop {
-        match decoder.take() {
+        match decoder.next_message() {
             Ok(Some(items)) => {
-                let Some(answer) = node::read(&items) else {
+                let Some(answer) = node::decode_answer(&items) else {
                     warn!(common.log, "node connection ended: unreadable answer"; "node" => name);
                     return "unreadable answer".into();
                 };
@@ -412,13 +413,14 @@
                 connection.busy.set(connection.brought.get());
                 if let Some((pull, _)) = known {
                     connection.spent.borrow_mut().spend(answer.id, limits.node_spent_ids);
-                    let without_bytes = (answer.word == Word::StillGood).then(|| node::read_copy(&items));
+                    let without_bytes =
+                        (answer.status == AnswerStatus::NotModified).then(|| node::decode_copy_tag(&items));
                     let names = without_bytes.flatten().map(|copy| copy.digest);
                     let _ = common.inbox.send(News::Answered { pull, answer, names }).await;
                 }
             }
             Ok(None) => {
-                connection.halted.set(decoder.is_inside().then(Instant::now));
+                connection.halted.set(decoder.is_mid_message().then(Instant::now));
                 let read = source.read_into(&mut decoder).await;
                 connection.halted.set(None);
                 match read {
--- a/crates/router/tests/bed/mod.rs
+++ b/crates/router/tests/bed/mod.rs
@@ -1,7 +1,7 @@
 //! The program on loopback, between small stand-ins for clients, caches and the feed.
 #![allow(dead_code)] // each test program uses a part of it
 use bytes::Bytes;
-use harestage_wire::resp::{Bounds, Decoder, LINE_END, head};
+use harestage_wire::resp::{Bounds, Decoder, LINE_END, encode_head};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-pub const BOUNDS: Bounds = Bounds { items: 8, item_bytes: 240_000, item_room: 4_096 };
+pub const BOUNDS: Bounds = Bounds { max_items: 8, max_item_bytes: 240_000, initial_item_capacity: 4_096 };
 pub const LONG: Duration = Duration::from_secs(10);
 
 pub type Items = Vec<Bytes>;
@@ -27,20 +27,20 @@
 
 pub fn send(mut stream: &TcpStream, items: &[&[u8]]) {
     let (last, first) = items.split_last().unwrap();
-    let _ = stream.write_all(&[&head(first, last.len()), *last, LINE_END].concat());
+    let _ = stream.write_all(&[&encode_head(first, last.len()), *last, LINE_END].concat());
 }
 
 /// The next message, or None once the other side has closed.
 pub fn receive(mut stream: &TcpStream, decoder: &mut Decoder) -> Option<Items> {
     loop {
-        if let Some(items) = decoder.take().unwrap() {
+        if let Some(items) = decoder.next_message().unwrap() {
             return Some(items);
         }
-        let bytes = stream.read(decoder.room()).unwrap_or(0);
+        let bytes = stream.read(decoder.read_buffer()).unwrap_or(0);
         if bytes == 0 {
             return None;
         }
-        decoder.filled(bytes);
+        decoder.commit(bytes);
     }
 }
 
--- a/crates/router/tests/links.rs
+++ b/crates/router/tests/links.rs
@@ -10,7 +10,7 @@
 use harestage_router::routing::{Loss, News};
 use harestage_router::transport::node::Links;
 use harestage_wire::feed::{Member, MemberState};
-use harestage_wire::{Packet, fields::Hex, resp::head};
+use harestage_wire::{Packet, fields::HexId, resp::encode_head};
 use slog::{Discard, Logger, o};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -22,7 +22,7 @@
 const SHORT: Duration = Duration::from_millis(150);
 
 fn packet(body: usize) -> Packet {
-    Packet { head: head(&[b"serve"], body), body: Bytes::from(vec![0; body]) }
+    Packet { head: encode_head(&[b"serve"], body), body: Bytes::from(vec![0; body]) }
 }
 
 /// A whole answer without bytes, and one that says that thousands of bytes follow.
@@ -34,8 +34,8 @@
     format!("*4\r\n$16\r\n{}\r\n$3\r\nACK\r\n$1\r\n-\r\n$9000\r\n", id(n).as_str())
 }
 
-fn id(n: u64) -> Hex {
-    Hex::read(format!("{n:016x}").as_bytes()).unwrap()
+fn id(n: u64) -> HexId {
+    HexId::parse(format!("{n:016x}").as_bytes()).unwrap()
 }
 
 /// Sends pulls of these sizes, numbered from 1, to a node that accepts and reads nothing; then `look` has its say.
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -13,10 +13,10 @@
 use harestage_profile::{Kinds, Outside};
 use harestage_router::routing::nodes::{Contact, Contacts, NodeNo};
 use harestage_router::routing::{ClientNo, Loss, News, Outward, PullNo, Routing, Terms};
-use harestage_wire::client::{ToClient, Wish};
-use harestage_wire::feed::{Member, MemberState, Told};
-use harestage_wire::node::{Answer, Word};
-use harestage_wire::{Packet, fields::Hex};
+use harestage_wire::client::{DownloadRequest, ToClient};
+use harestage_wire::feed::{FeedEvent, Member, MemberState};
+use harestage_wire::node::{Answer, AnswerStatus};
+use harestage_wire::{Packet, fields::HexId};
 
 const START: Moment = Moment::at_micros(1_764_576_000_000_000);
 const KINDS: Kinds = Kinds { parent: Some(1), origin: Some(2) };
@@ -47,7 +47,7 @@
     fn answer(&mut self, _: ClientNo, tag: u64, answer: ToClient) {
         self.answers.push((tag, answer));
     }
-    fn pull(&mut self, node: NodeNo, _: &Contact, pull: PullNo, _: Hex, packet: Packet) -> bool {
+    fn pull(&mut self, node: NodeNo, _: &Contact, pull: PullNo, _: HexId, packet: Packet) -> bool {
         self.note_early();
         self.pulls.push((node, pull, String::from_utf8_lossy(&packet.head).into_owned()));
         true
@@ -101,22 +101,37 @@
     }
 }
 
-fn all_ready() -> Told {
+fn all_ready() -> FeedEvent {
     let nodes = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
-    Told::Members { whole: true, members: nodes.map(|n| member(*n, MemberState::Ready, 0)).collect() }
+    FeedEvent::Members {
+        is_snapshot: true,
+        members: nodes.map(|n| member(*n, MemberState::Ready, 0)).collect(),
+    }
 }
 
-fn wish(content: &str, object: u64, waits_ms: u64) -> Wish {
-    let hex = |n: u64| Hex::read(format!("{n:016x}").as_bytes()).unwrap();
+fn wish(content: &str, object: u64, waits_ms: u64) -> DownloadRequest {
+    let hex = |n: u64| HexId::parse(format!("{n:016x}").as_bytes()).unwrap();
     let (content, held, body) = (Bytes::from(content.to_string()), None, Bytes::new());
     let (id, object) = (hex(object + 77), hex(object));
     let (part, group, repeat, kilobytes, dedup_key) = (0, 3, false, 0.0, None);
-    Wish { id, content, object, part, group, waits_ms, repeat, kilobytes, dedup_key, held, body }
+    DownloadRequest {
+        id,
+        content,
+        object,
+        part,
+        group,
+        timeout_ms: waits_ms,
+        repeat,
+        kilobytes,
+        dedup_key,
+        known_digest: held,
+        body,
+    }
 }
 
-fn answer(word: Word, remark: Remark) -> Answer {
-    let id = Hex::read(b"0000000000000001").unwrap();
-    Answer { id, word, remark, first_ms: 0.0, body: Bytes::from("bytes") }
+fn answer(word: AnswerStatus, remark: Remark) -> Answer {
+    let id = HexId::parse(b"0000000000000001").unwrap();
+    Answer { id, status: word, remark, first_byte_ms: 0.0, body: Bytes::from("bytes") }
 }
 
 struct Bed {
@@ -163,7 +178,7 @@
     let mut bed = Bed::open();
     let (mut register, mut contacts) = (Register::default(), Contacts::default());
     let mut brain = Brain::open(profile(), 11, START);
-    let Told::Members { members, .. } = all_ready() else { unreachable!() };
+    let FeedEvent::Members { members, .. } = all_ready() else { unreachable!() };
     let enter = |m| contacts.enter(m, &mut register, KINDS, &outside(), START).listing;
     let listings = members.iter().map(enter).collect();
     let mut timers = Vec::new();
@@ -183,11 +198,11 @@
     };
     turn(START, Event::Roster { news: RosterNews::Whole, listings }, &mut direct, &mut timers);
     let endings = [
-        (Word::Good, Ending::Fulfilled, Remark::FromOrigin),
-        (Word::Failed, Ending::Error, Remark::Nothing),
-        (Word::Full, Ending::Full, Remark::SourceRefused),
-        (Word::Good, Ending::Fulfilled, Remark::Hit),
-        (Word::Lacks, Ending::Missed, Remark::SourceLacks),
+        (AnswerStatus::Fulfilled, Ending::Fulfilled, Remark::FromOrigin),
+        (AnswerStatus::Failed, Ending::Error, Remark::Nothing),
+        (AnswerStatus::Busy, Ending::Full, Remark::SourceRefused),
+        (AnswerStatus::Fulfilled, Ending::Fulfilled, Remark::Hit),
+        (AnswerStatus::NotFound, Ending::Missed, Remark::SourceLacks),
     ];
     for round in 0..400u64 {
         // No download is ever forgotten before the next comes, so that both give out the same indices.
@@ -244,7 +259,11 @@
     assert_eq!(bed.answered(1).len(), 1);
     assert_eq!(bed.paper.cancels, [pull]);
     // What comes after the end is passed over.
-    bed.hear(vec![News::Answered { pull, answer: answer(Word::Good, Remark::Hit), names: None }]);
+    bed.hear(vec![News::Answered {
+        pull,
+        answer: answer(AnswerStatus::Fulfilled, Remark::Hit),
+        names: None,
+    }]);
     bed.wait(500);
     assert_eq!(bed.answered(1).len(), 1);
     assert_eq!(bed.routing.unanswered(), 0);
@@ -255,7 +274,11 @@
     let mut bed = Bed::open();
     let pull = bed.ask(1, "page", 300);
     bed.now = bed.now + Span::millis(300);
-    bed.hear(vec![News::Answered { pull, answer: answer(Word::Good, Remark::Hit), names: None }]);
+    bed.hear(vec![News::Answered {
+        pull,
+        answer: answer(AnswerStatus::Fulfilled, Remark::Hit),
+        names: None,
+    }]);
     bed.wait(200);
     assert_eq!(bed.answered(1), [&ToClient::Fulfilled { body: Bytes::from("bytes") }]);
 }
@@ -272,11 +295,11 @@
     bed.hear(vec![News::Lost { pull: second, loss: Loss::Broken }]);
     assert_eq!(bed.paper.pulls.len(), 2);
     assert_eq!(bed.answered(1), [&ToClient::Abandoned]);
-    for word in [Word::Full, Word::TooLate, Word::Failed] {
+    for word in [AnswerStatus::Busy, AnswerStatus::TooLate, AnswerStatus::Failed] {
         let pull = bed.ask(2, "write", 2_000);
         bed.hear(vec![News::Answered { pull, answer: answer(word, Remark::Nothing), names: None }]);
         let failed = bed.answered(2).contains(&&ToClient::Abandoned);
-        assert_eq!(failed, word == Word::Failed, "{word:?}");
+        assert_eq!(failed, word == AnswerStatus::Failed, "{word:?}");
         bed.hear(vec![News::HungUp { client: 1 }]);
     }
 }
@@ -300,7 +323,7 @@
     let mut bed = Bed::open();
     let first = bed.ask(1, "page", 2_000);
     let members = vec![member(bed.paper.pulls[0].0, MemberState::Gone, 0)];
-    bed.hear(vec![News::Told(Told::Members { whole: false, members })]);
+    bed.hear(vec![News::Told(FeedEvent::Members { is_snapshot: false, members })]);
     assert_eq!(bed.paper.cancels, [first]);
     bed.wait(9);
     assert_eq!(bed.paper.pulls.len(), 1, "{:?}", bed.paper.pulls);
@@ -319,7 +342,7 @@
         bed.paper.stuck = stuck;
         let (node, _, _) = bed.paper.pulls[0].clone();
         let members = vec![member(CACHES[node as usize], MemberState::Draining, 0)];
-        bed.hear(vec![News::Told(Told::Members { whole: false, members })]);
+        bed.hear(vec![News::Told(FeedEvent::Members { is_snapshot: false, members })]);
         let moved: Vec<NodeNo> = bed.paper.pulls[1..].iter().map(|p| p.0).collect();
         assert_eq!(moved.len(), usize::from(stuck));
         assert!(!moved.contains(&node));
@@ -328,7 +351,7 @@
         bed.ask(1, "page", 2_000);
         bed.paper.stuck = stuck;
         let at_ms = bed.now.micros() / 1_000 - 1_500;
-        bed.hear(vec![News::Told(Told::Purge { object: Some(1_000), group: 0, at_ms })]);
+        bed.hear(vec![News::Told(FeedEvent::Purge { object: Some(1_000), group: 0, at_ms })]);
         let again: Vec<&String> = bed.paper.pulls[1..].iter().map(|p| &p.2).collect();
         assert_eq!(again.len(), usize::from(stuck));
         assert!(again.iter().all(|head| head.contains("accept=1495")), "{again:?}");
@@ -339,7 +362,7 @@
 fn a_new_process_under_an_old_name_gets_new_connections() {
     let mut bed = Bed::open();
     let relist = |state, since| {
-        News::Told(Told::Members { whole: false, members: vec![member(CACHES[1], state, since)] })
+        News::Told(FeedEvent::Members { is_snapshot: false, members: vec![member(CACHES[1], state, since)] })
     };
     bed.hear(vec![relist(MemberState::Ready, 0), relist(MemberState::Draining, 0)]);
     assert!(bed.paper.renewed.is_empty(), "a drain leaves pulls running");
@@ -356,11 +379,15 @@
         let (old, new) = (100 + day, 101 + day);
         let at_ms = bed.now.micros() / 1_000;
         let members = vec![member(old, MemberState::Gone, 1), member(new, MemberState::Ready, at_ms)];
-        bed.hear(vec![News::Told(Told::Members { whole: false, members })]);
+        bed.hear(vec![News::Told(FeedEvent::Members { is_snapshot: false, members })]);
         bed.wait(2_000);
         let pull = bed.ask(u64::from(day) + 1, "page", 1_000);
         assert!(!bed.paper.forgotten.contains(&bed.paper.pulls.last().unwrap().0));
-        bed.hear(vec![News::Answered { pull, answer: answer(Word::Good, Remark::Hit), names: None }]);
+        bed.hear(vec![News::Answered {
+            pull,
+            answer: answer(AnswerStatus::Fulfilled, Remark::Hit),
+            names: None,
+        }]);
     }
     assert!(bed.paper.forgotten.len() >= 34, "{:?}", bed.paper.forgotten);
     let (first, last) = (bed.paper.forgotten[0], *bed.paper.forgotten.last().unwrap());
@@ -387,13 +414,18 @@
 fn the_id_of_an_open_download_is_taken() {
     let mut bed = Bed::open();
     bed.ask(1, "page", 2_000);
-    let stolen = Wish { object: Hex::read(b"00000000000000ff").unwrap(), ..wish("page", 1_000, 2_000) };
+    let stolen =
+        DownloadRequest { object: HexId::parse(b"00000000000000ff").unwrap(), ..wish("page", 1_000, 2_000) };
     let asked = |tag, client| News::Asked { client, tag, wish: stolen.clone(), at: START };
     bed.hear(vec![asked(2, 1), asked(3, 2)]);
     assert_eq!((bed.answered(2), bed.answered(3)), (vec![&ToClient::Abandoned], vec![&ToClient::Abandoned]));
     assert_eq!(bed.paper.pulls.len(), 1);
     let pull = bed.paper.pulls[0].1;
-    bed.hear(vec![News::Answered { pull, answer: answer(Word::Good, Remark::Hit), names: None }]);
+    bed.hear(vec![News::Answered {
+        pull,
+        answer: answer(AnswerStatus::Fulfilled, Remark::Hit),
+        names: None,
+    }]);
     assert_eq!(bed.answered(1).len(), 1);
     bed.hear(vec![asked(4, 1)]);
     assert_eq!(bed.paper.pulls.len(), 2, "free again once that is answered");
@@ -432,7 +464,7 @@
     bed.ask(1, "page", 2_000);
     bed.paper.deaf = true;
     let members = vec![member(bed.paper.pulls[0].0, MemberState::Gone, 0)];
-    bed.hear(vec![News::Told(Told::Members { whole: false, members })]);
+    bed.hear(vec![News::Told(FeedEvent::Members { is_snapshot: false, members })]);
     bed.wait(300);
     assert_eq!((bed.paper.cancels.len(), bed.paper.pulls.len()), (1, 1));
     bed.paper.deaf = false;
@@ -447,7 +479,7 @@
         let mut bed = Bed::open();
         bed.ask(1, "page", 2_000);
         let members = vec![member(bed.paper.pulls[0].0, MemberState::Gone, 0)];
-        bed.hear(vec![News::Told(Told::Members { whole: false, members })]);
+        bed.hear(vec![News::Told(FeedEvent::Members { is_snapshot: false, members })]);
         bed.wait(5);
         bed.hear(vec![leaves]);
         bed.wait(2_000);
@@ -476,7 +508,7 @@
     let (to, confirmed) = bounded(1);
     bed.paper.stuck = true;
     bed.paper.confirmed = Some(confirmed.clone());
-    let purge = Told::Purge { object: Some(1_000), group: 0, at_ms: START.micros() / 1_000 };
+    let purge = FeedEvent::Purge { object: Some(1_000), group: 0, at_ms: START.micros() / 1_000 };
     let confirm = |number: u64| News::Confirm { number, to: to.clone() };
     bed.hear(vec![News::Told(purge), confirm(7), confirm(8)]);
     assert!(
--- a/crates/seats/src/host.rs
+++ b/crates/seats/src/host.rs
@@ -6,8 +6,8 @@
 use event_listener::Event;
 use futures_lite::future::or;
 use harestage::time::Moment;
-use harestage_sockets::accept::{Open, accept};
-use harestage_sockets::lines::{Lines, within, write_text};
+use harestage_sockets::accept::{ConnectionLimit, accept};
+use harestage_sockets::lines::{LineReader, with_timeout, write_text};
 use harestage_sockets::{Spawner, Stream};
 use serde::Serialize;
 use slog::{Logger, error, info, warn};
@@ -64,7 +64,7 @@
     /// Serves a connection from its first line on; an empty reason is an end like any other.
     fn serve(
         host: &Host<Self>,
-        lines: &mut Lines<'_>,
+        lines: &mut LineReader<'_>,
         first: Vec<u8>,
     ) -> impl Future<Output = Result<(), String>>;
 }
@@ -238,12 +238,17 @@
 pub struct Listening<S: Hosted> {
     host: Rc<Host<S>>,
     listener: Async<TcpListener>,
-    open: Open,
+    open: ConnectionLimit,
 }
 
 impl<S: Hosted> Listening<S> {
     /// `open` bounds its connections. An error is one line.
-    pub fn at(listen: SocketAddr, council: Rc<Council>, hosted: S, open: Open) -> Result<Self, String> {
+    pub fn at(
+        listen: SocketAddr,
+        council: Rc<Council>,
+        hosted: S,
+        open: ConnectionLimit,
+    ) -> Result<Self, String> {
         let listener = Async::<TcpListener>::bind(listen)
             .map_err(|why| format!("key listen: {listen} can't be listened on: {why}"))?;
         Ok(Listening { host: Rc::new(Host::new(council, hosted)), listener, open })
@@ -276,7 +281,12 @@
     }
 }
 
-async fn listen<S: Hosted>(host: Rc<Host<S>>, listener: Async<TcpListener>, open: Open, spawner: Spawner) {
+async fn listen<S: Hosted>(
+    host: Rc<Host<S>>,
+    listener: Async<TcpListener>,
+    open: ConnectionLimit,
+    spawner: Spawner,
+) {
     let log = host.log().clone();
     let one = move |stream| {
         let host = host.clone();
@@ -292,8 +302,8 @@
 }
 
 async fn first_line<S: Hosted>(host: &Host<S>, stream: &Stream) -> Result<(), String> {
-    let mut lines = Lines::new(stream, S::LONGEST_LINE);
-    let first = within(STALL, "too slow", lines.next()).await?;
+    let mut lines = LineReader::new(stream, S::LONGEST_LINE);
+    let first = with_timeout(STALL, "too slow", lines.next_line()).await?;
     match host.of_group(&first) {
         Some(answer) => say(stream, &answer).await,
         None => S::serve(host, &mut lines, first).await,
--- a/crates/seats/src/net.rs
+++ b/crates/seats/src/net.rs
@@ -4,8 +4,8 @@
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use harestage_sockets::accept::{Open, accept};
-use harestage_sockets::lines::{within, write_text};
+use harestage_sockets::accept::{ConnectionLimit, accept};
+use harestage_sockets::lines::{with_timeout, write_text};
 use harestage_sockets::{Spawner, Stream};
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
@@ -73,7 +73,7 @@
 ) -> Result<(), String> {
     let listener = Async::<TcpListener>::bind(at)
         .map_err(|why| format!("key group-listen: {at} can't be listened on: {why}"))?;
-    let open = Open::new(MOST_CONNECTIONS);
+    let open = ConnectionLimit::new(MOST_CONNECTIONS);
     let (log, spawning) = (council.log.clone(), spawner.clone());
     spawner.spawn(async move {
         let one = move |stream| {
@@ -115,7 +115,7 @@
 }
 
 async fn hear_member(council: &Council, stream: &Stream, hear: &dyn Fn(News)) -> Result<(), String> {
-    let line = within(STALL, "no hello in time", read_line(stream)).await?;
+    let line = with_timeout(STALL, "no hello in time", read_line(stream)).await?;
     let (from, disk, to, at) = read_hello(&line).ok_or("an unreadable hello")?;
     let (me, own) = (council.seat.borrow().id(), council.seat.borrow().disk());
     if to != me {
@@ -131,7 +131,7 @@
     write_text(stream, format!("DISK {own:016x}\n").as_bytes(), STALL).await?;
     council.is_called_by(from, at);
     loop {
-        let frame = within(SILENT, "silent", read_frame(stream)).await?;
+        let frame = with_timeout(SILENT, "silent", read_frame(stream)).await?;
         if frame.is_empty() {
             continue;
         }
@@ -174,7 +174,7 @@
             dialling.entry(other.id).or_insert_with(|| {
                 let post = Rc::new(Post::new());
                 council.posts.borrow_mut().insert(other.id, post.clone());
-                spawner.spawn_held(dial(council.clone(), other, post, hear.clone()))
+                spawner.spawn_with_handle(dial(council.clone(), other, post, hear.clone()))
             });
         }
         council.changed(LOOK).await;
@@ -226,13 +226,13 @@
 async fn stay(council: &Council, other: &Other, post: &Post, down: &mut bool) -> Result<(), Why> {
     let at: SocketAddr = other.at.parse().map_err(|_| format!("{:?} is no address", other.at))?;
     let (me, disk) = (council.seat.borrow().id(), council.seat.borrow().disk());
-    let stream = within(CONNECT, "not up in time", async {
+    let stream = with_timeout(CONNECT, "not up in time", async {
         Async::<TcpStream>::connect(at).await.map_err(|why| why.to_string())
     })
     .await?;
     let _ = stream.get_ref().set_nodelay(true);
     write_text(&stream, hello(me, disk, other.id, &council.own_place()).as_bytes(), CONNECT).await?;
-    let answer = within(STALL, "no answer to the hello", read_line(&stream)).await?;
+    let answer = with_timeout(STALL, "no answer to the hello", read_line(&stream)).await?;
     if answer == "NOT YOU\n" {
         return Err(Why::NotYou);
     }
@@ -260,7 +260,7 @@
                 }
             };
             let frame = [&(bytes.len() as u32).to_be_bytes()[..], &bytes].concat();
-            let wrote = within(STALL, "it takes nothing", async {
+            let wrote = with_timeout(STALL, "it takes nothing", async {
                 (&stream).write_all(&frame).await.map_err(|why| why.to_string())
             });
             if let Err(why) = wrote.await {
--- a/crates/seats/tests/host.rs
+++ b/crates/seats/tests/host.rs
@@ -4,7 +4,7 @@
 use harestage_seats::{Council, CouncilStart, News};
 use harestage_sockets::Spawner;
 use harestage_sockets::clock::Clock;
-use harestage_sockets::lines::Lines;
+use harestage_sockets::lines::LineReader;
 use slog::{Discard, Logger, o};
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
@@ -63,7 +63,7 @@
 
     async fn turns(_: &Rc<Host<Telling>>, _: &Spawner) {}
 
-    async fn serve(_: &Host<Telling>, _: &mut Lines<'_>, _: Vec<u8>) -> Result<(), String> {
+    async fn serve(_: &Host<Telling>, _: &mut LineReader<'_>, _: Vec<u8>) -> Result<(), String> {
         Ok(())
     }
 }
--- a/crates/sockets/src/accept.rs
+++ b/crates/sockets/src/accept.rs
@@ -12,21 +12,21 @@
 
 /// Connections that are open, over all listeners that share it.
 #[derive(Clone)]
-pub struct Open {
+pub struct ConnectionLimit {
     now: Rc<Cell<usize>>,
     most: usize,
 }
 
-impl Open {
-    pub fn new(most: usize) -> Open {
-        Open { now: Rc::default(), most }
+impl ConnectionLimit {
+    pub fn new(most: usize) -> ConnectionLimit {
+        ConnectionLimit { now: Rc::default(), most }
     }
 }
 
 /// For as long as it is polled. `serve` gets each connection; `failed` hears when none could be taken in.
 pub async fn accept<F: Future<Output = ()> + 'static>(
     listener: Async<TcpListener>,
-    open: Open,
+    open: ConnectionLimit,
     spawner: Spawner,
     serve: impl Fn(Stream) -> F,
     failed: impl Fn(io::Error),
--- a/crates/sockets/src/clock.rs
+++ b/crates/sockets/src/clock.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// How far this process is made to believe that the wall clock stands elsewhere, in milliseconds.
-static OFF_MS: AtomicI64 = AtomicI64::new(0);
+static OFFSET_MS: AtomicI64 = AtomicI64::new(0);
 
 /// For rigs: clocks that start from now on are off by as much. Nothing sets it in service.
-pub fn set_off(ms: i64) {
-    OFF_MS.store(ms, Ordering::Relaxed);
+pub fn set_offset(ms: i64) {
+    OFFSET_MS.store(ms, Ordering::Relaxed);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +21,7 @@
 impl Clock {
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let off = OFF_MS.load(Ordering::Relaxed).saturating_mul(1_000);
+        let off = OFFSET_MS.load(Ordering::Relaxed).saturating_mul(1_000);
         Clock { started: Instant::now(), unix_micros: (unix.as_micros() as u64).saturating_add_signed(off) }
     }
 
@@ -34,6 +34,6 @@
     }
 }
 
-pub fn unix_ms(ms: u64) -> Moment {
+pub fn moment_from_unix_ms(ms: u64) -> Moment {
     Moment::at_micros(ms.saturating_mul(1_000))
 }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -39,7 +39,7 @@
     }
 
     /// A task that ends when its handle is dropped.
-    pub fn spawn_held<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> Task<T> {
+    pub fn spawn_with_handle<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> Task<T> {
         self.executor.spawn(work)
     }
 
@@ -58,7 +58,7 @@
 pub type Stream = Async<TcpStream>;
 
 /// The reading side of a connection.
-pub struct Source<'a> {
+pub struct SocketReader<'a> {
     stream: &'a Stream,
     /// The last read filled its room, so that there may be more.
     more: bool,
@@ -67,9 +67,9 @@
 /// What is thrown away is read in pieces of as much.
 const DISCARDED: usize = 4 << 10;
 
-impl Source<'_> {
-    pub fn new(stream: &Stream) -> Source<'_> {
-        Source { stream, more: true }
+impl SocketReader<'_> {
+    pub fn new(stream: &Stream) -> SocketReader<'_> {
+        SocketReader { stream, more: true }
     }
 
     pub fn stream(&self) -> &Stream {
@@ -87,13 +87,13 @@
     }
 
     /// Takes what has come up to now, without waiting for more. None: nothing has.
-    pub fn look(&mut self, decoder: &mut Decoder) -> io::Result<Option<usize>> {
-        let room = decoder.room();
+    pub fn try_read(&mut self, decoder: &mut Decoder) -> io::Result<Option<usize>> {
+        let room = decoder.read_buffer();
         let (got, most) = (self.stream.get_ref().read(room), room.len());
         match got {
             Ok(bytes) => {
                 self.more = bytes == most;
-                decoder.filled(bytes);
+                decoder.commit(bytes);
                 Ok(Some(bytes))
             }
             Err(why) if why.kind() == io::ErrorKind::WouldBlock => Ok(None),
@@ -111,10 +111,10 @@
         if !self.more {
             self.stream.readable().await?;
         }
-        let room = decoder.room();
+        let room = decoder.read_buffer();
         let (bytes, most) = (self.stream.read(room).await?, room.len());
         self.more = bytes == most;
-        decoder.filled(bytes);
+        decoder.commit(bytes);
         Ok(bytes)
     }
 }
--- a/crates/sockets/src/lines.rs
+++ b/crates/sockets/src/lines.rs
@@ -8,20 +8,20 @@
 const PIECE: usize = 16 << 10;
 
 /// The lines that come in on a connection.
-pub struct Lines<'a> {
+pub struct LineReader<'a> {
     stream: &'a Stream,
     text: Vec<u8>,
     /// Bytes of a line at most.
-    pub most: usize,
+    pub max_line_bytes: usize,
 }
 
-impl<'a> Lines<'a> {
-    pub fn new(stream: &'a Stream, most: usize) -> Lines<'a> {
-        Lines { stream, text: Vec::new(), most }
+impl<'a> LineReader<'a> {
+    pub fn new(stream: &'a Stream, most: usize) -> LineReader<'a> {
+        LineReader { stream, text: Vec::new(), max_line_bytes: most }
     }
 
     /// The next line without its end, or why there is none; an empty reason is a close between two lines.
-    pub async fn next(&mut self) -> Result<Vec<u8>, String> {
+    pub async fn next_line(&mut self) -> Result<Vec<u8>, String> {
         let (mut piece, mut looked) = (vec![0; PIECE], 0);
         loop {
             if let Some(at) = self.text[looked..].iter().position(|b| *b == b'\n') {
@@ -30,7 +30,7 @@
                 return Ok(line);
             }
             looked = self.text.len();
-            if looked > self.most {
+            if looked > self.max_line_bytes {
                 return Err("a line past the bound".into());
             }
             match (&mut &*self.stream).read(&mut piece).await {
@@ -47,7 +47,7 @@
 }
 
 /// What takes longer is given up; the reason is `late`.
-pub async fn within<T>(
+pub async fn with_timeout<T>(
     time: Duration,
     late: &str,
     work: impl Future<Output = Result<T, String>>,
@@ -61,6 +61,8 @@
 
 /// Writes text whole, in time.
 pub async fn write_text(mut stream: &Stream, text: &[u8], time: Duration) -> Result<(), String> {
-    within(time, "it takes nothing", async { stream.write_all(text).await.map_err(|why| why.to_string()) })
-        .await
+    with_timeout(time, "it takes nothing", async {
+        stream.write_all(text).await.map_err(|why| why.to_string())
+    })
+    .await
 }
