--- a/crates/cli/src/witness.rs
+++ b/crates/cli/src/witness.rs
@@ -9,9 +9,9 @@
 use harestage_audit::lines::{Bring, Report, Role, ToAudited};
 use harestage_audit::stamp::Goes;
 use harestage_following::audit::{Audited, follow};
-use harestage_router::program::{Attach, Attached, Beside};
-use harestage_router::routing::News;
-use harestage_router::routing::witness::{Became, Witness};
+use harestage_router::program::{AttachObserver, BackgroundTask, ObserverContext};
+use harestage_router::routing::Input;
+use harestage_router::routing::observer::{DownloadOutcome, Observer};
 use harestage_sockets::clock::Clock;
 use harestage_wire::feed::{self, FeedMessage, ServiceState};
 use harestage_wire::peer::AuditMark;
@@ -50,7 +50,7 @@
     clock: Clock,
     marked: Vec<String>,
     drawn: Cell<u64>,
-    inbox: Sender<News>,
+    inbox: Sender<Input>,
     log: Logger,
     /// It was said that this router may not act.
     said: Cell<bool>,
@@ -69,13 +69,13 @@
 }
 
 /// None: there is no keeper.
-pub fn attach(watch: &Watch, file: &str) -> Option<Attach> {
+pub fn attach(watch: &Watch, file: &str) -> Option<AttachObserver> {
     if watch.keepers.is_empty() {
         return None;
     }
     let (watch, settings) = (watch.clone(), std::fs::read(file).unwrap_or_default());
-    Some(Box::new(move |to: Attached| {
-        let Attached { name, contents, clock, inbox, log } = to;
+    Some(Box::new(move |to: ObserverContext| {
+        let ObserverContext { name, contents, clock, inbox, log } = to;
         let place = if watch.branch.is_empty() { name.clone() } else { watch.branch.clone() };
         let start = clock.now().micros();
         let who = Who { member: name, start, role: Role::Router, site: place.clone(), place };
@@ -91,8 +91,8 @@
         let watching =
             Rc::new(Watching { acting, clock, marked, drawn, inbox, log: log.clone(), said, ends });
         let reporting = follow(Reporting(watching.clone()), watch.keepers.clone(), line(), log);
-        let beside: Beside = Box::pin(or(reporting, beats(watching.clone())));
-        (watching as Rc<dyn Witness>, beside)
+        let beside: BackgroundTask = Box::pin(or(reporting, beats(watching.clone())));
+        (watching as Rc<dyn Observer>, beside)
     }))
 }
 
@@ -126,30 +126,37 @@
     }
 }
 
-impl Witness for Watching {
-    fn goes_by(&self, marks: &ServiceState, now: Moment) {
+impl Observer for Watching {
+    fn on_service_state(&self, marks: &ServiceState, now: Moment) {
         self.take_up(marks, now);
     }
 
-    fn may_act(&self) -> bool {
+    fn may_send(&self) -> bool {
         self.acting.borrow().may_act(self.clock.now())
     }
 
-    fn come_again_ms(&self) -> u64 {
+    fn retry_after_ms(&self) -> u64 {
         self.drawn.set(self.drawn.get() + 1);
         COME_AGAIN_MS + self.drawn.get().wrapping_mul(0x9e37_79b9_7f4a_7c15) % COME_AGAIN_MS
     }
 
-    fn acts_by(&self) -> u64 {
+    fn state_number(&self) -> u64 {
         self.acting.borrow_mut().recorder().stamp_no()
     }
 
-    fn ended(&self, content: ContentIx, became: Became, id: u64, acted: Option<u64>, now: Moment) {
+    fn on_download_end(
+        &self,
+        content: ContentIx,
+        became: DownloadOutcome,
+        id: u64,
+        acted: Option<u64>,
+        now: Moment,
+    ) {
         let outcome = match became {
-            Became::Fulfilled => Outcome::Fulfilled,
-            Became::Throttled => Outcome::Throttled,
-            Became::Abandoned => Outcome::Abandoned,
-            Became::Left => Outcome::Left,
+            DownloadOutcome::Fulfilled => Outcome::Fulfilled,
+            DownloadOutcome::Throttled => Outcome::Throttled,
+            DownloadOutcome::Abandoned => Outcome::Abandoned,
+            DownloadOutcome::Left => Outcome::Left,
         };
         let (mut acting, content) = (self.acting.borrow_mut(), content.0 as usize);
         match acted {
@@ -158,13 +165,13 @@
         }
     }
 
-    fn ends(&self) {
+    fn on_shutdown(&self) {
         self.ends.set(true);
         let now = self.clock.now();
         self.acting.borrow_mut().recorder().end(now);
     }
 
-    fn pulled(&self, node: &str, now: Moment) -> Option<AuditMark> {
+    fn on_pull(&self, node: &str, now: Moment) -> Option<AuditMark> {
         let mut acting = self.acting.borrow_mut();
         acting.recorder().pulled(node, now);
         let ours = self.marked.iter().any(|prefix| node.starts_with(prefix.as_str()));
@@ -201,9 +208,9 @@
             Some(Wanted::Take(Bring::Listing { event })) => {
                 info!(self.0.log, "brought up by the keeper");
                 if let Ok(FeedMessage::Event(_, told)) = feed::decode_line(event.as_bytes()) {
-                    let _ = self.0.inbox.send(News::Told(told)).await;
+                    let _ = self.0.inbox.send(Input::Feed(told)).await;
                     if let Some(marks) = feed::decode_service_state(event.as_bytes()) {
-                        let _ = self.0.inbox.send(News::GoesBy(marks)).await;
+                        let _ = self.0.inbox.send(Input::ServiceState(marks)).await;
                     }
                 }
             }
--- a/crates/router/src/program/config.rs
+++ b/crates/router/src/program/config.rs
@@ -15,25 +15,25 @@
 const LEAST_MEMORY_MB: u64 = 16;
 
 #[derive(Debug)]
-pub struct Start {
+pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub seed: u64,
     pub feed: SocketAddr,
-    pub known_last: u64,
-    pub known: Vec<FeedEvent>,
+    pub last_event: u64,
+    pub initial_events: Vec<FeedEvent>,
     pub profile: ServiceProfile,
     pub kinds: Kinds,
     pub outside: Outside,
     pub limits: Limits,
 }
 
-pub fn read_file(path: &str) -> Result<Start, String> {
+pub fn load(path: &str) -> Result<Config, String> {
     let text = std::fs::read(path).map_err(|why| format!("configuration {path} can't be read: {why}"))?;
-    read(&text)
+    parse(&text)
 }
 
-pub fn read(text: &[u8]) -> Result<Start, String> {
+pub fn parse(text: &[u8]) -> Result<Config, String> {
     let json: Value =
         serde_json::from_slice(text).map_err(|why| format!("configuration is not JSON: {why}"))?;
     if !json.is_object() {
@@ -58,20 +58,20 @@
     };
     let seed = text("seed")?;
     let seed = u64::from_str_radix(seed, 16).map_err(|_| format!("key seed is not a hex number: {seed}"))?;
-    let (known_last, known) = decode_known(need("known")?)?;
+    let (last_event, initial_events) = decode_known(need("known")?)?;
     let settings = need("settings")?;
     let in_settings = |why: String| format!("settings: {why}");
     let (profile, kinds) = read_profile(settings).map_err(in_settings)?;
     let outside = read_outside(settings).map_err(in_settings)?;
     let memory_mb = limit("memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB)? as usize;
     let sockets = limit("sockets", DEFAULT_SOCKETS, LEAST_SOCKETS)? as usize;
-    Ok(Start {
+    Ok(Config {
         name: text("name")?.to_string(),
         listen: address("listen")?,
         seed,
         feed: address("feed")?,
-        known_last,
-        known,
+        last_event,
+        initial_events,
         limits: Limits::new(memory_mb, sockets, &outside),
         profile,
         kinds,
--- a/crates/router/src/program/mod.rs
+++ b/crates/router/src/program/mod.rs
@@ -3,13 +3,13 @@
 pub mod limits;
 pub mod log;
 
-use crate::routing::witness::Witness;
-use crate::routing::{News, Routing, Terms, task};
-use crate::transport::{Outside, client, feed, node};
+use crate::routing::observer::Observer;
+use crate::routing::{Input, Routing, RoutingConfig, task};
+use crate::transport::{SocketTransport, client, feed, node};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
-use config::Start;
+use config::Config;
 use futures_lite::StreamExt;
 use futures_lite::future::or;
 use harestage_sockets::clock::Clock;
@@ -28,40 +28,45 @@
 const LAST_WORD: std::time::Duration = std::time::Duration::from_millis(1_000);
 
 /// What somebody who attaches a witness is given.
-pub struct Attached {
+pub struct ObserverContext {
     pub name: String,
     /// Content types by the numbers that the witness hears.
     pub contents: Vec<String>,
     pub clock: Clock,
-    pub inbox: async_channel::Sender<News>,
+    pub inbox: async_channel::Sender<Input>,
     pub log: Logger,
 }
 
 /// The router ends when this does, as at a signal.
-pub type Beside = std::pin::Pin<Box<dyn Future<Output = ()>>>;
-pub type Attach = Box<dyn FnOnce(Attached) -> (Rc<dyn Witness>, Beside)>;
+pub type BackgroundTask = std::pin::Pin<Box<dyn Future<Output = ()>>>;
+pub type AttachObserver = Box<dyn FnOnce(ObserverContext) -> (Rc<dyn Observer>, BackgroundTask)>;
 
 /// The same where the control feed is a group: further addresses of it, one of which tells at a time. The platform has one.
-pub fn run_with(path: &str, feeds: Vec<std::net::SocketAddr>, attach: Option<Attach>) -> Result<(), String> {
+pub fn run_with(
+    path: &str,
+    feeds: Vec<std::net::SocketAddr>,
+    attach: Option<AttachObserver>,
+) -> Result<(), String> {
     // Before the file is read: a signal to read it again must not end what has only just begun.
     let wanted = [Signal::Term, Signal::Int, Signal::Hup];
     let signals = Signals::new(wanted).map_err(|why| format!("no signals: {why}"))?;
-    let start = config::read_file(path)?;
+    let start = config::load(path)?;
     let (log, _written_at_end) = log::open(&start.name, start.limits.log_lines);
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(serve(start, path, feeds, attach, signals, log, executor.clone())))
 }
 
 async fn serve(
-    start: Start,
+    start: Config,
     path: &str,
     feeds: Vec<std::net::SocketAddr>,
-    attach: Option<Attach>,
+    attach: Option<AttachObserver>,
     mut signals: Signals,
     log: Logger,
     executor: Rc<LocalExecutor<'static>>,
 ) -> Result<(), String> {
-    let Start { name, listen, seed, feed, known_last, known, profile, kinds, outside, limits } = start;
+    let Config { name, listen, seed, feed, last_event, initial_events, profile, kinds, outside, limits } =
+        start;
     let limits = Rc::new(limits);
     let clock = Clock::start();
     let (inbox, news) = async_channel::bounded(limits.inbox);
@@ -69,45 +74,53 @@
     // read between two turns of the routing task, which takes all of it.
     let (from_clients, clients_news) = async_channel::unbounded();
     let clients = client::Clients::new(limits.clone(), clock, from_clients, log.clone());
-    let mut nodes = node::Links::new(limits.clone(), inbox.clone(), log.clone(), executor.clone());
+    let mut nodes = node::NodeConnections::new(limits.clone(), inbox.clone(), log.clone(), executor.clone());
     let contents = outside.contents.clone();
-    let attached = attach
-        .map(|attach| attach(Attached { name, contents, clock, inbox: inbox.clone(), log: log.clone() }));
-    let (witness, mut beside) = attached.unzip();
-    let last_word = witness.clone();
-    witness.iter().for_each(|witness: &Rc<dyn Witness>| nodes.attach(witness.clone()));
-    let mut outward = Outside { clients: clients.clone(), nodes };
-    let (answer_grace, call_back_settles) = (limits.answer_grace, limits.call_back_settles);
+    let attached = attach.map(|attach| {
+        attach(ObserverContext { name, contents, clock, inbox: inbox.clone(), log: log.clone() })
+    });
+    let (observer, mut beside) = attached.unzip();
+    let last_word = observer.clone();
+    observer.iter().for_each(|observer: &Rc<dyn Observer>| nodes.set_observer(observer.clone()));
+    let mut transport = SocketTransport { clients: clients.clone(), nodes };
+    let (answer_grace, cancel_settles) = (limits.answer_grace, limits.call_back_settles);
     let gone_kept = limits.gone_kept;
     let purges_kept = profile.purge_settles;
-    let terms = Terms { profile, kinds, outside, answer_grace, call_back_settles, gone_kept };
-    let mut routing = Routing::open(terms, seed, clock.now());
-    let marks = witness.is_some();
-    witness.into_iter().for_each(|witness| routing.attach(witness));
-    routing.step(clock.now(), known.into_iter().map(News::Told), &mut outward);
+    let terms = RoutingConfig {
+        profile,
+        kinds,
+        outside,
+        answer_grace,
+        cancel_settles,
+        removed_node_retention: gone_kept,
+    };
+    let mut routing = Routing::new(terms, seed, clock.now());
+    let marks = observer.is_some();
+    observer.into_iter().for_each(|observer| routing.set_observer(observer));
+    routing.step(clock.now(), initial_events.into_iter().map(Input::Feed), &mut transport);
     let listener = Async::<TcpListener>::bind(listen)
         .map_err(|why| format!("key listen: {listen} can't be listened on: {why}"))?;
-    let routing = task::run(routing, clients_news, news, outward, clock, limits.inbox);
+    let routing = task::run(routing, clients_news, news, transport, clock, limits.inbox);
     executor.spawn(routing).detach();
-    let place = feed::Place::new(feed);
-    let (limits_of, place_of, last) = (limits.clone(), place.clone(), known_last);
-    let feed = feed::Feed {
+    let place = feed::FeedAddress::new(feed);
+    let (limits_of, place_of, last) = (limits.clone(), place.clone(), last_event);
+    let feed = feed::FeedClient {
         limits: limits_of,
         inbox,
         log: log.clone(),
-        place: place_of,
-        last,
-        others: feeds.into(),
-        marks,
-        purges_kept,
-        had: None,
+        address: place_of,
+        last_event: last,
+        group_addresses: feeds.into(),
+        track_service_state: marks,
+        purge_retention: purges_kept,
+        applied_purges: None,
     };
     executor.spawn(feed::follow(feed)).detach();
     let listener = Rc::new(listener);
     let listening = executor.spawn(client::listen(clients.clone(), listener.clone(), executor.clone()));
     let sweeping = executor.spawn(client::sweep(clients.clone()));
     clients.set_ready(true);
-    info!(log, "ready"; "listen" => %listen, "known" => known_last, "limits" => ?limits);
+    info!(log, "ready"; "listen" => %listen, "known" => last_event, "limits" => ?limits);
     let anew = async {
         match &mut beside {
             Some(beside) => beside.await,
@@ -125,7 +138,7 @@
         },
     )
     .await;
-    info!(log, "ending"; "open" => clients.open());
+    info!(log, "ending"; "open" => clients.open_downloads());
     let deaf_to_ends = async {
         loop {
             until_told_to_end(&mut signals, path, &place, &log).await;
@@ -135,28 +148,28 @@
         // Until then new connections and downloads may come as before.
         Timer::after(limits.drain_serve).await;
         listening.cancel().await;
-        client::accept_waiting(&clients, &listener, &executor);
+        client::accept_pending(&clients, &listener, &executor);
         drop(listener);
         drain(&clients, &limits, &log).await;
     };
     or(drained, deaf_to_ends).await;
     drop(sweeping);
-    if let (Some(witness), Some(beside), false) = (last_word, beside, anew_asked) {
-        witness.ends();
+    if let (Some(observer), Some(beside), false) = (last_word, beside, anew_asked) {
+        observer.on_shutdown();
         or(beside, async {
             Timer::after(LAST_WORD).await;
         })
         .await;
     }
-    info!(log, "ended"; "open" => clients.open());
+    info!(log, "ended"; "open" => clients.open_downloads());
     Ok(())
 }
 
 /// Reads the configuration again at each SIGHUP; returns at the first signal that ends the program.
-async fn until_told_to_end(signals: &mut Signals, path: &str, feed: &feed::Place, log: &Logger) {
+async fn until_told_to_end(signals: &mut Signals, path: &str, feed: &feed::FeedAddress, log: &Logger) {
     while let Some(Ok(Signal::Hup)) = signals.next().await {
         // A wrong file must not end what serves: the configuration that was read last stays.
-        match config::read_file(path) {
+        match config::load(path) {
             Ok(start) => {
                 info!(log, "configuration read again"; "feed" => %start.feed);
                 feed.move_to(start.feed);
@@ -172,11 +185,11 @@
     clients.close_all();
     let late = async {
         Timer::after(limits.drain_abandon - limits.drain_serve).await;
-        if clients.open() > 0 {
-            warn!(log, "abandoned at the end"; "open" => clients.open());
+        if clients.open_downloads() > 0 {
+            warn!(log, "abandoned at the end"; "open" => clients.open_downloads());
         }
         clients.abandon_all();
         Timer::after(limits.drain_end - limits.drain_abandon).await;
     };
-    or(clients.all_left(), late).await;
+    or(clients.wait_all_closed(), late).await;
 }
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -1,8 +1,8 @@
 //! The one owner of the core. What happens outside comes in as `News`, what the core orders goes out through
 //! `Outward`; time-outs, deadlines and the register of what is open are kept here. Nothing here decides.
 pub mod nodes;
+pub mod observer;
 pub mod task;
-pub mod witness;
 
 use async_channel::Sender;
 use bytes::Bytes;
@@ -16,54 +16,54 @@
 use harestage_wire::feed::{FeedEvent, ServiceState};
 use harestage_wire::node::{Answer, AnswerStatus, Request};
 use harestage_wire::{Packet, fields::HexId, node};
-use nodes::{Contact, Contacts, NodeNo};
+use nodes::{NodeEntry, NodeId, NodeTable};
+use observer::{DownloadOutcome, Observer};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
-use witness::{Became, Witness};
 
-pub type ClientNo = u64;
-pub type PullNo = u64;
-type DlNo = u64;
+pub type ClientId = u64;
+pub type PullId = u64;
+type DownloadId = u64;
 /// When it rings, and a number that tells it from others of that moment.
-type TimerNo = (Moment, u64);
+type TimerKey = (Moment, u64);
 
 /// A pull that will bring no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
     /// Nothing of it can have run: the connection never came up, or ended before it was written whole.
-    NeverLeft,
+    NotSent,
     /// It was written whole: a break proves nothing.
-    Broken,
+    ConnectionBroken,
 }
 
 #[derive(Clone, Debug)]
-pub enum News {
-    Asked {
-        client: ClientNo,
+pub enum Input {
+    Download {
+        client: ClientId,
         tag: u64,
         wish: DownloadRequest,
         at: Moment,
     },
-    NeverMind {
-        client: ClientNo,
+    Cancel {
+        client: ClientId,
         tag: u64,
     },
-    HungUp {
-        client: ClientNo,
+    Disconnected {
+        client: ClientId,
     },
     Answered {
-        pull: PullNo,
+        pull: PullId,
         answer: Answer,
         /// The copy that an answer without bytes is about.
-        names: Option<Bytes>,
+        copy_digest: Option<Bytes>,
     },
     Lost {
-        pull: PullNo,
+        pull: PullId,
         loss: Loss,
     },
-    Told(FeedEvent),
+    Feed(FeedEvent),
     /// What the events before it amount to; only where a witness is attached.
-    GoesBy(ServiceState),
+    ServiceState(ServiceState),
     /// Once the core has taken in all that came before, the number goes to whoever asked; what waits there is replaced.
     Confirm {
         number: u64,
@@ -72,67 +72,74 @@
 }
 
 /// Where answers and pulls go. Every call only queues: none of them waits.
-pub trait Outward {
-    fn answer(&mut self, client: ClientNo, tag: u64, answer: ToClient);
+pub trait Transport {
+    fn answer(&mut self, client: ClientId, tag: u64, answer: ToClient);
     /// False: there is no way to that node now, and nothing was queued.
-    fn pull(&mut self, node: NodeNo, contact: &Contact, pull: PullNo, id: HexId, packet: Packet) -> bool;
+    fn send_pull(
+        &mut self,
+        node: NodeId,
+        contact: &NodeEntry,
+        pull: PullId,
+        id: HexId,
+        packet: Packet,
+    ) -> bool;
     /// Gives a pull up. True: it had not been written whole, and now never will be.
-    fn cancel(&mut self, node: NodeNo, pull: PullNo) -> bool;
+    fn cancel_pull(&mut self, node: NodeId, pull: PullId) -> bool;
     /// Takes a pull out of its queue. True: not a byte of it had been written.
-    fn take_back(&mut self, node: NodeNo, pull: PullNo) -> bool;
+    fn remove_queued(&mut self, node: NodeId, pull: PullId) -> bool;
     /// A pull was called back, and its node has not been told yet.
-    fn still_calls_back(&self, node: NodeNo, pull: PullNo) -> bool;
+    fn is_cancel_pending(&self, node: NodeId, pull: PullId) -> bool;
     /// Nothing new goes over the connections that this node has now.
-    fn renew(&mut self, node: NodeNo);
+    fn replace_connections(&mut self, node: NodeId);
     /// Nothing is sent to this node any more.
-    fn forget(&mut self, node: NodeNo);
+    fn forget_node(&mut self, node: NodeId);
 }
 
 #[derive(Clone, Copy)]
 enum Timer {
     Core(u32),
-    PullTimesOut(PullNo),
+    PullTimesOut(PullId),
     /// What has not left by then must not leave any more.
-    StartsTooLate(PullNo),
-    CalledBack(PullNo),
-    Deadline(DlNo),
-    Overdue(DlNo),
-    Forget(NodeNo),
+    StartsTooLate(PullId),
+    CalledBack(PullId),
+    Deadline(DownloadId),
+    Overdue(DownloadId),
+    Forget(NodeId),
 }
 
 struct Out {
-    dl: DlNo,
+    dl: DownloadId,
     number: u8,
-    node: NodeNo,
-    source: Option<NodeNo>,
+    node: NodeId,
+    source: Option<NodeId>,
     sent: Moment,
 }
 
 struct Held {
-    client: ClientNo,
+    client: ClientId,
     tag: u64,
     wish: DownloadRequest,
     content: ContentIx,
     leaves_at: Moment,
-    deadline: TimerNo,
+    deadline: TimerKey,
     answered: bool,
     /// All its pulls, by the numbers that the core gives them.
-    pulls: Vec<PullNo>,
+    pulls: Vec<PullId>,
     /// What the router went by when the last of them was made, where somebody records it.
     acted: Option<u64>,
 }
 
 /// What a routing task is told at its start.
-pub struct Terms {
+pub struct RoutingConfig {
     pub profile: ServiceProfile,
     pub kinds: Kinds,
     pub outside: Outside,
     /// How long after its deadline a download waits for the core's answer before it is abandoned here.
     pub answer_grace: Span,
     /// How long a pull that was called back is taken to be still at its node.
-    pub call_back_settles: Span,
+    pub cancel_settles: Span,
     /// How long a node that is gone is remembered.
-    pub gone_kept: Span,
+    pub removed_node_retention: Span,
 }
 
 pub struct Routing {
@@ -141,21 +148,21 @@
     kinds: Kinds,
     outside: Outside,
     answer_grace: Span,
-    call_back_settles: Span,
-    gone_kept: Span,
+    cancel_settles: Span,
+    removed_node_retention: Span,
     contents: HashMap<Vec<u8>, ContentIx>,
-    contacts: Contacts,
-    held: HashMap<DlNo, Held>,
-    open: HashMap<(ClientNo, u64), DlNo>,
+    node_table: NodeTable,
+    held: HashMap<DownloadId, Held>,
+    open: HashMap<(ClientId, u64), DownloadId>,
     /// Those whose downloads are held, so that no two are under way under one.
     ids: HashSet<HexId>,
-    out: HashMap<PullNo, Out>,
-    timers: BTreeMap<TimerNo, Timer>,
+    out: HashMap<PullId, Out>,
+    timers: BTreeMap<TimerKey, Timer>,
     events: Vec<Event>,
     timers_set: u64,
-    last_dl: DlNo,
-    last_pull: PullNo,
-    witness: Option<Rc<dyn Witness>>,
+    last_dl: DownloadId,
+    last_pull: PullId,
+    observer: Option<Rc<dyn Observer>>,
     /// To be confirmed when the turn has ended.
     confirms: Vec<(u64, Sender<u64>)>,
     /// The moment of the turn, for the witness.
@@ -163,19 +170,20 @@
 }
 
 impl Routing {
-    pub fn open(terms: Terms, seed: u64, now: Moment) -> Routing {
-        let Terms { profile, kinds, outside, answer_grace, call_back_settles, gone_kept } = terms;
+    pub fn new(terms: RoutingConfig, seed: u64, now: Moment) -> Routing {
+        let RoutingConfig { profile, kinds, outside, answer_grace, cancel_settles, removed_node_retention } =
+            terms;
         let names = outside.contents.iter().enumerate();
         Routing {
             brain: Brain::open(profile, seed, now),
             register: Register::default(),
             kinds,
             answer_grace,
-            call_back_settles,
-            gone_kept,
+            cancel_settles,
+            removed_node_retention,
             contents: names.map(|(at, n)| (n.clone().into_bytes(), ContentIx(at as u16))).collect(),
             outside,
-            contacts: Contacts::default(),
+            node_table: NodeTable::default(),
             held: HashMap::new(),
             open: HashMap::new(),
             ids: HashSet::new(),
@@ -185,15 +193,15 @@
             timers_set: 0,
             last_dl: 0,
             last_pull: 0,
-            witness: None,
+            observer: None,
             confirms: Vec::new(),
             now,
         }
     }
 
     /// From now on this hears of what the router does.
-    pub fn attach(&mut self, witness: Rc<dyn Witness>) {
-        self.witness = Some(witness);
+    pub fn set_observer(&mut self, observer: Rc<dyn Observer>) {
+        self.observer = Some(observer);
     }
 
     /// Downloads that are not answered yet.
@@ -208,20 +216,20 @@
 
     /// Takes in what has come up to `now` and carries out what the core orders on it. News go before timers,
     /// so that an answer that is here in time is not lost to a time-out of the same turn.
-    pub fn step(&mut self, now: Moment, news: impl Iterator<Item = News>, outward: &mut dyn Outward) {
+    pub fn step(&mut self, now: Moment, news: impl Iterator<Item = Input>, transport: &mut dyn Transport) {
         self.now = now;
         for news in news {
-            self.take_in(news, now, outward);
+            self.take_in(news, now, transport);
         }
         while let Some(first) = self.timers.first_entry().filter(|first| first.key().0 <= now) {
             let timer = first.remove();
-            self.fire(timer, now, outward);
+            self.fire(timer, now, transport);
         }
         let mut orders = Vec::new();
         while !self.events.is_empty() {
             self.brain.turn(now, std::mem::take(&mut self.events), &mut orders);
             for order in orders.drain(..) {
-                self.carry_out(order, now, outward);
+                self.carry_out(order, now, transport);
             }
         }
         for (number, to) in self.confirms.drain(..) {
@@ -230,56 +238,61 @@
         }
     }
 
-    fn take_in(&mut self, news: News, now: Moment, outward: &mut dyn Outward) {
+    fn take_in(&mut self, news: Input, now: Moment, transport: &mut dyn Transport) {
         match news {
-            News::Asked { client, tag, wish, at } => self.asked(client, tag, wish, at, outward),
-            News::NeverMind { client, tag } => {
+            Input::Download { client, tag, wish, at } => self.asked(client, tag, wish, at, transport),
+            Input::Cancel { client, tag } => {
                 if let Some(dl) = self.open.get(&(client, tag)).copied() {
                     self.left(dl);
                 }
             }
-            News::HungUp { client } => {
+            Input::Disconnected { client } => {
                 let of_client = self.open.iter().filter(|((c, _), _)| *c == client);
-                let mut gone: Vec<DlNo> = of_client.map(|(_, dl)| *dl).collect();
+                let mut gone: Vec<DownloadId> = of_client.map(|(_, dl)| *dl).collect();
                 gone.sort_unstable();
                 gone.into_iter().for_each(|dl| self.left(dl));
             }
-            News::Answered { pull, answer, names } => self.pull_answered(pull, answer, names, now, outward),
-            News::Lost { pull, loss } => {
-                let ending = if loss == Loss::Broken { Ending::Broken } else { Ending::NoConnection };
+            Input::Answered { pull, answer, copy_digest: names } => {
+                self.pull_answered(pull, answer, names, now, transport)
+            }
+            Input::Lost { pull, loss } => {
+                let ending =
+                    if loss == Loss::ConnectionBroken { Ending::Broken } else { Ending::NoConnection };
                 self.ended(pull, ending, Remark::Nothing, Span::ZERO, now);
             }
-            News::Told(told) => self.told(told, now, outward),
-            News::Confirm { number, to } => self.confirms.push((number, to)),
-            News::GoesBy(marks) => self.witness.iter().for_each(|witness| witness.goes_by(&marks, now)),
+            Input::Feed(told) => self.told(told, now, transport),
+            Input::Confirm { number, to } => self.confirms.push((number, to)),
+            Input::ServiceState(marks) => {
+                self.observer.iter().for_each(|observer| observer.on_service_state(&marks, now))
+            }
         }
     }
 
     /// Turned away before the core hears of it: this process may not act on what it has.
     fn turned_away(&self, content: ContentIx, id: u64, now: Moment) -> Option<u64> {
-        let witness = self.witness.as_ref().filter(|witness| !witness.may_act())?;
-        witness.ended(content, Became::Throttled, id, None, now);
-        Some(witness.come_again_ms())
+        let observer = self.observer.as_ref().filter(|observer| !observer.may_send())?;
+        observer.on_download_end(content, DownloadOutcome::Throttled, id, None, now);
+        Some(observer.retry_after_ms())
     }
 
     fn asked(
         &mut self,
-        client: ClientNo,
+        client: ClientId,
         tag: u64,
         wish: DownloadRequest,
         at: Moment,
-        outward: &mut dyn Outward,
+        transport: &mut dyn Transport,
     ) {
         let Some(content) = self.contents.get(wish.content.as_ref()).copied() else {
-            return outward.answer(client, tag, ToClient::Abandoned);
+            return transport.answer(client, tag, ToClient::Abandoned);
         };
         if let Some(retry_after_ms) = self.turned_away(content, wish.id.as_u64(), at) {
-            return outward.answer(client, tag, ToClient::Throttled { retry_after_ms });
+            return transport.answer(client, tag, ToClient::Throttled { retry_after_ms });
         }
         // Guards against a client that uses the id of another download: on one connection to a node the answers
         // to both could not be told apart, and the bytes of one object would pass for the other's.
         if !self.ids.insert(wish.id) {
-            return outward.answer(client, tag, ToClient::Abandoned);
+            return transport.answer(client, tag, ToClient::Abandoned);
         }
         self.last_dl += 1;
         let dl = self.last_dl;
@@ -302,7 +315,7 @@
     }
 
     /// Nothing is owed any more: whose answer it was, unless that had been said before.
-    fn close(&mut self, dl: DlNo) -> Option<(ClientNo, u64)> {
+    fn close(&mut self, dl: DownloadId) -> Option<(ClientId, u64)> {
         let held = self.held.get_mut(&dl).filter(|h| !h.answered)?;
         held.answered = true;
         self.timers.remove(&held.deadline);
@@ -310,41 +323,41 @@
         Some((held.client, held.tag))
     }
 
-    fn left(&mut self, dl: DlNo) {
+    fn left(&mut self, dl: DownloadId) {
         if self.close(dl).is_none() {
             return;
         }
-        self.witnessed(dl, Became::Left);
+        self.witnessed(dl, DownloadOutcome::Left);
         self.events.extend(self.register.dl(dl).map(|dl| Event::Left { dl }));
     }
 
-    fn reply(&mut self, dl: DlNo, answer: ToClient, outward: &mut dyn Outward) {
+    fn reply(&mut self, dl: DownloadId, answer: ToClient, transport: &mut dyn Transport) {
         if let Some((client, tag)) = self.close(dl) {
-            if self.witness.is_some() {
+            if self.observer.is_some() {
                 let became = match &answer {
-                    ToClient::Fulfilled { .. } | ToClient::NotModified => Became::Fulfilled,
-                    ToClient::Throttled { .. } => Became::Throttled,
-                    _ => Became::Abandoned,
+                    ToClient::Fulfilled { .. } | ToClient::NotModified => DownloadOutcome::Fulfilled,
+                    ToClient::Throttled { .. } => DownloadOutcome::Throttled,
+                    _ => DownloadOutcome::Abandoned,
                 };
                 self.witnessed(dl, became);
             }
-            outward.answer(client, tag, answer);
+            transport.answer(client, tag, answer);
         }
     }
 
-    fn witnessed(&self, dl: DlNo, became: Became) {
-        if let Some((witness, held)) = self.witness.as_ref().zip(self.held.get(&dl)) {
-            witness.ended(held.content, became, held.wish.id.as_u64(), held.acted, self.now);
+    fn witnessed(&self, dl: DownloadId, became: DownloadOutcome) {
+        if let Some((observer, held)) = self.observer.as_ref().zip(self.held.get(&dl)) {
+            observer.on_download_end(held.content, became, held.wish.id.as_u64(), held.acted, self.now);
         }
     }
 
     fn pull_answered(
         &mut self,
-        pull: PullNo,
+        pull: PullId,
         answer: Answer,
         names: Option<Bytes>,
         now: Moment,
-        outward: &mut dyn Outward,
+        transport: &mut dyn Transport,
     ) {
         let Some(out) = self.out.get(&pull) else { return };
         let dl = out.dl;
@@ -364,12 +377,12 @@
                 AnswerStatus::NotModified => ToClient::NotModified,
                 _ => ToClient::Fulfilled { body: answer.body },
             };
-            self.reply(dl, good, outward);
+            self.reply(dl, good, transport);
         }
         self.ended(pull, ending, answer.remark, Span::of_seconds(answer.first_byte_ms / 1e3), now);
     }
 
-    fn ended(&mut self, pull: PullNo, ending: Ending, remark: Remark, first_byte: Span, now: Moment) {
+    fn ended(&mut self, pull: PullId, ending: Ending, remark: Remark, first_byte: Span, now: Moment) {
         let Some(out) = self.out.remove(&pull) else { return };
         let Some(held) = self.held.get(&out.dl) else { return };
         let Some((dl, node)) = self.register.dl(out.dl).zip(self.register.node(out.node)) else { return };
@@ -389,39 +402,39 @@
 
     /// The core hears the news first: what is taken back because of them must not be placed again without
     /// them.
-    fn told(&mut self, told: FeedEvent, now: Moment, outward: &mut dyn Outward) {
+    fn told(&mut self, told: FeedEvent, now: Moment, transport: &mut dyn Transport) {
         match told {
             FeedEvent::Members { is_snapshot: whole, members } => {
                 let mut listings = Vec::with_capacity(members.len());
                 let (mut closed, mut gone) = (Vec::new(), Vec::new());
                 for member in &members {
                     let said =
-                        self.contacts.enter(member, &mut self.register, self.kinds, &self.outside, now);
+                        self.node_table.apply(member, &mut self.register, self.kinds, &self.outside, now);
                     if said.replaced {
-                        outward.renew(said.node);
+                        transport.replace_connections(said.node);
                     }
-                    match said.listing.phase {
+                    match said.record.phase {
                         Phase::Ready => {}
                         Phase::Draining => closed.push(said.node),
                         Phase::Gone => gone.push(said.node),
                     }
-                    listings.push(said.listing);
+                    listings.push(said.record);
                 }
                 if whole {
-                    gone.extend(self.contacts.left_out(&members, now));
+                    gone.extend(self.node_table.mark_missing_removed(&members, now));
                 }
                 for node in &gone {
-                    outward.renew(*node);
-                    self.set(now + self.gone_kept, Timer::Forget(*node));
+                    transport.replace_connections(*node);
+                    self.set(now + self.removed_node_retention, Timer::Forget(*node));
                 }
                 closed.extend(gone);
                 let news = if whole { RosterNews::Whole } else { RosterNews::Changes };
                 self.events.push(Event::Roster { news, listings });
-                let is_closed = |node: &NodeNo| closed.contains(node);
-                self.take_back(
+                let is_closed = |node: &NodeId| closed.contains(node);
+                self.remove_queued(
                     |out, _| is_closed(&out.node) || out.source.iter().any(is_closed),
                     now,
-                    outward,
+                    transport,
                 );
             }
             FeedEvent::Purge { object, group, at_ms } => {
@@ -430,101 +443,106 @@
                 let meant = |w: &DownloadRequest| {
                     object.map_or(w.group == group, |object| w.object.as_u64() == object)
                 };
-                self.take_back(|_, held| meant(&held.wish), now, outward);
+                self.remove_queued(|_, held| meant(&held.wish), now, transport);
             }
         }
     }
 
     /// What has not left yet and no longer may: a queued pull must not reach a node that drains, nor ask
     /// for a copy by limits from before a purge.
-    fn take_back(&mut self, meant: impl Fn(&Out, &Held) -> bool, now: Moment, outward: &mut dyn Outward) {
+    fn remove_queued(
+        &mut self,
+        meant: impl Fn(&Out, &Held) -> bool,
+        now: Moment,
+        transport: &mut dyn Transport,
+    ) {
         let meant = |out: &Out| self.held.get(&out.dl).is_some_and(|held| meant(out, held));
-        let mut pulls: Vec<(PullNo, NodeNo)> =
+        let mut pulls: Vec<(PullId, NodeId)> =
             self.out.iter().filter(|(_, out)| meant(out)).map(|(pull, out)| (*pull, out.node)).collect();
         pulls.sort_unstable();
         for (pull, node) in pulls {
-            if outward.take_back(node, pull) {
+            if transport.remove_queued(node, pull) {
                 self.ended(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
             }
         }
     }
 
-    fn set(&mut self, at: Moment, timer: Timer) -> TimerNo {
+    fn set(&mut self, at: Moment, timer: Timer) -> TimerKey {
         self.timers_set += 1;
         self.timers.insert((at, self.timers_set), timer);
         (at, self.timers_set)
     }
 
-    fn fire(&mut self, timer: Timer, now: Moment, outward: &mut dyn Outward) {
+    fn fire(&mut self, timer: Timer, now: Moment, transport: &mut dyn Transport) {
         match timer {
             Timer::Core(timer) => self.events.push(Event::TimerFired { timer }),
-            Timer::PullTimesOut(pull) => self.time_out(pull, now, outward),
+            Timer::PullTimesOut(pull) => self.time_out(pull, now, transport),
             Timer::CalledBack(pull) => {
                 // Guards against two at work at once where the node takes nothing, not even the cancel.
-                if self.out.get(&pull).is_some_and(|out| outward.still_calls_back(out.node, pull)) {
-                    self.set(now + self.call_back_settles, Timer::CalledBack(pull));
+                if self.out.get(&pull).is_some_and(|out| transport.is_cancel_pending(out.node, pull)) {
+                    self.set(now + self.cancel_settles, Timer::CalledBack(pull));
                 } else {
                     self.ended(pull, Ending::Cancelled, Remark::Nothing, Span::ZERO, now);
                 }
             }
             Timer::StartsTooLate(pull) => {
-                if self.out.get(&pull).is_some_and(|out| outward.take_back(out.node, pull)) {
+                if self.out.get(&pull).is_some_and(|out| transport.remove_queued(out.node, pull)) {
                     self.ended(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
                 }
             }
             Timer::Deadline(dl) => {
                 if let Some(held) = self.held.get(&dl).filter(|h| !h.answered) {
-                    held.pulls.clone().into_iter().for_each(|pull| self.time_out(pull, now, outward));
+                    held.pulls.clone().into_iter().for_each(|pull| self.time_out(pull, now, transport));
                     self.set(now + self.answer_grace, Timer::Overdue(dl));
                 }
             }
             Timer::Forget(node) => {
                 let in_use = |out: &Out| out.node == node || out.source == Some(node);
                 if self.out.values().any(in_use) {
-                    self.set(now + self.gone_kept, Timer::Forget(node));
-                } else if self.contacts.forget(node, self.gone_kept, now, &mut self.register) {
-                    outward.forget(node);
+                    self.set(now + self.removed_node_retention, Timer::Forget(node));
+                } else if self.node_table.forget(node, self.removed_node_retention, now, &mut self.register) {
+                    transport.forget_node(node);
                 }
             }
             // Guards the rule that all are answered against a core that holds one without a pull.
             Timer::Overdue(dl) => {
                 if self.held.get(&dl).is_some_and(|h| !h.answered) {
-                    self.reply(dl, ToClient::Abandoned, outward);
+                    self.reply(dl, ToClient::Abandoned, transport);
                     self.events.extend(self.register.dl(dl).map(|dl| Event::Left { dl }));
                 }
             }
         }
     }
 
-    fn time_out(&mut self, pull: PullNo, now: Moment, outward: &mut dyn Outward) {
+    fn time_out(&mut self, pull: PullId, now: Moment, transport: &mut dyn Transport) {
         let Some(node) = self.out.get(&pull).map(|out| out.node) else { return };
-        let never_left = outward.cancel(node, pull);
+        let never_left = transport.cancel_pull(node, pull);
         let ending = if never_left { Ending::NotSent } else { Ending::TimedOut };
         self.ended(pull, ending, Remark::Nothing, Span::ZERO, now);
     }
 
-    fn carry_out(&mut self, order: Order, now: Moment, outward: &mut dyn Outward) {
+    fn carry_out(&mut self, order: Order, now: Moment, transport: &mut dyn Transport) {
         match order {
-            Order::Pull(pull) => self.pull(pull, now, outward),
+            Order::Pull(pull) => self.pull(pull, now, transport),
             Order::Cancel { dl, pull: number } => {
                 let dl = self.register.dl_id(dl);
                 let pulls = self.held.get(&dl).map(|held| &held.pulls);
                 let Some(pull) = pulls.and_then(|p| p.get(number as usize)).copied() else { return };
                 let Some(node) = self.out.get(&pull).map(|out| out.node) else { return };
-                let never_left = outward.cancel(node, pull);
+                let never_left = transport.cancel_pull(node, pull);
                 if never_left || self.held.get(&dl).is_none_or(|held| held.answered) {
                     let ending = if never_left { Ending::NotSent } else { Ending::Cancelled };
                     return self.ended(pull, ending, Remark::Nothing, Span::ZERO, now);
                 }
                 // Guards against two pulls of one download at work at once: the next one may go over another
                 // connection, and would overtake the cancel on its way.
-                self.set(now + self.call_back_settles, Timer::CalledBack(pull));
+                self.set(now + self.cancel_settles, Timer::CalledBack(pull));
             }
             Order::Throttle { dl, retry_after } => {
                 let retry_after_ms = retry_after.as_micros().div_ceil(1_000);
-                self.reply(self.register.dl_id(dl), ToClient::Throttled { retry_after_ms }, outward);
+                self.reply(self.register.dl_id(dl), ToClient::Throttled { retry_after_ms }, transport);
             }
-            Order::Abandon { dl } => self.reply(self.register.dl_id(dl), ToClient::Abandoned, outward),
+            Order::Abandon { dl } => self.reply(self.register.dl_id(dl), ToClient::Abandoned, transport),
             Order::SetTimer { after, timer } => {
                 self.set(now + after, Timer::Core(timer));
             }
@@ -539,21 +557,21 @@
         }
     }
 
-    fn pull(&mut self, order: Pull, now: Moment, outward: &mut dyn Outward) {
+    fn pull(&mut self, order: Pull, now: Moment, transport: &mut dyn Transport) {
         let dl = self.register.dl_id(order.dl);
-        let Some((node, contact)) = self.contacts.of(&self.register, order.node) else { return };
-        let source = order.source.and_then(|source| self.contacts.of(&self.register, source));
+        let Some((node, contact)) = self.node_table.by_index(&self.register, order.node) else { return };
+        let source = order.source.and_then(|source| self.node_table.by_index(&self.register, source));
         let Some(held) = self.held.get_mut(&dl) else { return };
         self.last_pull += 1;
         let (pull, number) = (self.last_pull, held.pulls.len() as u8);
         held.pulls.push(pull);
-        held.acted = self.witness.as_ref().map(|witness| witness.acts_by()).or(held.acted);
+        held.acted = self.observer.as_ref().map(|observer| observer.state_number()).or(held.acted);
         let until = match order.time_out {
             Span::ZERO => held.leaves_at,
             time_out => held.leaves_at.min(now + time_out),
         };
-        let may_act = self.witness.as_ref().is_none_or(|witness| witness.may_act());
-        let mark = self.witness.as_ref().filter(|_| may_act).and_then(|w| w.pulled(&contact.name, now));
+        let may_send = self.observer.as_ref().is_none_or(|observer| observer.may_send());
+        let mark = self.observer.as_ref().filter(|_| may_send).and_then(|w| w.on_pull(&contact.name, now));
         let request = Request {
             id: held.wish.id,
             content: &self.outside.contents[held.content.0 as usize],
@@ -575,9 +593,9 @@
             route: None,
             mark: mark.as_ref(),
         };
-        let queued = may_act
+        let queued = may_send
             && until > now
-            && outward.pull(node, contact, pull, held.wish.id, node::encode_request(&request));
+            && transport.send_pull(node, contact, pull, held.wish.id, node::encode_request(&request));
         let source = source.map(|(source, _)| source);
         self.out.insert(pull, Out { dl, number, node, source, sent: now });
         if !queued {
--- a/crates/router/src/routing/nodes.rs
+++ b/crates/router/src/routing/nodes.rs
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 
 /// A node's number at this router, given out in the order in which the feed first named them.
-pub type NodeNo = u32;
+pub type NodeId = u32;
 
 #[derive(Clone, Debug)]
-pub struct Contact {
+pub struct NodeEntry {
     pub name: String,
     pub address: Option<SocketAddr>,
     pub phase: Phase,
@@ -23,33 +23,33 @@
 }
 
 #[derive(Default)]
-pub struct Contacts {
-    known: BTreeMap<NodeNo, Contact>,
-    by_name: HashMap<String, NodeNo>,
-    named: NodeNo,
+pub struct NodeTable {
+    known: BTreeMap<NodeId, NodeEntry>,
+    by_name: HashMap<String, NodeId>,
+    named: NodeId,
 }
 
 /// What a line of the list changed.
-pub struct Relisted {
-    pub node: NodeNo,
-    pub listing: Listing,
+pub struct NodeUpdate {
+    pub node: NodeId,
+    pub record: Listing,
     /// Another process than before stands behind the name.
     pub replaced: bool,
 }
 
-impl Contacts {
-    pub fn get(&self, node: NodeNo) -> Option<&Contact> {
+impl NodeTable {
+    pub fn get(&self, node: NodeId) -> Option<&NodeEntry> {
         self.known.get(&node)
     }
 
-    pub fn enter(
+    pub fn apply(
         &mut self,
         member: &Member,
         register: &mut Register,
         kinds: Kinds,
         outside: &Outside,
         now: Moment,
-    ) -> Relisted {
+    ) -> NodeUpdate {
         let phase = match member.state {
             MemberState::Ready => Phase::Ready,
             MemberState::Draining => Phase::Draining,
@@ -58,7 +58,7 @@
         let told: Option<SocketAddr> = member.address.parse().ok();
         let node = *self.by_name.entry(member.name.clone()).or_insert_with(|| {
             let (name, address, since_ms) = (member.name.clone(), told, member.since_ms);
-            self.known.insert(self.named, Contact { name, address, phase, since_ms, gone: now });
+            self.known.insert(self.named, NodeEntry { name, address, phase, since_ms, gone: now });
             self.named += 1;
             self.named - 1
         });
@@ -88,11 +88,11 @@
             phase,
             started: (member.since_ms > 0).then(|| moment_from_unix_ms(member.since_ms)),
         };
-        Relisted { node, listing, replaced }
+        NodeUpdate { node, record: listing, replaced }
     }
 
     /// Those that a whole list does not name are gone.
-    pub fn left_out(&mut self, members: &[Member], now: Moment) -> Vec<NodeNo> {
+    pub fn mark_missing_removed(&mut self, members: &[Member], now: Moment) -> Vec<NodeId> {
         let named: HashSet<&str> = members.iter().map(|m| m.name.as_str()).collect();
         let mut left_out = Vec::new();
         for (node, contact) in self.known.iter_mut().filter(|(_, c)| !named.contains(c.name.as_str())) {
@@ -106,8 +106,8 @@
 
     /// Guards the memory of a long day, on which new names come all the time, against those that are gone.
     /// False: it is not gone, or not for as long.
-    pub fn forget(&mut self, node: NodeNo, after: Span, now: Moment, register: &mut Register) -> bool {
-        let long_gone = |c: &&Contact| c.phase == Phase::Gone && now.since(c.gone) >= after;
+    pub fn forget(&mut self, node: NodeId, after: Span, now: Moment, register: &mut Register) -> bool {
+        let long_gone = |c: &&NodeEntry| c.phase == Phase::Gone && now.since(c.gone) >= after;
         let Some(contact) = self.known.get(&node).filter(long_gone) else { return false };
         self.by_name.remove(&contact.name);
         self.known.remove(&node);
@@ -115,7 +115,7 @@
         true
     }
 
-    pub fn of(&self, register: &Register, node: NodeIx) -> Option<(NodeNo, &Contact)> {
+    pub fn by_index(&self, register: &Register, node: NodeIx) -> Option<(NodeId, &NodeEntry)> {
         let no = register.node_id(node);
         self.known.get(&no).map(|contact| (no, contact))
     }
--- a/crates/router/src/routing/witness.rs
+++ b/crates/router/src/routing/observer.rs
@@ -7,7 +7,7 @@
 
 /// What became of a download.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Became {
+pub enum DownloadOutcome {
     Fulfilled,
     Throttled,
     Abandoned,
@@ -15,19 +15,26 @@
 }
 
 /// Whoever watches. Calls come from the routing task and from writers of connections, none of them waits.
-pub trait Witness {
+pub trait Observer {
     /// Everything that was told before is taken in; from here on the router goes by this.
-    fn goes_by(&self, marks: &ServiceState, now: Moment);
+    fn on_service_state(&self, marks: &ServiceState, now: Moment);
     /// Whether an order may go out, by the clock as it is now: the process may have been stopped since its turn began.
-    fn may_act(&self) -> bool;
+    fn may_send(&self) -> bool;
     /// When whoever is turned away for that may come again, in milliseconds.
-    fn come_again_ms(&self) -> u64;
+    fn retry_after_ms(&self) -> u64;
     /// `acted`: what [`Witness::acts_by`] said when its last pull went out; none: it had no pull.
-    fn ended(&self, content: ContentIx, became: Became, id: u64, acted: Option<u64>, now: Moment);
+    fn on_download_end(
+        &self,
+        content: ContentIx,
+        became: DownloadOutcome,
+        id: u64,
+        acted: Option<u64>,
+        now: Moment,
+    );
     /// A number for what the router goes by now.
-    fn acts_by(&self) -> u64;
+    fn state_number(&self) -> u64;
     /// Nothing more will come: what is open is to be told before the router ends.
-    fn ends(&self);
+    fn on_shutdown(&self);
     /// A pull goes out to that node; none: nothing of the router is told to it.
-    fn pulled(&self, node: &str, now: Moment) -> Option<AuditMark>;
+    fn on_pull(&self, node: &str, now: Moment) -> Option<AuditMark>;
 }
--- a/crates/router/src/routing/task.rs
+++ b/crates/router/src/routing/task.rs
@@ -1,5 +1,5 @@
 //! Runs a `Routing` on the real clock: two queues in, one turn for all that has come.
-use super::{News, Outward, Routing};
+use super::{Input, Routing, Transport};
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future::or;
@@ -10,13 +10,13 @@
 /// answer is large.
 pub async fn run(
     mut routing: Routing,
-    clients: Receiver<News>,
-    inbox: Receiver<News>,
-    mut outward: impl Outward,
+    clients: Receiver<Input>,
+    inbox: Receiver<Input>,
+    mut transport: impl Transport,
     clock: Clock,
-    most_in_a_turn: usize,
+    max_inputs_per_step: usize,
 ) {
-    let mut news = Vec::with_capacity(most_in_a_turn);
+    let mut inputs = Vec::with_capacity(max_inputs_per_step);
     let mut timer = Timer::never();
     // Setting a timer costs calls to the system, so one that fires too early is left as it is.
     let mut set_for: Option<Moment> = None;
@@ -34,10 +34,10 @@
         if woken.is_none() {
             set_for = None;
         }
-        news.extend(woken);
+        inputs.extend(woken);
         // A client that leaves is heard of before anything is done for it.
-        news.extend(std::iter::from_fn(|| clients.try_recv().ok()));
-        news.extend(std::iter::from_fn(|| inbox.try_recv().ok()).take(most_in_a_turn));
-        routing.step(clock.now(), news.drain(..), &mut outward);
+        inputs.extend(std::iter::from_fn(|| clients.try_recv().ok()));
+        inputs.extend(std::iter::from_fn(|| inbox.try_recv().ok()).take(max_inputs_per_step));
+        routing.step(clock.now(), inputs.drain(..), &mut transport);
     }
 }
--- a/crates/router/src/transport/client.rs
+++ b/crates/router/src/transport/client.rs
@@ -4,7 +4,7 @@
 //! needed least. A connection is ended by a half-close wherever its client may still be writing (docs/crossings.md).
 use super::{SocketReader, Stream, write_packets};
 use crate::program::limits::Limits;
-use crate::routing::{ClientNo, News};
+use crate::routing::{ClientId, Input};
 use async_channel::Sender;
 use async_io::{Async, Timer};
 use event_listener::Event;
@@ -133,15 +133,15 @@
 pub struct Clients {
     limits: Rc<Limits>,
     clock: Clock,
-    news: Sender<News>,
+    news: Sender<Input>,
     log: Logger,
-    connections: RefCell<HashMap<ClientNo, Rc<Connection>>>,
+    connections: RefCell<HashMap<ClientId, Rc<Connection>>>,
     open: Cell<usize>,
     held: Cell<usize>,
     unsent: Cell<usize>,
     /// Lines about clients in the log since the last sweep, those that were left out among them.
     complaints: Cell<u64>,
-    last: Cell<ClientNo>,
+    last: Cell<ClientId>,
     ready: Cell<bool>,
     /// All are to be closed as soon as nothing is open on them.
     ends: Cell<bool>,
@@ -152,7 +152,7 @@
 impl Clients {
     /// `news` is a queue that never fills: what one client puts there between two turns of its reader's is bounded,
     /// and a reader that waited there would not see its client go.
-    pub fn new(limits: Rc<Limits>, clock: Clock, news: Sender<News>, log: Logger) -> Rc<Clients> {
+    pub fn new(limits: Rc<Limits>, clock: Clock, news: Sender<Input>, log: Logger) -> Rc<Clients> {
         Rc::new(Clients {
             limits,
             clock,
@@ -179,7 +179,7 @@
         self.open.get() == 0 && self.unsent.get() == 0
     }
 
-    pub fn open(&self) -> usize {
+    pub fn open_downloads(&self) -> usize {
         self.open.get()
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Waits until no connection is left.
-    pub async fn all_left(&self) {
+    pub async fn wait_all_closed(&self) {
         loop {
             let left = self.left.listen();
             if self.connections.borrow().is_empty() {
@@ -203,7 +203,7 @@
     }
 
     /// Answers a download that is still open; a client that has gone or said never mind gets nothing.
-    pub fn answer(&self, client: ClientNo, tag: u64, answer: &ToClient) {
+    pub fn answer(&self, client: ClientId, tag: u64, answer: &ToClient) {
         let connection = self.connections.borrow().get(&client).cloned();
         let Some(connection) = connection.filter(|connection| self.close_one(connection, tag)) else {
             return;
@@ -247,7 +247,7 @@
     }
 
     /// Guards the log, and the core that writes it, against clients that misbehave by hundreds.
-    fn complain(&self, client: ClientNo, what: &str, why: &str) {
+    fn complain(&self, client: ClientId, what: &str, why: &str) {
         self.complaints.set(self.complaints.get() + 1);
         if self.complaints.get() <= self.limits.complaints {
             info!(self.log, "{}", what; "client" => client, "why" => why);
@@ -298,7 +298,7 @@
             || connection.unsent.get() >= limits.client_unsent_bytes
     }
 
-    fn enter(&self) -> (ClientNo, Rc<Connection>) {
+    fn enter(&self) -> (ClientId, Rc<Connection>) {
         let now = Instant::now();
         let connection = Rc::new(Connection {
             queue: RefCell::default(),
@@ -319,24 +319,24 @@
     }
 
     /// Nothing is owed to this client any more.
-    fn hang_up(&self, client: ClientNo, connection: &Connection) {
+    fn hang_up(&self, client: ClientId, connection: &Connection) {
         let open = connection.open.take().len();
         self.open.set(self.open.get() - open);
         self.held.set(self.held.get() - connection.held.take());
         if open > 0 {
-            self.tell(News::HungUp { client });
+            self.tell(Input::Disconnected { client });
         }
     }
 
     /// Its descriptor is free.
-    fn leave(&self, client: ClientNo) {
+    fn leave(&self, client: ClientId) {
         let Some(connection) = self.connections.borrow_mut().remove(&client) else { return };
         self.unsent.set(self.unsent.get() - connection.unsent.get());
         self.left.notify(usize::MAX);
     }
 
     /// Fails only once the routing task has ended, and the program with it.
-    fn tell(&self, news: News) {
+    fn tell(&self, news: Input) {
         let _ = self.news.try_send(news);
     }
 }
@@ -411,7 +411,7 @@
 
 /// Takes on what the machine has accepted and nobody has seen yet: with its listener such a connection would be reset,
 /// and what had been asked on it would be lost.
-pub fn accept_waiting(clients: &Rc<Clients>, listener: &Async<TcpListener>, executor: &super::Executor) {
+pub fn accept_pending(clients: &Rc<Clients>, listener: &Async<TcpListener>, executor: &super::Executor) {
     while clients.connections.borrow().len() < clients.limits.clients
         && let Ok((stream, _)) = listener.get_ref().accept()
         && let Ok(stream) = Async::new(stream)
@@ -424,7 +424,7 @@
 /// may be dropped half way: by then its client has gone, or is cut off.
 async fn serve(
     clients: Rc<Clients>,
-    no: ClientNo,
+    no: ClientId,
     connection: Rc<Connection>,
     stream: Rc<Stream>,
     executor: super::Executor,
@@ -455,7 +455,7 @@
 /// can't know that its client has gone.
 async fn read(
     clients: &Clients,
-    no: ClientNo,
+    no: ClientId,
     connection: &Connection,
     source: &mut SocketReader<'_>,
 ) -> Read {
@@ -511,7 +511,7 @@
 /// Carries out what a message asks for; gives its tag and the reason where it can't be.
 fn taken_in(
     clients: &Clients,
-    no: ClientNo,
+    no: ClientId,
     connection: &Connection,
     message: FromClient,
 ) -> Option<(u64, &'static str)> {
@@ -524,7 +524,7 @@
         FromClient::Invalid { tag, reason: why } => return Some((tag, why)),
         FromClient::Cancel { tag } => {
             if clients.close_one(connection, tag) {
-                clients.tell(News::NeverMind { client: no, tag });
+                clients.tell(Input::Cancel { client: no, tag });
             }
         }
         FromClient::Download { tag, .. } if connection.open.borrow().len() >= limits.client_open => {
@@ -536,7 +536,7 @@
         }
         FromClient::Download { tag, request: wish } => {
             clients.open_one(connection, tag, wish.body.len() + limits.download_bytes);
-            clients.tell(News::Asked { client: no, tag, wish, at: clients.clock.now() });
+            clients.tell(Input::Download { client: no, tag, wish, at: clients.clock.now() });
         }
     }
     None
--- a/crates/router/src/transport/feed.rs
+++ b/crates/router/src/transport/feed.rs
@@ -5,7 +5,7 @@
 //! each number once all before it is applied. To any other feed it writes nothing but its subscription.
 use super::Stream;
 use crate::program::limits::Limits;
-use crate::routing::News;
+use crate::routing::Input;
 use async_channel::{Receiver, Sender, bounded};
 use async_io::{Async, Timer};
 use event_listener::Event;
@@ -21,14 +21,14 @@
 use std::time::{Duration, Instant};
 
 /// Where the feed is to be found.
-pub struct Place {
+pub struct FeedAddress {
     address: Cell<SocketAddr>,
     moved: Event,
 }
 
-impl Place {
-    pub fn new(address: SocketAddr) -> Rc<Place> {
-        Rc::new(Place { address: Cell::new(address), moved: Event::new() })
+impl FeedAddress {
+    pub fn new(address: SocketAddr) -> Rc<FeedAddress> {
+        Rc::new(FeedAddress { address: Cell::new(address), moved: Event::new() })
     }
 
     /// The connection to the old address is given up at once, whatever it is waiting for.
@@ -39,21 +39,21 @@
     }
 }
 
-pub struct Feed {
+pub struct FeedClient {
     pub limits: Rc<Limits>,
-    pub inbox: Sender<News>,
+    pub inbox: Sender<Input>,
     pub log: Logger,
-    pub place: Rc<Place>,
+    pub address: Rc<FeedAddress>,
     /// The number of the last event that was applied.
-    pub last: u64,
+    pub last_event: u64,
     /// Further addresses of the feed, where it is told by a group: after a break the next one is tried.
-    pub others: VecDeque<SocketAddr>,
+    pub group_addresses: VecDeque<SocketAddr>,
     /// Somebody records what the router goes by.
-    pub marks: bool,
+    pub track_service_state: bool,
     /// Purges that were asked for longer ago do not matter to the core.
-    pub purges_kept: Span,
+    pub purge_retention: Span,
     /// The purges that were passed on, and when the last of them was asked for, by the marks that were heard last.
-    pub had: Option<(u64, u64)>,
+    pub applied_purges: Option<(u64, u64)>,
 }
 
 /// What is to be said to a feed that hears words, on one connection.
@@ -65,39 +65,39 @@
     heard: Cell<bool>,
 }
 
-impl Feed {
+impl FeedClient {
     /// The feed's own address, and those after it, take turns.
     fn turn(&mut self) {
-        if let Some(next) = self.others.pop_front() {
-            self.others.push_back(self.place.address.replace(next));
+        if let Some(next) = self.group_addresses.pop_front() {
+            self.group_addresses.push_back(self.address.address.replace(next));
         }
     }
 }
 
 /// Follows the feed for as long as it is polled, from one address to the next.
-pub async fn follow(mut feed: Feed) {
-    let place = feed.place.clone();
+pub async fn follow(mut feed: FeedClient) {
+    let place = feed.address.clone();
     loop {
         let moved = place.moved.listen();
         or(stay(&mut feed), moved).await;
-        info!(feed.log, "feed moved"; "to" => %place.address.get(), "after" => feed.last);
+        info!(feed.log, "feed moved"; "to" => %place.address.get(), "after" => feed.last_event);
     }
 }
 
 /// Takes the feed up again and again where it is now.
-async fn stay(feed: &mut Feed) {
+async fn stay(feed: &mut FeedClient) {
     let mut broken = false;
     loop {
-        let (before, since) = (feed.last, Instant::now());
+        let (before, since) = (feed.last_event, Instant::now());
         let why = match connect(feed).await {
             Ok(stream) => {
-                info!(feed.log, "feed up"; "after" => feed.last);
+                info!(feed.log, "feed up"; "after" => feed.last_event);
                 let says = Says { core: bounded(1), hears: Event::new(), heard: Cell::new(false) };
-                let had = feed.had.unwrap_or_default();
+                let had = feed.applied_purges.unwrap_or_default();
                 let had = AppliedPurges {
                     number: had.0,
                     at_ms: had.1,
-                    retention_ms: feed.purges_kept.as_micros() / 1_000,
+                    retention_ms: feed.purge_retention.as_micros() / 1_000,
                 };
                 let silence = feed.limits.feed_silence;
                 or(read(feed, &stream, &says), say(&stream, &says, had, silence)).await
@@ -105,23 +105,24 @@
             Err(why) => why,
         };
         // Said once for each break, however long it lasts.
-        if !broken || feed.last != before {
-            warn!(feed.log, "feed down"; "why" => &why, "last" => feed.last);
+        if !broken || feed.last_event != before {
+            warn!(feed.log, "feed down"; "why" => &why, "last" => feed.last_event);
         }
-        broken = feed.last == before;
+        broken = feed.last_event == before;
         feed.turn();
         // What is told counts against the router soon after a break: only a feed that flaps is made to wait.
         Timer::after(feed.limits.feed_pause.saturating_sub(since.elapsed())).await;
     }
 }
 
-async fn connect(feed: &Feed) -> Result<Stream, String> {
-    let up =
-        async { Async::<TcpStream>::connect(feed.place.address.get()).await.map_err(|why| why.to_string()) };
+async fn connect(feed: &FeedClient) -> Result<Stream, String> {
+    let up = async {
+        Async::<TcpStream>::connect(feed.address.address.get()).await.map_err(|why| why.to_string())
+    };
     let silence = feed.limits.feed_silence;
     let stream = within(silence, up).await?;
     within(silence, async {
-        let text = feed::encode_subscribe(feed.last);
+        let text = feed::encode_subscribe(feed.last_event);
         (&stream).write_all(&text).await.map_err(|why| why.to_string())
     })
     .await?;
@@ -162,7 +163,7 @@
     }
 }
 
-async fn read(feed: &mut Feed, mut stream: &Stream, says: &Says) -> String {
+async fn read(feed: &mut FeedClient, mut stream: &Stream, says: &Says) -> String {
     let mut first = true;
     let mut text = Vec::new();
     let mut piece = vec![0; feed.limits.read_buffer];
@@ -185,26 +186,27 @@
                 continue;
             }
             match feed::decode_line(line) {
-                Ok(FeedMessage::Event(n, told)) if n == feed.last + 1 => {
+                Ok(FeedMessage::Event(n, told)) if n == feed.last_event + 1 => {
                     if std::mem::take(&mut first) && feed::accepts_acks(line) {
                         says.heard.set(true);
                         says.hears.notify(1);
                     }
-                    let marks =
-                        (feed.marks || says.heard.get()).then(|| feed::decode_service_state(line)).flatten();
+                    let marks = (feed.track_service_state || says.heard.get())
+                        .then(|| feed::decode_service_state(line))
+                        .flatten();
                     // In this order: a move to another address may end this while it waits for room, and what
                     // was not passed on must be asked for again.
-                    let _ = feed.inbox.send(News::Told(told)).await;
+                    let _ = feed.inbox.send(Input::Feed(told)).await;
                     if let Some(marks) = marks {
                         pass_on(feed, marks, says).await;
                     }
-                    feed.last = n;
+                    feed.last_event = n;
                     heard = Instant::now();
                 }
-                Ok(FeedMessage::Heartbeat(n)) if n == feed.last => heard = Instant::now(),
-                Ok(FeedMessage::Event(n, _)) | Ok(FeedMessage::Heartbeat(n)) if n <= feed.last => {}
+                Ok(FeedMessage::Heartbeat(n)) if n == feed.last_event => heard = Instant::now(),
+                Ok(FeedMessage::Event(n, _)) | Ok(FeedMessage::Heartbeat(n)) if n <= feed.last_event => {}
                 Ok(FeedMessage::Event(n, _)) | Ok(FeedMessage::Heartbeat(n)) => {
-                    return format!("event {n} follows {}", feed.last);
+                    return format!("event {n} follows {}", feed.last_event);
                 }
                 Err(why) => {
                     let start = String::from_utf8_lossy(&line[..line.len().min(80)]);
@@ -219,14 +221,14 @@
     }
 }
 
-async fn pass_on(feed: &mut Feed, marks: ServiceState, says: &Says) {
+async fn pass_on(feed: &mut FeedClient, marks: ServiceState, says: &Says) {
     let purges = marks.purge_number.filter(|_| says.heard.get());
     let at_ms = marks.purged_at_ms.unwrap_or_default();
-    if feed.marks {
-        let _ = feed.inbox.send(News::GoesBy(marks)).await;
+    if feed.track_service_state {
+        let _ = feed.inbox.send(Input::ServiceState(marks)).await;
     }
     if let Some(number) = purges {
-        let _ = feed.inbox.send(News::Confirm { number, to: says.core.0.clone() }).await;
-        feed.had = Some((number, at_ms));
+        let _ = feed.inbox.send(Input::Confirm { number, to: says.core.0.clone() }).await;
+        feed.applied_purges = Some((number, at_ms));
     }
 }
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -4,39 +4,46 @@
 pub mod feed;
 pub mod node;
 
-use crate::routing::nodes::{Contact, NodeNo};
-use crate::routing::{ClientNo, Outward, PullNo};
+use crate::routing::nodes::{NodeEntry, NodeId};
+use crate::routing::{ClientId, PullId, Transport};
 use harestage_sockets::{Executor, SocketReader, Stream, write_packets};
 use harestage_wire::client::ToClient;
 use harestage_wire::{Packet, fields::HexId};
 use std::rc::Rc;
 
 /// Both sides of a router, as the routing task sees them.
-pub struct Outside {
+pub struct SocketTransport {
     pub clients: Rc<client::Clients>,
-    pub nodes: node::Links,
+    pub nodes: node::NodeConnections,
 }
 
-impl Outward for Outside {
-    fn answer(&mut self, client: ClientNo, tag: u64, answer: ToClient) {
+impl Transport for SocketTransport {
+    fn answer(&mut self, client: ClientId, tag: u64, answer: ToClient) {
         self.clients.answer(client, tag, &answer);
     }
-    fn pull(&mut self, node: NodeNo, contact: &Contact, pull: PullNo, id: HexId, packet: Packet) -> bool {
-        self.nodes.pull(node, contact, pull, id, packet)
+    fn send_pull(
+        &mut self,
+        node: NodeId,
+        contact: &NodeEntry,
+        pull: PullId,
+        id: HexId,
+        packet: Packet,
+    ) -> bool {
+        self.nodes.send_pull(node, contact, pull, id, packet)
     }
-    fn cancel(&mut self, node: NodeNo, pull: PullNo) -> bool {
-        self.nodes.cancel(node, pull)
+    fn cancel_pull(&mut self, node: NodeId, pull: PullId) -> bool {
+        self.nodes.cancel_pull(node, pull)
     }
-    fn take_back(&mut self, node: NodeNo, pull: PullNo) -> bool {
-        self.nodes.take_back(node, pull)
+    fn remove_queued(&mut self, node: NodeId, pull: PullId) -> bool {
+        self.nodes.remove_queued(node, pull)
     }
-    fn still_calls_back(&self, node: NodeNo, pull: PullNo) -> bool {
-        self.nodes.still_calls_back(node, pull)
+    fn is_cancel_pending(&self, node: NodeId, pull: PullId) -> bool {
+        self.nodes.is_cancel_pending(node, pull)
     }
-    fn renew(&mut self, node: NodeNo) {
-        self.nodes.renew(node);
+    fn replace_connections(&mut self, node: NodeId) {
+        self.nodes.replace_connections(node);
     }
-    fn forget(&mut self, node: NodeNo) {
-        self.nodes.forget(node);
+    fn forget_node(&mut self, node: NodeId) {
+        self.nodes.forget_node(node);
     }
 }
--- a/crates/router/src/transport/node.rs
+++ b/crates/router/src/transport/node.rs
@@ -2,9 +2,9 @@
 //! takes few others with it; a further one is opened where those are busy, were replaced, or get nowhere.
 use super::{Executor, SocketReader, Stream, write_packets};
 use crate::program::limits::Limits;
-use crate::routing::nodes::{Contact, NodeNo};
-use crate::routing::witness::Witness;
-use crate::routing::{Loss, News, PullNo};
+use crate::routing::nodes::{NodeEntry, NodeId};
+use crate::routing::observer::Observer;
+use crate::routing::{Input, Loss, PullId};
 use async_channel::Sender;
 use async_io::{Async, Timer};
 use event_listener::Event;
@@ -23,9 +23,9 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Message {
-    Pull(PullNo, HexId),
+    Pull(PullId, HexId),
     /// Calls a pull back.
-    Cancel(PullNo),
+    Cancel(PullId),
 }
 
 struct Queued {
@@ -34,14 +34,14 @@
 }
 
 impl Queued {
-    fn pull(&self) -> Option<(PullNo, HexId)> {
+    fn pull(&self) -> Option<(PullId, HexId)> {
         match self.message {
             Message::Pull(pull, id) => Some((pull, id)),
             Message::Cancel(_) => None,
         }
     }
 
-    fn cancel(pull: PullNo, id: HexId) -> Queued {
+    fn cancel(pull: PullId, id: HexId) -> Queued {
         Queued { message: Message::Cancel(pull), packet: node::encode_cancel(id) }
     }
 }
@@ -71,13 +71,13 @@
 struct Connection {
     queue: RefCell<VecDeque<Queued>>,
     /// Pulls that were written whole and wait for their answer, and when that was.
-    written: RefCell<HashMap<HexId, (PullNo, Instant)>>,
+    written: RefCell<HashMap<HexId, (PullId, Instant)>>,
     /// The pull being written, which may still be given up as one that never came whole.
-    writing: Cell<Option<(PullNo, HexId)>>,
+    writing: Cell<Option<(PullId, HexId)>>,
     /// Since when a packet, given up or not, has been on its way out.
     writes: Cell<Option<Instant>>,
     /// Called back, and the cancel is not written yet: until it is, the node may be at work on them.
-    called_back: RefCell<Vec<PullNo>>,
+    called_back: RefCell<Vec<PullId>>,
     spent: RefCell<SpentIds>,
     retired: Cell<bool>,
     ended: Cell<bool>,
@@ -129,13 +129,13 @@
         self.look.notify(usize::MAX);
     }
 
-    fn take_back(&self, pull: PullNo) -> bool {
+    fn remove_queued(&self, pull: PullId) -> bool {
         let mut queue = self.queue.borrow_mut();
         let at = queue.iter().position(|q| q.pull().is_some_and(|(no, _)| no == pull));
         at.and_then(|at| queue.remove(at)).is_some()
     }
 
-    fn call_back(&self, pull: PullNo, id: HexId, most: usize) {
+    fn call_back(&self, pull: PullId, id: HexId, most: usize) {
         self.spent.borrow_mut().spend(id, most);
         self.called_back.borrow_mut().push(pull);
     }
@@ -144,7 +144,7 @@
 /// What every connection's task needs.
 struct Common {
     limits: Rc<Limits>,
-    inbox: Sender<News>,
+    inbox: Sender<Input>,
     log: Logger,
     /// Connections that are wanted, those among them that wait for a descriptor.
     connections: Cell<usize>,
@@ -153,12 +153,12 @@
     /// One of them was given back.
     freed: Event,
     /// The platform's router has none.
-    witness: OnceCell<Rc<dyn Witness>>,
+    observer: OnceCell<Rc<dyn Observer>>,
 }
 
 impl Common {
-    fn may_act(&self) -> bool {
-        self.witness.get().is_none_or(|witness| witness.may_act())
+    fn may_send(&self) -> bool {
+        self.observer.get().is_none_or(|observer| observer.may_send())
     }
 }
 
@@ -193,26 +193,33 @@
 }
 
 /// All connections to nodes.
-pub struct Links {
+pub struct NodeConnections {
     common: Rc<Common>,
     executor: Executor,
-    connections: HashMap<NodeNo, Vec<Rc<Connection>>>,
+    connections: HashMap<NodeId, Vec<Rc<Connection>>>,
 }
 
-impl Links {
-    pub fn new(limits: Rc<Limits>, inbox: Sender<News>, log: Logger, executor: Executor) -> Links {
+impl NodeConnections {
+    pub fn new(limits: Rc<Limits>, inbox: Sender<Input>, log: Logger, executor: Executor) -> NodeConnections {
         let (connections, sockets, freed) = (Cell::new(0), Cell::new(0), Event::new());
         let common =
-            Rc::new(Common { limits, inbox, log, connections, sockets, freed, witness: OnceCell::new() });
-        Links { common, executor, connections: HashMap::new() }
+            Rc::new(Common { limits, inbox, log, connections, sockets, freed, observer: OnceCell::new() });
+        NodeConnections { common, executor, connections: HashMap::new() }
     }
 
     /// From now on nothing is written while this says that the router may not act.
-    pub fn attach(&mut self, witness: Rc<dyn Witness>) {
-        let _ = self.common.witness.set(witness);
-    }
-
-    pub fn pull(&mut self, node: NodeNo, contact: &Contact, pull: PullNo, id: HexId, packet: Packet) -> bool {
+    pub fn set_observer(&mut self, observer: Rc<dyn Observer>) {
+        let _ = self.common.observer.set(observer);
+    }
+
+    pub fn send_pull(
+        &mut self,
+        node: NodeId,
+        contact: &NodeEntry,
+        pull: PullId,
+        id: HexId,
+        packet: Packet,
+    ) -> bool {
         let Some(address) = contact.address else { return false };
         let limits = self.common.limits.clone();
         let connections = self.connections.entry(node).or_default();
@@ -246,7 +253,7 @@
         true
     }
 
-    fn open(&mut self, node: NodeNo, address: SocketAddr, name: String) -> Rc<Connection> {
+    fn open(&mut self, node: NodeId, address: SocketAddr, name: String) -> Rc<Connection> {
         let now = Instant::now();
         let connection = Rc::new(Connection {
             queue: RefCell::default(),
@@ -284,9 +291,9 @@
         true
     }
 
-    pub fn cancel(&mut self, node: NodeNo, pull: PullNo) -> bool {
+    pub fn cancel_pull(&mut self, node: NodeId, pull: PullId) -> bool {
         for connection in self.connections.get(&node).into_iter().flatten() {
-            if connection.take_back(pull) {
+            if connection.remove_queued(pull) {
                 return true;
             }
             let id = connection
@@ -320,12 +327,12 @@
         false
     }
 
-    pub fn take_back(&mut self, node: NodeNo, pull: PullNo) -> bool {
-        self.connections.get(&node).into_iter().flatten().any(|connection| connection.take_back(pull))
+    pub fn remove_queued(&mut self, node: NodeId, pull: PullId) -> bool {
+        self.connections.get(&node).into_iter().flatten().any(|connection| connection.remove_queued(pull))
     }
 
     /// A pull was called back, and the node has not been told yet.
-    pub fn still_calls_back(&self, node: NodeNo, pull: PullNo) -> bool {
+    pub fn is_cancel_pending(&self, node: NodeId, pull: PullId) -> bool {
         let connections = self.connections.get(&node).into_iter().flatten();
         connections
             .filter(|connection| !connection.ended.get())
@@ -333,11 +340,11 @@
     }
 
     /// Its connections end by themselves once their pulls are over.
-    pub fn forget(&mut self, node: NodeNo) {
+    pub fn forget_node(&mut self, node: NodeId) {
         self.connections.remove(&node);
     }
 
-    pub fn renew(&mut self, node: NodeNo) {
+    pub fn replace_connections(&mut self, node: NodeId) {
         for connection in self.connections.get(&node).into_iter().flatten() {
             connection.retire();
         }
@@ -379,18 +386,22 @@
     }
     connection.ended.set(true);
     common.connections.set(common.connections.get() - 1);
-    let written: Vec<_> =
-        connection.written.borrow_mut().drain().map(|(_, (pull, _))| (pull, Loss::Broken)).collect();
-    let half = connection.writing.take().map(|(pull, _)| (pull, Loss::NeverLeft));
+    let written: Vec<_> = connection
+        .written
+        .borrow_mut()
+        .drain()
+        .map(|(_, (pull, _))| (pull, Loss::ConnectionBroken))
+        .collect();
+    let half = connection.writing.take().map(|(pull, _)| (pull, Loss::NotSent));
     let queued: Vec<_> = connection.queue.borrow_mut().drain(..).filter_map(|q| q.pull()).collect();
-    let queued = queued.into_iter().map(|(pull, _)| (pull, Loss::NeverLeft));
+    let queued = queued.into_iter().map(|(pull, _)| (pull, Loss::NotSent));
     let mut lost: Vec<_> = written.into_iter().chain(half).chain(queued).collect();
     lost.sort_unstable_by_key(|(pull, _)| *pull);
-    if lost.iter().any(|(_, loss)| *loss == Loss::Broken) {
+    if lost.iter().any(|(_, loss)| *loss == Loss::ConnectionBroken) {
         info!(common.log, "node connection broke with pulls on it"; "node" => &name, "pulls" => lost.len());
     }
     for (pull, loss) in lost {
-        let _ = common.inbox.send(News::Lost { pull, loss }).await;
+        let _ = common.inbox.send(Input::Lost { pull, loss }).await;
     }
 }
 
@@ -416,7 +427,7 @@
                     let without_bytes =
                         (answer.status == AnswerStatus::NotModified).then(|| node::decode_copy_tag(&items));
                     let names = without_bytes.flatten().map(|copy| copy.digest);
-                    let _ = common.inbox.send(News::Answered { pull, answer, names }).await;
+                    let _ = common.inbox.send(Input::Answered { pull, answer, copy_digest: names }).await;
                 }
             }
             Ok(None) => {
@@ -451,7 +462,7 @@
             Message::Pull(pull, id) => Some((pull, id)),
             Message::Cancel(_) => None,
         };
-        if pull.is_some() && !common.may_act() {
+        if pull.is_some() && !common.may_send() {
             // It has not left, and proves so by its end.
             connection.queue.borrow_mut().push_front(Queued { message, packet });
             return "this router may not act".into();
@@ -465,9 +476,9 @@
         let packets = [packet];
         let whole =
             async { write_packets(&placed.stream, &packets, |_| {}).await.map_err(|why| why.to_string()) };
-        let wrote = match common.witness.get() {
+        let wrote = match common.observer.get() {
             None => whole.await,
-            Some(witness) => or(lapse(witness.as_ref()), whole).await,
+            Some(observer) => or(lapse(observer.as_ref()), whole).await,
         };
         connection.writes.set(None);
         connection.busy.set(Instant::now());
@@ -497,8 +508,8 @@
 }
 
 /// Ends a write whose right has run out half way: what was not written whole never runs.
-async fn lapse(witness: &dyn Witness) -> Result<(), String> {
-    while witness.may_act() {
+async fn lapse(observer: &dyn Observer) -> Result<(), String> {
+    while observer.may_send() {
         Timer::after(LAPSE).await;
     }
     Err("this router may not act".into())
--- a/crates/router/tests/words.rs
+++ b/crates/router/tests/feed_acks.rs
@@ -1,14 +1,14 @@
 //! What a router says to its feed of the purges that it has: to one of ours alone, and no earlier than it is so.
-mod bed;
+mod fixture;
 
 use async_channel::bounded;
 use async_executor::LocalExecutor;
 use async_io::{Timer, block_on};
-use bed::{Bed, LONG, Reply, subscribed};
+use fixture::{Fixture, LONG, Reply, subscribed};
 use harestage::time::Span;
 use harestage_profile::Outside;
 use harestage_router::program::limits::Limits;
-use harestage_router::routing::News;
+use harestage_router::routing::Input;
 use harestage_router::transport::feed;
 use serde_json::{Value, json};
 use slog::{Discard, Logger, o};
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_feed_that_hears_no_words_is_written_nothing_but_the_subscription() {
-    let bed = Bed::open(1, None, good);
+    let bed = Fixture::open(1, None, good);
     let (mut platform, line) = subscribed(&bed.feed);
     assert_eq!(line, "SUB 1\n");
     let group = json!({"n": 3, "purge": {"group": 5, "at": 1}});
@@ -105,7 +105,7 @@
 
 #[test]
 fn a_router_says_what_it_has_and_after_a_break_what_it_had() {
-    let mut bed = Bed::open(1, None, good);
+    let mut bed = Fixture::open(1, None, good);
     let (mut stream, _) = subscribed(&bed.feed);
     stream.write_all(hears(2).as_bytes()).unwrap();
     assert_eq!(line(&mut stream), "HAS 0 at 0 keeps 6000\n");
@@ -139,7 +139,7 @@
 /// Stopped with a purge and its marks in its socket, it says nothing of them; woken it takes them first.
 #[test]
 fn a_router_that_is_stopped_says_nothing_until_it_goes_on() {
-    let bed = Bed::open(1, None, good);
+    let bed = Fixture::open(1, None, good);
     let (mut stream, _) = subscribed(&bed.feed);
     stream.write_all((hears(2) + &marks(3, 1, 70)).as_bytes()).unwrap();
     assert_eq!(line(&mut stream) + &line(&mut stream), "HAS 0 at 0 keeps 6000\nHAS 1\n");
@@ -177,16 +177,16 @@
         longest_retry_after: Span::millis(500),
         longest_wait: Span::millis(3_000),
     };
-    let follows = feed::Feed {
+    let follows = feed::FeedClient {
         limits: Rc::new(Limits::new(192, 1_024, &outside)),
         inbox,
         log: Logger::root(Discard, o!()),
-        place: feed::Place::new(listener.local_addr().unwrap()),
-        last: 4,
-        others: VecDeque::new(),
-        marks: false,
-        purges_kept: Span::millis(250),
-        had: None,
+        address: feed::FeedAddress::new(listener.local_addr().unwrap()),
+        last_event: 4,
+        group_addresses: VecDeque::new(),
+        track_service_state: false,
+        purge_retention: Span::millis(250),
+        applied_purges: None,
     };
     block_on(executor.run(async {
         let follows = executor.spawn(feed::follow(follows));
@@ -205,7 +205,7 @@
         stream.write_all(text.as_bytes()).unwrap();
         let mut confirms = Vec::new();
         while confirms.len() < 3 {
-            if let News::Confirm { number, to } = news.recv().await.unwrap() {
+            if let Input::Confirm { number, to } = news.recv().await.unwrap() {
                 confirms.push((number, to));
             }
         }
--- a/crates/router/tests/links.rs
+++ b/crates/router/tests/node_connections.rs
@@ -6,9 +6,9 @@
 use harestage::time::{Moment, Span};
 use harestage_profile::{Kinds, Outside};
 use harestage_router::program::limits::Limits;
-use harestage_router::routing::nodes::{Contact, Contacts};
-use harestage_router::routing::{Loss, News};
-use harestage_router::transport::node::Links;
+use harestage_router::routing::nodes::{NodeEntry, NodeTable};
+use harestage_router::routing::{Input, Loss};
+use harestage_router::transport::node::NodeConnections;
 use harestage_wire::feed::{Member, MemberState};
 use harestage_wire::{Packet, fields::HexId, resp::encode_head};
 use slog::{Discard, Logger, o};
@@ -39,10 +39,10 @@
 }
 
 /// Sends pulls of these sizes, numbered from 1, to a node that accepts and reads nothing; then `look` has its say.
-fn play(sizes: &[usize], look: impl AsyncFnOnce(&mut Links, TcpStream)) -> Vec<(u64, Loss)> {
+fn play(sizes: &[usize], look: impl AsyncFnOnce(&mut NodeConnections, TcpStream)) -> Vec<(u64, Loss)> {
     play_on(usize::MAX, async |links, contact, listener| {
         for (pull, size) in (1..).zip(sizes) {
-            assert!(links.pull(0, contact, pull, id(pull), packet(*size)));
+            assert!(links.send_pull(0, contact, pull, id(pull), packet(*size)));
         }
         // Connecting goes on only while this waits.
         Timer::after(SHORT).await;
@@ -52,9 +52,12 @@
 }
 
 /// Plays against one node whose connections carry a few pulls each; gives the pulls that were lost.
-fn play_on(few: usize, script: impl AsyncFnOnce(&mut Links, &Contact, &TcpListener)) -> Vec<(u64, Loss)> {
+fn play_on(
+    few: usize,
+    script: impl AsyncFnOnce(&mut NodeConnections, &NodeEntry, &TcpListener),
+) -> Vec<(u64, Loss)> {
     let lost = play_within(few, usize::MAX, script).into_iter().map(|news| match news {
-        News::Lost { pull, loss } => (pull, loss),
+        Input::Lost { pull, loss } => (pull, loss),
         other => panic!("{other:?}"),
     });
     lost.collect()
@@ -64,8 +67,8 @@
 fn play_within(
     few: usize,
     connections: usize,
-    script: impl AsyncFnOnce(&mut Links, &Contact, &TcpListener),
-) -> Vec<News> {
+    script: impl AsyncFnOnce(&mut NodeConnections, &NodeEntry, &TcpListener),
+) -> Vec<Input> {
     let outside = Outside {
         contents: vec![],
         zones: vec![],
@@ -81,15 +84,15 @@
     let (name, zone, kind) = ("s-1".into(), String::new(), String::new());
     let (address, state) = (listener.local_addr().unwrap().to_string(), MemberState::Ready);
     let member = Member { name, address, zone, kind, cell: 0, state, scale: 1.0, since_ms: 0 };
-    let mut contacts = Contacts::default();
+    let mut contacts = NodeTable::default();
     let (kinds, now) = (Kinds { parent: None, origin: None }, Moment::at_micros(1));
-    contacts.enter(&member, &mut Register::default(), kinds, &outside, now);
+    contacts.apply(&member, &mut Register::default(), kinds, &outside, now);
     let executor = Rc::new(LocalExecutor::new());
     let (inbox, news) = async_channel::bounded(64);
     let usual = Limits::new(192, 1_024, &outside);
     let node_connections = connections.min(usual.node_connections);
     let limits = Rc::new(Limits { node_few: few, node_connections, ..usual });
-    let mut links = Links::new(limits, inbox, Logger::root(Discard, o!()), executor.clone());
+    let mut links = NodeConnections::new(limits, inbox, Logger::root(Discard, o!()), executor.clone());
     block_on(executor.run(async {
         script(&mut links, contacts.get(0).unwrap(), &listener).await;
         Timer::after(SHORT).await;
@@ -101,18 +104,18 @@
 #[test]
 fn a_break_proves_something_only_of_what_was_not_written_whole() {
     let lost = play(&[10, HUGE, 10], async |_, node| drop(node));
-    assert_eq!(lost, [(1, Loss::Broken), (2, Loss::NeverLeft), (3, Loss::NeverLeft)]);
+    assert_eq!(lost, [(1, Loss::ConnectionBroken), (2, Loss::NotSent), (3, Loss::NotSent)]);
 }
 
 #[test]
 fn giving_up_proves_something_only_of_what_was_still_queued() {
     let lost = play(&[10, HUGE, 10, 10], async |links, node| {
-        assert!(!links.take_back(0, 1) && !links.take_back(0, 2), "both have left");
-        assert!(links.take_back(0, 3) && links.cancel(0, 4), "not a byte of these has");
-        assert!(!links.cancel(0, 1) && !links.cancel(0, 2), "these may run yet");
-        assert!(!links.cancel(0, 1), "given up already");
+        assert!(!links.remove_queued(0, 1) && !links.remove_queued(0, 2), "both have left");
+        assert!(links.remove_queued(0, 3) && links.cancel_pull(0, 4), "not a byte of these has");
+        assert!(!links.cancel_pull(0, 1) && !links.cancel_pull(0, 2), "these may run yet");
+        assert!(!links.cancel_pull(0, 1), "given up already");
         assert!(
-            links.still_calls_back(0, 1) && links.still_calls_back(0, 2),
+            links.is_cancel_pending(0, 1) && links.is_cancel_pending(0, 2),
             "the node has heard of neither"
         );
         drop(node);
@@ -126,7 +129,7 @@
 fn what_is_given_up_while_it_is_written_is_called_back_once_it_is_whole() {
     let mut read = Vec::new();
     play(&[HUGE], async |links, mut node| {
-        assert!(!links.cancel(0, 1));
+        assert!(!links.cancel_pull(0, 1));
         let reader = std::thread::spawn(move || {
             node.set_read_timeout(Some(Duration::from_millis(400))).unwrap();
             let _ = node.read_to_end(&mut read);
@@ -146,7 +149,7 @@
 fn a_connection_carries_a_few_pulls_and_takes_only_those_with_it() {
     let mut nodes = Vec::new();
     let lost = play_on(3, async |links, contact, listener| {
-        (1..=7).for_each(|pull| assert!(links.pull(0, contact, pull, id(pull), packet(10))));
+        (1..=7).for_each(|pull| assert!(links.send_pull(0, contact, pull, id(pull), packet(10))));
         Timer::after(SHORT).await;
         listener.set_nonblocking(true).unwrap();
         nodes.extend(std::iter::from_fn(|| listener.accept().ok()).map(|(node, _)| node));
@@ -155,16 +158,16 @@
         Timer::after(SHORT).await;
     });
     assert_eq!(lost.len(), 3);
-    assert!(lost.iter().all(|(_, loss)| *loss == Loss::Broken));
+    assert!(lost.iter().all(|(_, loss)| *loss == Loss::ConnectionBroken));
 }
 
 #[test]
 fn one_id_is_never_open_twice_on_a_connection() {
     let mut nodes = Vec::new();
     let lost = play_on(3, async |links, contact, listener| {
-        (1..=2).for_each(|pull| assert!(links.pull(0, contact, pull, id(7), packet(10))));
+        (1..=2).for_each(|pull| assert!(links.send_pull(0, contact, pull, id(7), packet(10))));
         Timer::after(SHORT).await;
-        assert!(links.pull(0, contact, 3, id(7), packet(10)), "the two are written now");
+        assert!(links.send_pull(0, contact, 3, id(7), packet(10)), "the two are written now");
         Timer::after(SHORT).await;
         listener.set_nonblocking(true).unwrap();
         nodes.extend((0..4).map_while(|_| listener.accept().ok()));
@@ -177,14 +180,14 @@
 fn a_connection_whose_node_takes_nothing_gets_nothing_more() {
     let mut nodes = Vec::new();
     let lost = play_on(3, async |links, contact, listener| {
-        assert!(links.pull(0, contact, 1, id(1), packet(HUGE)));
+        assert!(links.send_pull(0, contact, 1, id(1), packet(HUGE)));
         Timer::after(Duration::from_millis(400)).await;
         nodes.push(listener.accept().unwrap().0);
         listener.set_nonblocking(true).unwrap();
-        assert!(links.pull(0, contact, 2, id(2), packet(10)));
+        assert!(links.send_pull(0, contact, 2, id(2), packet(10)));
         Timer::after(SHORT).await;
         nodes.push(listener.accept().expect("the second goes over another").0);
-        assert!(!links.cancel(0, 1), "half of it is out");
+        assert!(!links.cancel_pull(0, 1), "half of it is out");
         Timer::after(SHORT).await;
         let mut first = &nodes[0];
         first.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
@@ -201,7 +204,7 @@
     let head = begun_answer(1);
     let mut nodes = Vec::new();
     let lost = play_on(3, async |links, contact, listener| {
-        assert!(links.pull(0, contact, 1, id(1), packet(10)));
+        assert!(links.send_pull(0, contact, 1, id(1), packet(10)));
         Timer::after(SHORT).await;
         nodes.push(listener.accept().unwrap().0);
         let mut node = &nodes[0];
@@ -211,12 +214,12 @@
             Timer::after(SHORT).await;
         }
         listener.set_nonblocking(true).unwrap();
-        assert!(links.pull(0, contact, 2, id(2), packet(10)));
+        assert!(links.send_pull(0, contact, 2, id(2), packet(10)));
         Timer::after(SHORT).await;
         nodes.push(listener.accept().expect("the second goes over another").0);
         Timer::after(Duration::from_millis(1_200)).await;
     });
-    assert_eq!(lost, [(1, Loss::Broken)]);
+    assert_eq!(lost, [(1, Loss::ConnectionBroken)]);
 }
 
 /// Guards against a node that takes nothing while a pull there is called back: until it is told, or its connection
@@ -224,24 +227,24 @@
 #[test]
 fn a_pull_is_called_back_once_its_node_was_told() {
     let lost = play(&[10], async |links, node| {
-        assert!(!links.cancel(0, 1));
-        assert!(links.still_calls_back(0, 1), "the cancel has only just been queued");
+        assert!(!links.cancel_pull(0, 1));
+        assert!(links.is_cancel_pending(0, 1), "the cancel has only just been queued");
         Timer::after(SHORT).await;
-        assert!(!links.still_calls_back(0, 1));
+        assert!(!links.is_cancel_pending(0, 1));
         drop(node);
     });
     assert_eq!(lost, []);
     let lost = play(&[10, HUGE], async |links, mut node| {
-        assert!(!links.cancel(0, 1));
+        assert!(!links.cancel_pull(0, 1));
         Timer::after(SHORT).await;
-        assert!(links.still_calls_back(0, 1), "it waits behind what the node does not take");
+        assert!(links.is_cancel_pending(0, 1), "it waits behind what the node does not take");
         Timer::after(Duration::from_millis(900)).await;
-        assert!(!links.still_calls_back(0, 1));
+        assert!(!links.is_cancel_pending(0, 1));
         node.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
         let read = std::io::copy(&mut node, &mut std::io::sink()).expect("ended, not left open");
         assert!(read < HUGE as u64, "{read}");
     });
-    assert_eq!(lost, [(2, Loss::NeverLeft)]);
+    assert_eq!(lost, [(2, Loss::NotSent)]);
 }
 
 /// A node answers one pull twice. The second answer must not pass for that to the next pull of the same download.
@@ -249,12 +252,12 @@
 fn a_second_answer_is_nobodys() {
     let mut nodes = Vec::new();
     let told = play_within(3, usize::MAX, async |links, contact, listener| {
-        assert!(links.pull(0, contact, 1, id(1), packet(10)));
+        assert!(links.send_pull(0, contact, 1, id(1), packet(10)));
         Timer::after(SHORT).await;
         nodes.push(listener.accept().unwrap().0);
         (&nodes[0]).write_all(answer(1, "EIO").as_bytes()).unwrap();
         Timer::after(SHORT).await;
-        assert!(links.pull(0, contact, 2, id(1), packet(10)));
+        assert!(links.send_pull(0, contact, 2, id(1), packet(10)));
         Timer::after(SHORT).await;
         (&nodes[0]).write_all(answer(1, "ACK").as_bytes()).unwrap();
         Timer::after(SHORT).await;
@@ -264,7 +267,7 @@
     let told: Vec<u64> = told
         .iter()
         .map(|news| match news {
-            News::Answered { pull, .. } => *pull,
+            Input::Answered { pull, .. } => *pull,
             other => panic!("{other:?}"),
         })
         .collect();
@@ -298,7 +301,7 @@
         listener.set_nonblocking(true).unwrap();
         // Two connections to as many nodes, both at rest.
         for node in 0..2 {
-            assert!(links.pull(node, contact, u64::from(node), id(u64::from(node)), packet(10)));
+            assert!(links.send_pull(node, contact, u64::from(node), id(u64::from(node)), packet(10)));
             Timer::after(SHORT).await;
             nodes.push(listener.accept().unwrap().0);
             (&nodes[node as usize]).write_all(answer(node.into(), "ACK").as_bytes()).unwrap();
@@ -307,9 +310,9 @@
         // Two more in one turn: both of the idle ones give way, and there is no place for a third.
         let usual = no_more_files();
         for node in 2..4 {
-            assert!(links.pull(node, contact, u64::from(node), id(u64::from(node)), packet(10)));
+            assert!(links.send_pull(node, contact, u64::from(node), id(u64::from(node)), packet(10)));
         }
-        assert!(!links.pull(4, contact, 4, id(4), packet(10)), "none is idle");
+        assert!(!links.send_pull(4, contact, 4, id(4), packet(10)), "none is idle");
         Timer::after(SHORT).await;
         setrlimit(Resource::Nofile, usual).unwrap();
         nodes.extend(std::iter::from_fn(|| listener.accept().ok()).map(|(node, _)| node));
@@ -326,7 +329,7 @@
     play_within(3, usize::MAX, async |links, contact, listener| {
         listener.set_nonblocking(true).unwrap();
         for pull in 1..=4 {
-            assert!(links.pull(0, contact, pull, id(1), packet(10)));
+            assert!(links.send_pull(0, contact, pull, id(1), packet(10)));
             Timer::after(SHORT).await;
             nodes.push(listener.accept().expect("over another").0);
             nodes.last_mut().unwrap().write_all(answer.as_bytes()).unwrap();
@@ -347,7 +350,7 @@
 fn a_pull_is_not_written_to_a_connection_that_has_been_closed_at_rest() {
     let answer = answer(1, "ACK");
     let told = play_within(3, usize::MAX, async |links, contact, listener| {
-        assert!(links.pull(0, contact, 1, id(1), packet(10)));
+        assert!(links.send_pull(0, contact, 1, id(1), packet(10)));
         Timer::after(SHORT).await;
         let mut node = listener.accept().unwrap().0;
         node.write_all(answer.as_bytes()).unwrap();
@@ -355,12 +358,12 @@
         // Nothing runs between the pull and the close, and the writer comes first then: its turn is queued already.
         let mut all = [0; 128];
         let _ = node.read(&mut all).unwrap();
-        assert!(links.pull(0, contact, 2, id(2), packet(10)));
+        assert!(links.send_pull(0, contact, 2, id(2), packet(10)));
         drop(node);
         Timer::after(SHORT).await;
     });
     assert!(
-        matches!(told[..], [News::Answered { pull: 1, .. }, News::Lost { pull: 2, loss: Loss::NeverLeft }]),
+        matches!(told[..], [Input::Answered { pull: 1, .. }, Input::Lost { pull: 2, loss: Loss::NotSent }]),
         "{told:?}"
     );
 }
@@ -372,7 +375,7 @@
     let head = begun_answer(1);
     let mut nodes = Vec::new();
     let lost = play_on(3, async |links, contact, listener| {
-        assert!(links.pull(0, contact, 1, id(1), packet(10)));
+        assert!(links.send_pull(0, contact, 1, id(1), packet(10)));
         Timer::after(SHORT).await;
         nodes.push(listener.accept().unwrap().0);
         (&nodes[0]).write_all(head.as_bytes()).unwrap();
@@ -381,10 +384,10 @@
             Timer::after(Duration::from_millis(100)).await;
         }
         listener.set_nonblocking(true).unwrap();
-        assert!(links.pull(0, contact, 2, id(2), packet(10)));
+        assert!(links.send_pull(0, contact, 2, id(2), packet(10)));
         Timer::after(SHORT).await;
         nodes.push(listener.accept().expect("the second goes over another").0);
-        assert!(!links.cancel(0, 1));
+        assert!(!links.cancel_pull(0, 1));
         Timer::after(Duration::from_millis(700)).await;
         let mut first = &nodes[0];
         first.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/races.rs
@@ -1,8 +1,8 @@
 //! Two events that cross, forced on sockets: each test waits for what shows that the first has happened before it
 //! brings about the second. docs/crossings.md has the table of them.
-mod bed;
+mod fixture;
 
-use bed::{BOUNDS, Bed, Client, LONG, Reply, receive, send, subscribed};
+use fixture::{BOUNDS, Client, Fixture, LONG, Reply, receive, send, subscribed};
 use harestage_wire::resp::Decoder;
 use serde_json::json;
 use std::io::{Read, Write};
@@ -46,7 +46,7 @@
 /// A message that is half in when connections begin to be closed is waited for, and answered.
 #[test]
 fn half_a_request_at_the_shutdown_is_answered_once_it_is_whole() {
-    let mut bed = Bed::open(1, None, good);
+    let mut bed = Fixture::open(1, None, good);
     let (mut rests, mut half) = (bed.client(), bed.client());
     is_read(&mut rests);
     is_read(&mut half);
@@ -65,7 +65,7 @@
 /// A request that is read after the half-close can't be answered, so that it must not be sent on.
 #[test]
 fn nothing_that_comes_after_the_half_close_is_sent_on() {
-    let mut bed = Bed::open(1, None, silent_on_one);
+    let mut bed = Fixture::open(1, None, silent_on_one);
     let (mut rests, mut waits) = (bed.client(), bed.client());
     is_read(&mut rests);
     waits.ask(1, "clip", 1, 2_000, "");
@@ -82,7 +82,7 @@
 /// Several requests in one write just after the signal, and one more behind their answers.
 #[test]
 fn requests_written_together_at_the_signal_are_all_answered() {
-    let mut bed = Bed::open(1, None, good);
+    let mut bed = Fixture::open(1, None, good);
     let mut client = bed.client();
     is_read(&mut client);
     bed.signal("-TERM");
@@ -101,7 +101,7 @@
 /// time comes to stop listening.
 #[test]
 fn a_connection_accepted_in_the_last_moment_is_served() {
-    let mut bed = Bed::open(1, None, good);
+    let mut bed = Fixture::open(1, None, good);
     bed.signal("-TERM");
     bed.signal("-STOP");
     let mut late = bed.client();
@@ -117,7 +117,7 @@
 /// A kill comes as long after the signal as the longest deadline of the settings and a little more.
 #[test]
 fn a_shorter_deadline_ends_a_restart_sooner() {
-    let mut bed = Bed::open(1, None, |_, _| Reply::Silence);
+    let mut bed = Fixture::open(1, None, |_, _| Reply::Silence);
     for class in bed.config["settings"]["Classes"].as_array_mut().unwrap() {
         class["HardLimit"] = json!(1_000_000);
     }
@@ -134,7 +134,7 @@
 }
 
 /// A client that reads slowly, as its machine has little room for it.
-fn narrow_client(bed: &Bed) -> Client {
+fn narrow_client(bed: &Fixture) -> Client {
     use rustix::net::{AddressFamily, SocketType, connect, socket, sockopt};
     let socket = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     sockopt::set_socket_recv_buffer_size(&socket, 4_096).unwrap();
@@ -147,7 +147,7 @@
 /// close over bytes that nobody reads would reset the connection, and the answer would never be whole.
 #[test]
 fn an_answer_that_is_still_on_its_way_survives_what_its_client_writes() {
-    let bed = Bed::open(1, None, |_, _| Reply::Say("ACK", "res=HIT", vec![7; 240_000]));
+    let bed = Fixture::open(1, None, |_, _| Reply::Say("ACK", "res=HIT", vec![7; 240_000]));
     let mut client = narrow_client(&bed);
     client.ask(1, "clip", 2, 2_000, "");
     client.stream.write_all(b"what is this\r\n").unwrap();
@@ -166,7 +166,7 @@
 /// What was asked before unreadable bytes keeps its answer, and more of those bytes do not cost it by a reset.
 #[test]
 fn sound_requests_before_unreadable_bytes_keep_their_answers() {
-    let bed = Bed::open(1, None, |_, fields| match fields {
+    let bed = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => Reply::After(300, "ACK"),
         _ => Reply::Say("ACK", "res=HIT", vec![7; 240_000]),
     });
@@ -192,7 +192,7 @@
 /// The router holds back what it reads for a client that takes no answers, and still hears that it cancels.
 #[test]
 fn a_cancel_is_heard_of_a_client_that_takes_no_answers() {
-    let bed = Bed::open(1, None, |_, fields| match fields {
+    let bed = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => Reply::Silence,
         _ => Reply::Say("ACK", "res=HIT", vec![7; 240_000]),
     });
@@ -227,7 +227,7 @@
 /// An answer is on its way when its client gives up: nothing more is said of it, and the connection serves on.
 #[test]
 fn a_cancel_that_crosses_its_answer_ends_nothing() {
-    let bed = Bed::open(1, None, good);
+    let bed = Fixture::open(1, None, good);
     let mut client = bed.client();
     assert_eq!(client.fetch(1, "clip", 2, "").0, "ACK");
     client.send(&[b"NEVERMIND", b"1"]);
@@ -238,7 +238,7 @@
 #[test]
 fn what_waited_for_a_late_connection_is_not_sent_once_its_client_has_left() {
     let late = LateNode::open();
-    let mut bed = Bed::open(1, None, good);
+    let mut bed = Fixture::open(1, None, good);
     bed.config["settings"]["Allowed"]["ConnectTimeout"] = json!(3_000_000);
     bed.config["known"]["events"][0]["members"]["endpoints"][0]["address"] = json!(late.address);
     bed.restart();
@@ -302,7 +302,7 @@
 /// A cache answers one pull twice. The second answer must not pass for that of the next pull of this download.
 #[test]
 fn a_copy_that_another_one_is_named_for_is_not_called_current() {
-    let bed = Bed::open(1, None, |_, fields| match fields {
+    let bed = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => {
             Reply::Say("NOMOD", "res=HIT,digest=00000000000000aa,dated=1", vec![])
         }
@@ -320,7 +320,7 @@
 #[test]
 fn a_feed_that_trickles_without_a_beat_is_left() {
     for piece in [&b"\n"[..], b" ", b"  \r\n", b"0\n"] {
-        let bed = Bed::open(1, None, good);
+        let bed = Fixture::open(1, None, good);
         let (mut stream, line) = subscribed(&bed.feed);
         assert_eq!(line, "SUB 1\n");
         let (over, stop) = mpsc::channel::<()>();
@@ -336,7 +336,7 @@
 /// A feed that beats stays: only what says nothing is left.
 #[test]
 fn a_feed_that_beats_is_not_left() {
-    let bed = Bed::open(1, None, good);
+    let bed = Fixture::open(1, None, good);
     let (mut stream, _) = subscribed(&bed.feed);
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(4_000) {
@@ -350,7 +350,7 @@
 /// The feed breaks in the middle of an event: it is told again as a whole, and applied once.
 #[test]
 fn an_event_cut_in_two_is_asked_for_again() {
-    let bed = Bed::open(2, None, good);
+    let bed = Fixture::open(2, None, good);
     let (mut stream, _) = subscribed(&bed.feed);
     let gone = json!({"n": 2, "members": {"index": 2, "snapshot": false, "endpoints": [
         {"name": "s-00000000", "address": "", "zone": "here", "type": "std", "group": 0, "status": "Terminating",
@@ -376,7 +376,7 @@
 /// Idle clients hold all the connections that they may while the feed is away: it is reached again, and so is a cache.
 #[test]
 fn idle_clients_keep_neither_the_feed_nor_caches_away() {
-    let mut bed = Bed::open(1, None, good);
+    let mut bed = Fixture::open(1, None, good);
     // Nobody listens at the feed's address while the router starts, and it is ready all the same.
     let address = bed.feed.local_addr().unwrap();
     bed.feed = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -395,7 +395,7 @@
 #[test]
 fn what_was_asked_by_a_client_that_has_left_is_not_sent_on() {
     for connected in [true, false] {
-        let bed = Bed::open(1, None, good);
+        let bed = Fixture::open(1, None, good);
         let mut before = bed.client();
         // So that a connection to the cache is there, and nothing would have to wait for one.
         assert_eq!(before.fetch(9, "clip", 2, "").0, "ACK");
@@ -418,7 +418,7 @@
 #[test]
 fn an_idle_connection_that_its_cache_has_closed_is_not_written_to() {
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut bed = Bed::open(1, None, good);
+    let mut bed = Fixture::open(1, None, good);
     bed.config["known"]["events"][0]["members"]["endpoints"][0]["address"] =
         json!(node.local_addr().unwrap().to_string());
     bed.restart();
@@ -457,7 +457,7 @@
 /// Much at once and gone: nothing of it is at work a moment later.
 #[test]
 fn what_a_client_left_behind_is_called_back() {
-    let bed = Bed::open(1, None, |_, _| Reply::Silence);
+    let bed = Fixture::open(1, None, |_, _| Reply::Silence);
     let client = bed.client();
     (1..=8).for_each(|tag| client.ask(tag, "clip", tag, 9_000, ""));
     bed.saw("serve", 8);
@@ -468,7 +468,7 @@
 /// A deduped download carries the key by which its repeat is known: without it nodes could tell neither.
 #[test]
 fn the_key_of_a_deduped_download_goes_on_with_each_of_its_pulls() {
-    let bed = Bed::open(2, None, |_, _| Reply::Say("EIO", "-", vec![]));
+    let bed = Fixture::open(2, None, |_, _| Reply::Say("EIO", "-", vec![]));
     let mut client = bed.client();
     let key = "8ea629a4f8df4235720770bec72bcf5f";
     assert_ne!(client.fetch(1, "clip", 3, &format!(",k={key}")).0, "ACK");
--- a/crates/router/tests/sockets.rs
+++ b/crates/router/tests/sockets.rs
@@ -1,8 +1,8 @@
 //! The program on loopback, between small stand-ins for clients, caches and the feed.
-mod bed;
+mod fixture;
 
-use bed::{Bed, Client, Reply, launch, start, start_with, subscribed};
 use bytes::Bytes;
+use fixture::{Client, Fixture, Reply, launch, start, start_with, subscribed};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -13,7 +13,7 @@
 fn downloads_are_fulfilled_throttled_and_abandoned() {
     let large: Vec<u8> = (0..240_000u32).map(|n| (n * 7 + n / 251) as u8).collect();
     let body = large.clone();
-    let bed = Bed::open(2, None, move |_, fields| match fields {
+    let bed = Fixture::open(2, None, move |_, fields| match fields {
         f if f.contains("kind=filing") => Reply::Say("EIO", "-", vec![]),
         f if f.contains("obj=0000000000000001") => {
             Reply::Say("ACK", "res=HIT,first=0,digest=aa", body.clone())
@@ -43,11 +43,11 @@
 /// A reset after the write proves nothing; a refused connection proves that nothing ran.
 #[test]
 fn a_filing_goes_elsewhere_only_when_its_connection_was_refused() {
-    let bed = Bed::open(2, None, |_, _| Reply::Close);
+    let bed = Fixture::open(2, None, |_, _| Reply::Close);
     assert_eq!(bed.client().fetch(1, "filing", 1, "").0, "FAIL");
     bed.saw("serve", 1);
     for refusing in 0..2 {
-        let bed = Bed::open(2, Some(refusing), |_, _| {
+        let bed = Fixture::open(2, Some(refusing), |_, _| {
             Reply::Say("ACK", "res=MISS_ORIGIN,first=3", b"done".to_vec())
         });
         let mut client = bed.client();
@@ -58,7 +58,7 @@
 
 #[test]
 fn an_unreadable_answer_ends_its_connection_and_the_download_goes_on() {
-    let bed = Bed::open(2, None, |no, _| match no {
+    let bed = Fixture::open(2, None, |no, _| match no {
         0 => Reply::Raw(b"*1\r\n$900000\r\n"),
         _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
     });
@@ -70,7 +70,7 @@
 /// A machine that says nothing costs its own pulls until their deadline, and nobody else's.
 #[test]
 fn silence_holds_up_nobody_else() {
-    let bed = Bed::open(1, None, |_, fields| match fields {
+    let bed = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => Reply::Silence,
         _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
     });
@@ -87,7 +87,7 @@
 /// What comes after a silence goes over a fresh connection, which comes up or proves that nothing ran.
 #[test]
 fn a_connection_that_fell_silent_is_not_used_again() {
-    let bed = Bed::open(1, None, |_, fields| match fields {
+    let bed = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => Reply::Silence,
         _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
     });
@@ -103,7 +103,7 @@
 /// Accepting fails while the descriptors are used up, and goes on once some are free again.
 #[test]
 fn clients_come_in_again_after_the_descriptors_ran_out() {
-    let mut bed = Bed::open(1, None, |_, _| Reply::Say("ACK", "res=HIT", b"good".to_vec()));
+    let mut bed = Fixture::open(1, None, |_, _| Reply::Say("ACK", "res=HIT", b"good".to_vec()));
     let _ = bed.router.kill();
     let _ = bed.router.wait();
     bed.router = start_with(&bed.config, "ulimit -n 24; exec \"$0\"");
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_client_that_leaves_has_its_pulls_cancelled() {
-    let bed = Bed::open(1, None, |_, _| Reply::Silence);
+    let bed = Fixture::open(1, None, |_, _| Reply::Silence);
     let mut client = bed.client();
     client.ask(1, "clip", 1, 3_000, "");
     bed.saw("serve", 1);
@@ -136,7 +136,7 @@
 
 #[test]
 fn bad_clients_end_alone() {
-    let bed = Bed::open(1, None, |_, fields| match fields {
+    let bed = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => Reply::Silence,
         _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
     });
@@ -180,7 +180,7 @@
 /// Past a few messages without use a client is a flood: what it has open is called back, and it is cut off.
 #[test]
 fn a_flood_of_messages_without_use_is_cut_off() {
-    let bed = Bed::open(1, None, |_, _| Reply::Silence);
+    let bed = Fixture::open(1, None, |_, _| Reply::Silence);
     let mut flood = bed.client();
     flood.ask(1, "clip", 1, 9_000, "");
     bed.saw("serve", 1);
@@ -192,7 +192,7 @@
 /// Guards the descriptors against clients that keep connections for nothing. What is under way stays.
 #[test]
 fn connections_that_get_nowhere_are_closed_in_time() {
-    let bed = Bed::open(1, None, |_, fields| match fields {
+    let bed = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => Reply::After(3_500, "ACK"),
         _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
     });
@@ -225,7 +225,7 @@
 /// Guards the place of usual clients against crowds that connect and say nothing, or ask once and stay.
 #[test]
 fn a_crowd_that_does_nothing_shuts_nobody_out() {
-    let mut bed = Bed::open(1, None, |_, fields| match fields {
+    let mut bed = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => Reply::After(1_500, "ACK"),
         _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
     });
@@ -252,7 +252,7 @@
 /// Guards the time of usual clients against a few that send as much as they may and wait for it.
 #[test]
 fn clients_that_send_much_stop_only_themselves() {
-    let mut bed = Bed::open(1, None, |_, fields| match fields {
+    let mut bed = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("kind=filing") => Reply::Silence,
         _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
     });
@@ -280,7 +280,7 @@
 #[test]
 fn clients_that_do_not_read_hold_up_nobody_else() {
     let reply = |_, _: &str| Reply::Say("ACK", "res=HIT", vec![7; 240_000]);
-    let mut bed = Bed::open(1, None, reply);
+    let mut bed = Fixture::open(1, None, reply);
     bed.config["limits"]["memory_mb"] = json!(40);
     bed.restart();
     let deaf: Vec<Client> = (0..8).map(|_| bed.client()).collect();
@@ -307,7 +307,7 @@
 /// Guards against ending on SIGHUP, and against waiting for the old feed to break.
 #[test]
 fn a_new_configuration_moves_the_feed_at_once_and_a_wrong_one_moves_nothing() {
-    let mut bed = Bed::open(1, None, |_, _| Reply::Say("ACK", "res=HIT", b"good".to_vec()));
+    let mut bed = Fixture::open(1, None, |_, _| Reply::Say("ACK", "res=HIT", b"good".to_vec()));
     let (mut old, line) = subscribed(&bed.feed);
     assert_eq!(line, "SUB 1\n");
     let purge = |n: u64| json!({"n": n, "purge": {"group": 5, "at": 1}});
@@ -347,7 +347,7 @@
 
 #[test]
 fn the_feed_is_taken_up_again_after_the_last_event_applied() {
-    let bed = Bed::open(2, None, |no, _| {
+    let bed = Fixture::open(2, None, |no, _| {
         Reply::Say("ACK", if no == 0 { "res=HIT" } else { "res=MISS" }, b"x".to_vec())
     });
     let subscribed = || subscribed(&bed.feed);
@@ -378,7 +378,7 @@
 
 #[test]
 fn a_term_signal_leaves_nothing_unanswered() {
-    let mut bed = Bed::open(1, None, |_, _| Reply::After(1_200, "ACK"));
+    let mut bed = Fixture::open(1, None, |_, _| Reply::After(1_200, "ACK"));
     let mut before = bed.client();
     before.ask(1, "clip", 1, 3_000, "");
     bed.saw("serve", 1);
@@ -396,7 +396,7 @@
 /// Guards against a kill that finds downloads open, because the caches are slower than a restart may be.
 #[test]
 fn what_a_restart_leaves_no_time_for_is_abandoned_in_time() {
-    let mut bed = Bed::open(1, None, |_, _| Reply::Silence);
+    let mut bed = Fixture::open(1, None, |_, _| Reply::Silence);
     let mut client = bed.client();
     client.ask(1, "clip", 1, 5_000, "");
     bed.saw("serve", 1);
@@ -409,7 +409,7 @@
 
 #[test]
 fn a_configuration_that_cannot_be_is_one_line_that_names_the_key() {
-    let bed = Bed::open(1, None, |_, _| Reply::Silence);
+    let bed = Fixture::open(1, None, |_, _| Reply::Silence);
     let cases = [
         ("/listen", json!("nowhere"), "listen"),
         ("/listen", json!(bed.listen), "listen"),
--- a/crates/router/tests/sides.rs
+++ b/crates/router/tests/transport.rs
@@ -5,7 +5,7 @@
 use harestage::time::Span;
 use harestage_profile::Outside;
 use harestage_router::program::limits::Limits;
-use harestage_router::routing::News;
+use harestage_router::routing::Input;
 use harestage_router::transport::{client, feed};
 use harestage_sockets::clock::Clock;
 use slog::{Discard, Logger, o};
@@ -40,7 +40,7 @@
 #[test]
 fn clients_that_go_are_heard_of_while_nobody_takes_news() {
     let executor = Rc::new(LocalExecutor::new());
-    let (sender, news): (Sender<News>, Receiver<News>) = unbounded();
+    let (sender, news): (Sender<Input>, Receiver<Input>) = unbounded();
     let clients = client::Clients::new(limits(), Clock::start(), sender, log());
     let listener = Rc::new(Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap());
     let address = listener.get_ref().local_addr().unwrap();
@@ -56,13 +56,13 @@
             }
         }
         Timer::after(SHORT).await;
-        assert_eq!(clients.open(), 8 * 30);
+        assert_eq!(clients.open_downloads(), 8 * 30);
         drop(crowd);
         Timer::after(SHORT).await;
-        assert_eq!(clients.open(), 0, "their going was not seen");
+        assert_eq!(clients.open_downloads(), 0, "their going was not seen");
     }));
-    let told: Vec<News> = std::iter::from_fn(|| news.try_recv().ok()).collect();
-    let gone = told.iter().filter(|news| matches!(news, News::HungUp { .. })).count();
+    let told: Vec<Input> = std::iter::from_fn(|| news.try_recv().ok()).collect();
+    let gone = told.iter().filter(|news| matches!(news, Input::Disconnected { .. })).count();
     assert_eq!((told.len(), gone), (8 * 30 + 8, 8));
 }
 
@@ -72,17 +72,17 @@
     let executor = Rc::new(LocalExecutor::new());
     let (inbox, news) = bounded(1);
     let (old, new) = (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
-    let place = feed::Place::new(old.local_addr().unwrap());
-    let follows = feed::Feed {
+    let place = feed::FeedAddress::new(old.local_addr().unwrap());
+    let follows = feed::FeedClient {
         limits: limits(),
         inbox: inbox.clone(),
         log: log(),
-        place: place.clone(),
-        last: 4,
-        others: VecDeque::new(),
-        marks: false,
-        purges_kept: Span::millis(6_000),
-        had: None,
+        address: place.clone(),
+        last_event: 4,
+        group_addresses: VecDeque::new(),
+        track_service_state: false,
+        purge_retention: Span::millis(6_000),
+        applied_purges: None,
     };
     let purge = |n: u64| format!("{{\"n\":{n},\"purge\":{{\"group\":{n},\"at\":1}}}}\n");
     let subscribed = async |listener: &TcpListener| {
@@ -94,7 +94,7 @@
         (stream, String::from_utf8(line.to_vec()).unwrap())
     };
     block_on(executor.run(async {
-        inbox.send(News::HungUp { client: 0 }).await.unwrap();
+        inbox.send(Input::Disconnected { client: 0 }).await.unwrap();
         let _follows = executor.spawn(feed::follow(follows));
         Timer::after(SHORT).await;
         let (mut stream, line) = subscribed(&old).await;
@@ -105,7 +105,7 @@
         Timer::after(SHORT).await;
         let (mut stream, line) = subscribed(&new).await;
         assert_eq!(line, "SUB 4\n", "the event that waited was not applied");
-        assert!(matches!(news.recv().await, Ok(News::HungUp { .. })));
+        assert!(matches!(news.recv().await, Ok(Input::Disconnected { .. })));
         stream.write_all((purge(5) + &purge(6)).as_bytes()).unwrap();
         for n in [5, 6] {
             let told = format!("{:?}", news.recv().await.unwrap());
