--- a/crates/branch/tests/boards.rs
+++ b/crates/branch/tests/boards.rs
@@ -33,7 +33,7 @@
                             self.list.clear();
                         }
                         self.list.extend(members.into_iter().map(|m| (m.name, m.state)));
-                        self.list.retain(|_, state| *state != MemberState::Gone);
+                        self.list.retain(|_, state| *state != MemberState::Removed);
                     }
                     FeedEvent::Purge { object, group, at_ms } => self.purged.push((object, group, at_ms)),
                 }
--- a/crates/router/src/routing/nodes.rs
+++ b/crates/router/src/routing/nodes.rs
@@ -53,7 +53,7 @@
         let phase = match member.state {
             MemberState::Ready => Phase::Ready,
             MemberState::Draining => Phase::Draining,
-            MemberState::Gone => Phase::Gone,
+            MemberState::Removed => Phase::Gone,
         };
         let told: Option<SocketAddr> = member.address.parse().ok();
         let node = *self.by_name.entry(member.name.clone()).or_insert_with(|| {
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -328,7 +328,7 @@
 fn what_is_called_back_goes_on_only_once_its_cancel_has_settled() {
     let mut bed = Fixture::open();
     let first = bed.ask(1, "page", 2_000);
-    let members = vec![member(bed.paper.pulls[0].0, MemberState::Gone, 0)];
+    let members = vec![member(bed.paper.pulls[0].0, MemberState::Removed, 0)];
     bed.hear(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
     assert_eq!(bed.paper.cancels, [first]);
     bed.wait(9);
@@ -372,7 +372,7 @@
     };
     bed.hear(vec![relist(MemberState::Ready, 0), relist(MemberState::Draining, 0)]);
     assert!(bed.paper.renewed.is_empty(), "a drain leaves pulls running");
-    bed.hear(vec![relist(MemberState::Gone, 0), relist(MemberState::Ready, 1_764_576_000_000)]);
+    bed.hear(vec![relist(MemberState::Removed, 0), relist(MemberState::Ready, 1_764_576_000_000)]);
     assert_eq!(bed.paper.renewed, [1, 1], "once gone, and once it is there again");
 }
 
@@ -384,7 +384,7 @@
     for day in 0..40u32 {
         let (old, new) = (100 + day, 101 + day);
         let at_ms = bed.now.micros() / 1_000;
-        let members = vec![member(old, MemberState::Gone, 1), member(new, MemberState::Ready, at_ms)];
+        let members = vec![member(old, MemberState::Removed, 1), member(new, MemberState::Ready, at_ms)];
         bed.hear(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
         bed.wait(2_000);
         let pull = bed.ask(u64::from(day) + 1, "page", 1_000);
@@ -403,7 +403,7 @@
     for day in 0..40u32 {
         let gone = |state| member(100 + day, state, 1);
         let now = START + Span::millis(u64::from(day) * 1_000);
-        for state in [MemberState::Ready, MemberState::Gone] {
+        for state in [MemberState::Ready, MemberState::Removed] {
             let no = contacts.apply(&gone(state), &mut register, KINDS, &outside(), now);
             assert!(no.record.node.0 < 3, "indices are used again: {:?}", no.record.node);
         }
@@ -469,7 +469,7 @@
     let mut bed = Fixture::open();
     bed.ask(1, "page", 2_000);
     bed.paper.deaf = true;
-    let members = vec![member(bed.paper.pulls[0].0, MemberState::Gone, 0)];
+    let members = vec![member(bed.paper.pulls[0].0, MemberState::Removed, 0)];
     bed.hear(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
     bed.wait(300);
     assert_eq!((bed.paper.cancels.len(), bed.paper.pulls.len()), (1, 1));
@@ -484,7 +484,7 @@
     for leaves in [Input::Cancel { client: 1, tag: 1 }, Input::Disconnected { client: 1 }] {
         let mut bed = Fixture::open();
         bed.ask(1, "page", 2_000);
-        let members = vec![member(bed.paper.pulls[0].0, MemberState::Gone, 0)];
+        let members = vec![member(bed.paper.pulls[0].0, MemberState::Removed, 0)];
         bed.hear(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
         bed.wait(5);
         bed.hear(vec![leaves]);
--- a/crates/wire/src/feed.rs
+++ b/crates/wire/src/feed.rs
@@ -19,7 +19,7 @@
 pub enum MemberState {
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -178,7 +178,7 @@
     let state = match text("status").as_deref() {
         Some("Ready") => MemberState::Ready,
         Some("Terminating") => MemberState::Draining,
-        Some("Gone") => MemberState::Gone,
+        Some("Gone") => MemberState::Removed,
         other => return Err(format!("member {name} in an unknown state {other:?}")),
     };
     let number = |key: &str| entry.get(key).and_then(Value::as_f64);
