--- a/crates/hub/src/desk/above.rs
+++ b/crates/hub/src/desk/above.rs
@@ -9,8 +9,8 @@
 use harestage_restart::stage::Stage as StartStage;
 use harestage_shape::topology::ARCHIVE;
 use harestage_shape::wait_cycles::Key;
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Answer, CopyTag, Word};
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{Answer, AnswerStatus, CopyTag};
 
 /// The archive turned a fetch away: it goes again after it, so often at most.
 const AGAIN: Span = Span::millis(60);
@@ -26,14 +26,17 @@
             Stage::Fetching { .. } => (false, true, ARCHIVE),
             Stage::Resting | Stage::Reading => return,
         };
-        match (answer.word, copy) {
-            (Word::Good, Some(tag)) => return self.filled(key, answer, tag, fetching, now),
+        match (answer.status, copy) {
+            (AnswerStatus::Fulfilled, Some(tag)) => return self.filled(key, answer, tag, fetching, now),
             // Bytes that say nothing of their age can't be kept or given on.
-            (Word::Good | Word::StillGood, _) | (Word::Failed | Word::TooLate, _) if fetching => {
+            (AnswerStatus::Fulfilled | AnswerStatus::NotModified, _)
+            | (AnswerStatus::Failed | AnswerStatus::TooLate, _)
+                if fetching =>
+            {
                 return self.fail(key, CacheStatus::OriginFailed);
             }
-            (Word::Lacks, _) if fetching => return self.fail(key, CacheStatus::SourceLacks),
-            (Word::Full, _) if fetching => {
+            (AnswerStatus::NotFound, _) if fetching => return self.fail(key, CacheStatus::SourceLacks),
+            (AnswerStatus::Busy, _) if fetching => {
                 self.start.fetch_failed(now);
                 fill.again += 1;
                 if fill.again > MOST_AGAIN {
@@ -42,7 +45,7 @@
                 return self.stage(key, Stage::Resting, Some(now + AGAIN), now);
             }
             // The former home is fetching it: to join that is to fetch it once.
-            (Word::Lacks, _) if asking && answer.remark == CacheStatus::Joined => {
+            (AnswerStatus::NotFound, _) if asking && answer.remark == CacheStatus::Joined => {
                 fill.asked.push(on);
                 let shape = self.versions.get(fill.version).cloned();
                 return match shape {
@@ -51,7 +54,7 @@
                 };
             }
             // The right went to another: that one's term has to end first.
-            (Word::Full, _) if asking && fill.again < MOST_AGAIN => {
+            (AnswerStatus::Busy, _) if asking && fill.again < MOST_AGAIN => {
                 fill.again += 1;
                 return self.stage(
                     key,
@@ -146,7 +149,7 @@
             self.advance(key, now);
         } else {
             too_old.iter().for_each(|waiter| {
-                self.refuse(waiter.conn, waiter.id, Word::Lacks, CacheStatus::SourceLacks)
+                self.refuse(waiter.conn, waiter.id, AnswerStatus::NotFound, CacheStatus::SourceLacks)
             });
         }
     }
@@ -164,10 +167,10 @@
             return;
         }
         let word = match remark {
-            CacheStatus::SourceLacks => Word::Lacks,
+            CacheStatus::SourceLacks => AnswerStatus::NotFound,
             // Nothing was sent anywhere: a hub that knows no shape yet.
-            CacheStatus::NoFillSlot => Word::Full,
-            _ => Word::Failed,
+            CacheStatus::NoFillSlot => AnswerStatus::Busy,
+            _ => AnswerStatus::Failed,
         };
         fill.waiters.iter().for_each(|waiter| self.refuse(waiter.conn, waiter.id, word, remark));
     }
@@ -192,8 +195,8 @@
             Some(copy) => {
                 let tag =
                     CopyTag { digest: copy.digest, dated_ms: copy.dated.micros() / 1_000, group: copy.group };
-                let (id, word, remark) = (Hex::of(0), Word::Good, CacheStatus::Hit);
-                let answer = Answer { id, word, remark, first_ms: 0.0, body: copy.body };
+                let (id, word, remark) = (HexId::from_u64(0), AnswerStatus::Fulfilled, CacheStatus::Hit);
+                let answer = Answer { id, status: word, remark, first_byte_ms: 0.0, body: copy.body };
                 self.filled(key, answer, tag, false, now);
             }
             None if !self.start.stage().allows_fills() => self.turn_away(key, now),
