--- a/crates/branch/tests/feeds.rs
+++ b/crates/branch/tests/feeds.rs
@@ -5,7 +5,7 @@
 use harestage_branch::caller::TAKES_WITHIN;
 use harestage_branch::net::BranchFeed;
 use harestage_branch::start::FeedFile;
-use harestage_purge::messages::{Ack, ToMember, to_line};
+use harestage_purge::messages::{Ack as PurgeAck, ToMember, to_line};
 use harestage_purge::sequencer::{Item, Payload};
 use harestage_shape::messages::{self, ToMember as ToFollower};
 use harestage_wire::feed::{Ack, AppliedPurges, MAX_ACK_BYTES};
@@ -67,7 +67,7 @@
     fn tells(&self, stream: TcpStream) {
         let mut to = stream.try_clone().unwrap();
         for text in BufReader::new(stream).lines().map_while(Result::ok) {
-            let said: Ack = serde_json::from_str(&text).unwrap();
+            let said: PurgeAck = serde_json::from_str(&text).unwrap();
             {
                 let mut has = self.has.0.lock().unwrap();
                 while has.1.len() < said.applied as usize {
--- a/crates/hub/src/desk/below.rs
+++ b/crates/hub/src/desk/below.rs
@@ -116,8 +116,12 @@
                 let given = give(id, &copy, None, true, CacheStatus::Hit, 0.0);
                 self.orders.push(Order::Answer { conn, given });
             }
-            (HandoverReply::UnderWay, _) => self.refuse(conn, id, AnswerStatus::NotFound, CacheStatus::Joined),
-            (HandoverReply::Elsewhere { .. }, _) => self.refuse(conn, id, AnswerStatus::Busy, CacheStatus::SourceRefused),
+            (HandoverReply::UnderWay, _) => {
+                self.refuse(conn, id, AnswerStatus::NotFound, CacheStatus::Joined)
+            }
+            (HandoverReply::Elsewhere { .. }, _) => {
+                self.refuse(conn, id, AnswerStatus::Busy, CacheStatus::SourceRefused)
+            }
             (HandoverReply::Ceded { .. } | HandoverReply::Held, _) => {
                 self.refuse(conn, id, AnswerStatus::NotFound, CacheStatus::Unknown)
             }
--- a/crates/hub/tests/desks.rs
+++ b/crates/hub/tests/desks.rs
@@ -488,15 +488,24 @@
         (AnswerStatus::NotFound, CacheStatus::Unknown),
         "no source: no fill"
     );
-    assert_eq!(ask(&mut net, 2, 1, &|a| a.only_if_cached = true), (AnswerStatus::NotFound, CacheStatus::Unknown));
-    assert_eq!(ask(&mut net, 3, 1, &|a| a.no_store = true), (AnswerStatus::Fulfilled, CacheStatus::FromOrigin));
+    assert_eq!(
+        ask(&mut net, 2, 1, &|a| a.only_if_cached = true),
+        (AnswerStatus::NotFound, CacheStatus::Unknown)
+    );
+    assert_eq!(
+        ask(&mut net, 3, 1, &|a| a.no_store = true),
+        (AnswerStatus::Fulfilled, CacheStatus::FromOrigin)
+    );
     assert_eq!(
         ask(&mut net, 4, 1, &|a| a.only_if_cached = true),
         (AnswerStatus::NotFound, CacheStatus::Unknown),
         "it was not kept"
     );
     assert_eq!(ask(&mut net, 5, 1, &|_| {}), (AnswerStatus::Fulfilled, CacheStatus::FromOrigin));
-    assert_eq!(ask(&mut net, 6, 1, &|a| a.only_if_cached = true), (AnswerStatus::Fulfilled, CacheStatus::Hit));
+    assert_eq!(
+        ask(&mut net, 6, 1, &|a| a.only_if_cached = true),
+        (AnswerStatus::Fulfilled, CacheStatus::Hit)
+    );
     let copy = net.answers.last().unwrap().1.copy.clone().unwrap();
     assert_eq!(copy.group, None, "a cache of the platform knows no such field");
     let digest = copy.digest;
--- a/crates/measure/src/capacity/slopes.rs
+++ b/crates/measure/src/capacity/slopes.rs
@@ -13,7 +13,7 @@
 use harestage_audit::stamp::Versions;
 use harestage_branch::board::{Board, Saying};
 use harestage_keeper::store::Store;
-use harestage_purge::follower::{Action, Follower};
+use harestage_purge::follower::{Action as FollowerAction, Follower};
 use harestage_purge::index::Index;
 use harestage_purge::messages::{ToMember, to_line};
 use harestage_purge::scope::{CompiledScope, CopyAttributes, Scope};
@@ -751,7 +751,7 @@
         let (acts, bytes) = tell(&mut service, &mut far, now);
         (told, lines) = (told + bytes, lines + 1);
         for act in acts {
-            if let Action::Purge { scope, at } = act {
+            if let FollowerAction::Purge { scope, at } = act {
                 store.purge_scope(&scope, at, now);
             }
         }
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -256,8 +256,11 @@
                 self.pull_answered(pull, answer, names, now, transport)
             }
             Input::Lost { pull, loss } => {
-                let ending =
-                    if loss == Loss::ConnectionBroken { PullOutcome::Broken } else { PullOutcome::NoConnection };
+                let ending = if loss == Loss::ConnectionBroken {
+                    PullOutcome::Broken
+                } else {
+                    PullOutcome::NoConnection
+                };
                 self.ended(pull, ending, CacheStatus::Unknown, Span::ZERO, now);
             }
             Input::Feed(told) => self.told(told, now, transport),
@@ -549,7 +552,9 @@
                 let retry_after_ms = retry_after.as_micros().div_ceil(1_000);
                 self.reply(self.register.download_id(dl), ToClient::Throttled { retry_after_ms }, transport);
             }
-            Action::Abandon { dl } => self.reply(self.register.download_id(dl), ToClient::Abandoned, transport),
+            Action::Abandon { dl } => {
+                self.reply(self.register.download_id(dl), ToClient::Abandoned, transport)
+            }
             Action::SetTimer { after, timer } => {
                 self.set(now + after, Timer::Core(timer));
             }
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -317,7 +317,11 @@
     assert_eq!(bed.answered(1), [&ToClient::Abandoned]);
     for word in [AnswerStatus::Busy, AnswerStatus::TooLate, AnswerStatus::Failed] {
         let pull = bed.ask(2, "write", 2_000);
-        bed.hear(vec![Input::Answered { pull, answer: answer(word, CacheStatus::Unknown), copy_digest: None }]);
+        bed.hear(vec![Input::Answered {
+            pull,
+            answer: answer(word, CacheStatus::Unknown),
+            copy_digest: None,
+        }]);
         let failed = bed.answered(2).contains(&&ToClient::Abandoned);
         assert_eq!(failed, word == AnswerStatus::Failed, "{word:?}");
         bed.hear(vec![Input::Disconnected { client: 1 }]);
