--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -19,7 +19,7 @@
 use harestage_hub::start::HubFile;
 use harestage_keeper::serve::Follows;
 use harestage_purger::gather::{GatherStart, SiteGatherer};
-use harestage_shape::form;
+use harestage_shape::config;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -183,8 +183,8 @@
 
 fn main() -> ExitCode {
     let Harestage { log, clock_off_ms, synced_copy, what } = Harestage::parse();
-    harestage_sockets::clock::set_off(clock_off_ms);
-    if let Some(Err(why)) = synced_copy.map(|folder| harestage_segments::keep_synced_copy(&folder)) {
+    harestage_sockets::clock::set_offset(clock_off_ms);
+    if let Some(Err(why)) = synced_copy.map(|folder| harestage_segments::mirror_synced_files(&folder)) {
         eprintln!("harestage: --synced-copy: {why}");
         return ExitCode::from(exit::REFUSED);
     }
@@ -215,7 +215,7 @@
         }
         What::Schema { of } => {
             let text = match of {
-                SchemaOf::Shape => form::schema(),
+                SchemaOf::Shape => config::schema(),
                 SchemaOf::Hub => harestage_hub::start::schema(),
                 SchemaOf::Feed => harestage_branch::start::schema(),
                 SchemaOf::Scenario => harestage_fleet::scenario::schema(),
@@ -257,7 +257,7 @@
     log_form: log::Form,
 ) -> Result<(), String> {
     let start = group.checked("control")?;
-    let first = first.map(|path| form::read_file(&path)).transpose().map_err(|why| why.to_string())?;
+    let first = first.map(|path| config::read_file(&path)).transpose().map_err(|why| why.to_string())?;
     let (log, _written_at_end) = log::open(&start.name, log_form);
     let keeper = Keeper::open_member(listen, journal, first.as_ref(), &start, log)?;
     keeper.serve(log::until_signal()?)
--- a/crates/following/src/control.rs
+++ b/crates/following/src/control.rs
@@ -4,13 +4,13 @@
 use async_io::Timer;
 use futures_lite::future::or;
 use harestage::time::Moment;
-use harestage_shape::control::Report;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines::{self, FromMember, Planned, ToMember};
-use harestage_shape::parts::Part;
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::control::HubReport;
+use harestage_shape::messages::{self, FallbackPlan, FromMember, ToMember};
 use harestage_sockets::Stream;
-use harestage_sockets::leader::Leader;
-use harestage_sockets::lines::{Lines, within, write_text};
+use harestage_sockets::leader::LeaderFinder;
+use harestage_sockets::lines::{LineReader, with_timeout, write_text};
 use slog::{Logger, info, warn};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -21,12 +21,12 @@
 pub enum Heard {
     Version {
         term: u64,
-        shape: Box<ShapeForm>,
-        plans: Vec<Planned>,
+        shape: Box<ShapeConfig>,
+        plans: Vec<FallbackPlan>,
     },
     /// The answer to a report of a hub at the top, which was written at `asked`.
     Part {
-        part: Part,
+        part: RateShare,
         asked: Moment,
     },
     /// The answer to any other report.
@@ -39,7 +39,7 @@
     fn hello(&self) -> String;
     fn version(&self) -> u64;
     fn now(&self) -> Moment;
-    fn report(&self) -> Report;
+    fn report(&self) -> HubReport;
     fn hear(&self, heard: Heard) -> impl Future<Output = ()>;
 }
 
@@ -48,11 +48,11 @@
 
 /// Follows for as long as it is polled.
 pub async fn follow(member: impl Member, services: Vec<SocketAddr>, line: Line, log: Logger) {
-    let Some(leader) = Leader::among(services) else { return };
+    let Some(leader) = LeaderFinder::from_addresses(services) else { return };
     // The highest term heard: what an older one says comes from a service that was replaced.
     let (term, leader, mut down) = (Cell::new(0), RefCell::new(leader), false);
     loop {
-        let at = leader.borrow().next();
+        let at = leader.borrow().next_address();
         let why = match subscribe(at, member.hello().as_bytes(), line.connect).await {
             Ok(stream) => {
                 let (asked, up) = (RefCell::default(), Cell::new(false));
@@ -71,7 +71,7 @@
                 why
             }
             Err(why) => {
-                leader.borrow_mut().missed();
+                leader.borrow_mut().on_failure();
                 why
             }
         };
@@ -90,7 +90,7 @@
     term: &'a Cell<u64>,
     /// When each report that is not answered yet was written.
     asked: RefCell<VecDeque<Moment>>,
-    leader: &'a RefCell<Leader>,
+    leader: &'a RefCell<LeaderFinder>,
     at: SocketAddr,
     /// It speaks.
     up: Cell<bool>,
@@ -99,7 +99,7 @@
 impl<M: Member> Link<'_, M> {
     fn is_up(&self) {
         if !self.up.replace(true) {
-            self.leader.borrow_mut().found(self.at);
+            self.leader.borrow_mut().on_leader(self.at);
             info!(self.log, "control up"; "version" => self.member.version());
         }
     }
@@ -110,7 +110,7 @@
                 return "it answers no report".into();
             }
             self.asked.borrow_mut().push_back(self.member.now());
-            let report = lines::line(&FromMember::Report(self.member.report()));
+            let report = messages::encode_line(&FromMember::Report(self.member.report()));
             if let Err(why) = write_text(stream, &report, self.line.silence).await {
                 return why;
             }
@@ -119,12 +119,12 @@
     }
 
     async fn read(&self, stream: &Stream) -> String {
-        let mut lines = Lines::new(stream, self.line.bytes);
+        let mut lines = LineReader::new(stream, self.line.bytes);
         loop {
-            let line = match within(self.line.silence, "silent", lines.next()).await {
+            let line = match with_timeout(self.line.silence, "silent", lines.next_line()).await {
                 Ok(line) => line,
                 Err(why) => {
-                    self.leader.borrow_mut().missed();
+                    self.leader.borrow_mut().on_failure();
                     return why;
                 }
             };
@@ -140,7 +140,7 @@
         let stale = its < self.term.get();
         self.term.set(its.max(self.term.get()));
         if stale {
-            self.leader.borrow_mut().missed();
+            self.leader.borrow_mut().on_failure();
         }
         stale.then(|| format!("of term {its}, after term {}", self.term.get()))
     }
@@ -156,14 +156,14 @@
                 info!(self.log, "version"; "number" => shape.version, "term" => its, "plans" => plans.len());
                 self.member.hear(Heard::Version { term: its, shape, plans }).await;
             }
-            ToMember::Part(part) => {
+            ToMember::Share(part) => {
                 self.is_up();
                 let asked = self.asked.borrow_mut().pop_front();
                 if let Some(asked) = asked {
                     self.member.hear(Heard::Part { part, asked }).await;
                 }
             }
-            ToMember::Beat { term: its, .. } => {
+            ToMember::Heartbeat { term: its, .. } => {
                 self.asked.borrow_mut().pop_front();
                 if let Some(why) = self.stale(its) {
                     return Some(why);
@@ -171,8 +171,8 @@
                 self.is_up();
                 self.member.hear(Heard::Beat).await;
             }
-            ToMember::Elsewhere { serves } => {
-                self.leader.borrow_mut().elsewhere(serves.as_deref());
+            ToMember::NotLeader { leader } => {
+                self.leader.borrow_mut().on_redirect(leader.as_deref());
                 return Some("this member does not speak".into());
             }
         }
--- a/crates/hub/src/net/mod.rs
+++ b/crates/hub/src/net/mod.rs
@@ -14,8 +14,8 @@
 use futures_lite::future::or;
 use harestage_following::{self as following, control};
 use harestage_purge::messages::Past;
-use harestage_sites::ration::Tally;
-use harestage_sites::standby::Turn;
+use harestage_sites::fallback::FallbackChange;
+use harestage_sites::quota::QuotaStats;
 use harestage_sockets::Spawner;
 use harestage_sockets::clock::Clock;
 use slog::{Logger, info, warn};
@@ -96,14 +96,14 @@
     desk.is_at(&start.site, clock.now());
     // Copies that outlived the last start need what was purged meanwhile; a hub without any needs none of it.
     let past = match &shelf {
-        Some(opened) if opened.found.copies > 0 => Past::Applied(opened.found.marks.purges),
+        Some(opened) if opened.found.copies > 0 => Past::Applied(opened.found.checkpoint.applied_purge),
         _ => Past::Cold,
     };
     let shelf = shelf.map(|opened| {
         let now = clock.now();
-        desk.has_kept(opened.metas, opened.found.marks, start.purges.is_empty(), now);
+        desk.has_kept(opened.metas, opened.found.checkpoint, start.purges.is_empty(), now);
         info!(log, "copies on disk"; "copies" => opened.found.copies, "lost" => opened.found.lost,
-            "purges" => opened.found.marks.purges, "took_ms" => opened.took_ms);
+            "purges" => opened.found.checkpoint.applied_purge, "took_ms" => opened.took_ms);
         opened.shelf
     });
     if !start.keepers.is_empty() {
@@ -190,10 +190,10 @@
     match stage {
         Stage::Reading => "reading",
         Stage::AwaitsPurges => "awaits_purges",
-        Stage::Alone => "alone",
+        Stage::WithoutPurges => "alone",
         Stage::AwaitsShape => "awaits_shape",
-        Stage::FromCopies => "from_copies",
-        Stage::Worthy => "worthy",
+        Stage::CopiesOnly => "from_copies",
+        Stage::BestFills => "worthy",
         Stage::All => "all",
     }
 }
@@ -207,8 +207,9 @@
         Timer::after(LEAVES_AFTER / 8).await;
     }
     let now = shared.clock.now();
-    shared.desk.borrow_mut().audit().into_iter().for_each(|audit| audit.recorder().end(now));
-    let told = || shared.desk.borrow_mut().audit().is_none_or(|audit| audit.recorder().is_told());
+    shared.desk.borrow_mut().audit().into_iter().for_each(|audit| audit.recorder().finish(now));
+    let told =
+        || shared.desk.borrow_mut().audit().is_none_or(|audit| audit.recorder().is_fully_acknowledged());
     while !told() && begun.elapsed() < LEAVES_WITHIN * 2 {
         Timer::after(LEAVES_AFTER / 8).await;
     }
@@ -216,13 +217,13 @@
 
 /// Says what was refused for want of room, where anything was.
 async fn tell_refused(shared: Rc<Shared>, log: Logger) {
-    let mut before = Tally::default();
+    let mut before = QuotaStats::default();
     loop {
         Timer::after(TELLS_REFUSED).await;
         let tally = shared.desk.borrow().refused();
         if tally.refused > before.refused {
             info!(log, "refused"; "refused" => tally.refused - before.refused,
-                "taken" => tally.taken - before.taken, "second_tries" => tally.second_tries - before.second_tries,
+                "taken" => tally.admitted - before.admitted, "second_tries" => tally.retries - before.retries,
                 "out_of_order" => tally.out_of_order - before.out_of_order);
             before = tally;
         }
@@ -290,15 +291,15 @@
                 }
                 Order::Started(turn) => {
                     let (from, to) = (word(turn.from), word(turn.to));
-                    info!(log, "start"; "from" => from, "to" => to, "lasted_ms" => turn.lasted_ms, "why" => turn.why);
+                    info!(log, "start"; "from" => from, "to" => to, "lasted_ms" => turn.lasted_ms, "why" => turn.reason);
                 }
                 Order::StartAnew(why) => {
                     warn!(log, "starts anew: the keeper asks for it"; "why" => why);
                     shared.ends.notify(usize::MAX);
                     shared.anew.set(true);
                 }
-                Order::Turned(Turn::Back) => info!(log, "goes by its version again"),
-                Order::Turned(Turn::Without { lost, planned }) => {
+                Order::Turned(FallbackChange::Left) => info!(log, "goes by its version again"),
+                Order::Turned(FallbackChange::Entered { lost, planned }) => {
                     let lost = lost.into_iter().collect::<Vec<_>>().join(" ");
                     warn!(log, "goes without a site, with no service"; "lost" => lost, "planned" => planned);
                 }
@@ -306,7 +307,7 @@
                     let (path, object) = (knot.path.join(" -> "), format!("{:016x}", knot.key.0));
                     let waited_ms = knot.waited.as_micros() as f64 / 1e3;
                     warn!(log, "loop broken"; "path" => path, "object" => object, "waited_ms" => waited_ms,
-                        "seen_before" => knot.before);
+                        "seen_before" => knot.seen_before);
                 }
             }
         }
--- a/crates/hub/tests/keeping.rs
+++ b/crates/hub/tests/keeping.rs
@@ -1,17 +1,17 @@
 //! A hub that kept its copies through a loss of power: what goes out and when, by the desk alone.
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
-use harestage_copies::record::Marks;
-use harestage_copies::shelf::Meta;
+use harestage_copies::index::CopyMetadata;
+use harestage_copies::record::Checkpoint;
 use harestage_hub::desk::{Bounds, Desk, Keeping, News, Order};
 use harestage_hub::store::Copy;
 use harestage_purge::scope::Scope;
 use harestage_restart::stage::Stage;
-use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
-use harestage_shape::parts::Part;
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Answer, Asked, CopyTag, Word};
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::{ArchiveConfig, HubConfig, ShapeConfig};
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{Answer, AnswerStatus, CopyTag, IncomingRequest};
 use std::collections::HashMap;
 
 const DAY: u64 = 86_400_000;
@@ -20,8 +20,8 @@
     Moment::at_micros((DAY + ms) * 1_000)
 }
 
-fn shape() -> ShapeForm {
-    let hub = HubForm {
+fn shape() -> ShapeConfig {
+    let hub = HubConfig {
         name: "a".into(),
         address: "127.0.0.1:1".into(),
         site: String::new(),
@@ -34,14 +34,14 @@
         falls_within_ms: 1_000,
         up: vec!["archive".into()],
     };
-    let archive = ArchiveForm {
+    let archive = ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:2".into(),
         capacity: 1e4,
         stops_at: 2.5,
         stops_within_ms: 3_000,
     };
-    ShapeForm { version: 1, archive, hubs: vec![hub], branches: Vec::new(), links: Vec::new() }
+    ShapeConfig { version: 1, archive, hubs: vec![hub], branches: Vec::new(), links: Vec::new() }
 }
 
 struct Bed {
@@ -64,14 +64,19 @@
         if !no_purges {
             desk.waits_for_purges();
         }
-        let meta = |object: u64| Meta {
+        let meta = |object: u64| CopyMetadata {
             key: (object, 0),
             digest: b"old".to_vec(),
             dated_us: at(0).micros() - 10_000_000,
             group: Some(object as u32 % 3),
             rank: 1,
         };
-        let marks = Marks { purges: 5, seen_ms: DAY - 1_000, lasted: 0.01, fetched: 0.01 };
+        let marks = Checkpoint {
+            applied_purge: 5,
+            latest_clock_ms: DAY - 1_000,
+            fill_seconds: 0.01,
+            fetch_seconds: 0.01,
+        };
         desk.has_kept((1..10).map(meta).collect(), marks, no_purges, at(0));
         Bed { desk, ms: 0, no: 0, orders: Vec::new() }
     }
@@ -90,29 +95,29 @@
     }
 
     fn ready(&mut self) {
-        let part = Part { rate: 1_000.0, floor: 1_000.0, number: 1 };
+        let part = RateShare { rate: 1_000.0, floor: 1_000.0, number: 1 };
         let asked = at(self.ms);
         self.step(vec![News::Told(Box::new(shape())), News::Part { part, asked }]);
     }
 
     fn ask(&mut self, object: u64, content: &'static str, oldest_ms: Option<u64>) -> Vec<Order> {
         self.no += 1;
-        let asked = Asked {
-            id: Hex::of(self.no),
+        let asked = IncomingRequest {
+            id: HexId::from_u64(self.no),
             content: Bytes::from_static(content.as_bytes()),
-            object: Hex::of(object),
+            object: HexId::from_u64(object),
             part: 0,
-            waits_ms: 3_000,
+            timeout_ms: 3_000,
             source: Some(Bytes::from_static(b"archive")),
             rank: 1,
-            oldest_ms,
+            max_age_ms: oldest_ms,
             join: true,
-            only_held: false,
-            no_copy: false,
-            renew: false,
-            held: None,
+            only_if_cached: false,
+            no_store: false,
+            stale_while_revalidate: false,
+            known_digest: None,
             body: Bytes::new(),
-            way: None,
+            route: None,
             mark: None,
         };
         self.step(vec![News::Asked { conn: 1, asked: Box::new(asked) }])
@@ -133,15 +138,16 @@
         });
         let pull = pull.expect("it is fetched");
         let copy = Some(CopyTag { digest: Bytes::from_static(b"new"), dated_ms: archive_ms, group: Some(1) });
-        let (id, word, remark) = (Hex::of(pull), Word::Good, Remark::Nothing);
-        let answer = Answer { id, word, remark, first_ms: 1.0, body: Bytes::from_static(b"newer") };
+        let (id, word, remark) = (HexId::from_u64(pull), AnswerStatus::Fulfilled, CacheStatus::Unknown);
+        let answer =
+            Answer { id, status: word, remark, first_byte_ms: 1.0, body: Bytes::from_static(b"newer") };
         self.step(vec![News::Answered { pull, answer, copy }])
     }
 }
 
-fn word(orders: &[Order]) -> Option<Word> {
+fn word(orders: &[Order]) -> Option<AnswerStatus> {
     orders.iter().find_map(|order| match order {
-        Order::Answer { given, .. } => Some(given.word),
+        Order::Answer { given, .. } => Some(given.status),
         _ => None,
     })
 }
@@ -157,7 +163,7 @@
     bed.run(1_000);
     assert_eq!(bed.desk.start().stage(), Stage::AwaitsPurges);
     let orders = bed.ask(1, "clip", None);
-    assert!(word(&orders) == Some(Word::Full) && !reads(&orders));
+    assert!(word(&orders) == Some(AnswerStatus::Busy) && !reads(&orders));
     // All that lives is told: objects 2 and 3 went while it was away, and everything of group 1.
     let covered =
         |scope: Scope, ms: u64| News::Covered { scope: Box::new(scope.compile().unwrap()), at: at(ms) };
@@ -178,16 +184,16 @@
         .flatten()
         .collect();
     assert_eq!(unkept, [2, 3, 1, 4, 7], "what goes from the disk");
-    assert!(bed.orders.iter().any(|order| matches!(order, Order::Mark(marks) if marks.purges == 9)));
+    assert!(bed.orders.iter().any(|order| matches!(order, Order::Mark(marks) if marks.applied_purge == 9)));
     bed.run(200);
-    assert_eq!(bed.desk.start().stage(), Stage::FromCopies);
+    assert_eq!(bed.desk.start().stage(), Stage::CopiesOnly);
     let orders = bed.ask(5, "clip", None);
     assert!(reads(&orders) && word(&orders).is_none());
-    assert_eq!(word(&bed.disk_gives(5)), Some(Word::Good));
+    assert_eq!(word(&bed.disk_gives(5)), Some(AnswerStatus::Fulfilled));
     for gone in [1, 2, 3, 4, 7] {
         let orders = bed.ask(gone, "clip", None);
         assert!(
-            word(&orders) == Some(Word::Full) && !reads(&orders),
+            word(&orders) == Some(AnswerStatus::Busy) && !reads(&orders),
             "{gone} is gone, and nothing is fetched yet"
         );
     }
@@ -202,9 +208,9 @@
     bed.step(vec![News::Covered { scope: Box::new(Scope::Group(2).compile().unwrap()), at: at(400) }]);
     bed.run(3_000);
     let orders = bed.disk_gives(5);
-    assert!(
-        !orders.iter().any(|order| matches!(order, Order::Answer { given, .. } if given.word == Word::Good))
-    );
+    assert!(!orders.iter().any(
+        |order| matches!(order, Order::Answer { given, .. } if given.status == AnswerStatus::Fulfilled)
+    ));
 }
 
 #[test]
@@ -212,7 +218,7 @@
     let mut bed = Bed::new(true);
     bed.ready();
     bed.run(4_000);
-    assert!(bed.desk.start().stage().fills());
+    assert!(bed.desk.start().stage().allows_fills());
     // No older than a minute is wanted, and by this clock it is ten seconds old: but which clock is right is not known.
     let orders = bed.ask(5, "page", None);
     assert!(!reads(&orders));
@@ -234,7 +240,7 @@
     let mut bed = Bed::new(false);
     bed.ready();
     bed.run(9_000);
-    assert_eq!(bed.desk.start().stage(), Stage::Alone);
+    assert_eq!(bed.desk.start().stage(), Stage::WithoutPurges);
     for _ in 0..2 {
         let mut orders = bed.ask(5, "clip", None);
         assert!(!reads(&orders));
@@ -246,7 +252,7 @@
             orders = bed.step(Vec::new());
         }
         let answered = bed.fetched(&orders, DAY + bed.ms);
-        assert_eq!(word(&answered), Some(Word::Good));
+        assert_eq!(word(&answered), Some(AnswerStatus::Fulfilled));
         assert!(!answered.iter().any(|order| matches!(order, Order::Keep { .. })));
     }
 }
--- a/crates/measure/src/capacity/slopes.rs
+++ b/crates/measure/src/capacity/slopes.rs
@@ -2,31 +2,31 @@
 //! own, and says its figures as one JSON object; virtual time throughout, no sockets.
 use super::machine::{self, Busy};
 use super::size::*;
-use harestage::brain::Brain;
-use harestage::door::{Content, Event, Order, ServiceProfile};
+use harestage::interface::{Action, ContentType, Event, ServiceProfile};
+use harestage::policy::Policy;
 use harestage::state::*;
 use harestage::time::{Moment, Span};
-use harestage_audit::acting::{Acting, Who};
 use harestage_audit::chain::Outcome;
-use harestage_audit::keep::Keep;
-use harestage_audit::lines::{FromAudited, Role as Audited, line as audit_line};
-use harestage_audit::stamp::Goes;
+use harestage_audit::keeper::KeeperState;
+use harestage_audit::messages::{ProcessMessage, Role as Audited, to_line as audit_line};
+use harestage_audit::process::{AuditedProcess, ProcessIdentity};
+use harestage_audit::stamp::Versions;
 use harestage_branch::board::{Board, Saying};
 use harestage_keeper::store::Store;
-use harestage_purge::follower::{Action, Follower};
+use harestage_purge::follower::{Action as FollowerAction, Follower};
 use harestage_purge::index::Index;
 use harestage_purge::messages::{ToMember, to_line};
 use harestage_purge::scope::{CompiledScope, CopyAttributes, Scope};
 use harestage_purge::sequencer::{Item, LogEntry, Payload, RateLimit};
 use harestage_purge::service::Service;
 use harestage_segments::{Folder, Log};
-use harestage_shape::control::{Effect, Report, Said};
+use harestage_shape::config::{ArchiveConfig, BranchConfig, HubConfig, ShapeConfig};
+use harestage_shape::control::{ChangeEvent, Effect, HubReport};
 use harestage_shape::feed;
-use harestage_shape::form::{ArchiveForm, BranchForm, HubForm, ShapeForm};
-use harestage_shape::tree::Shape;
-use harestage_sites::direct::Director;
-use harestage_sites::plan::{self, Plans};
-use harestage_sites::standby;
+use harestage_shape::topology::Shape;
+use harestage_sites::controller::SiteController;
+use harestage_sites::fallback;
+use harestage_sites::plan::{self, SitePlans};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::hint::black_box;
 
@@ -69,10 +69,10 @@
 }
 
 /// A shape of so many sites with all branches.
-pub fn form(sites: usize) -> ShapeForm {
+pub fn form(sites: usize) -> ShapeConfig {
     let hubs = sites * HUBS_A_SITE;
     let site = |n: usize| format!("site-{:02}", n % sites);
-    let hub = |n: usize| HubForm {
+    let hub = |n: usize| HubConfig {
         name: format!("hub-{n}"),
         address: format!("127.0.0.1:{}", 10_000 + n),
         site: site(n),
@@ -85,7 +85,7 @@
         falls_within_ms: 1_000,
         up: vec!["archive".into()],
     };
-    let branch = |n: usize| BranchForm {
+    let branch = |n: usize| BranchConfig {
         name: format!("br-{n}"),
         site: site(n),
         load: 10.0,
@@ -98,9 +98,9 @@
         feeds: BTreeMap::new(),
         caches: Vec::new(),
     };
-    ShapeForm {
+    ShapeConfig {
         version: 1,
-        archive: ArchiveForm {
+        archive: ArchiveConfig {
             name: "archive".into(),
             address: "127.0.0.1:9999".into(),
             capacity: ROUTERS as f64 * 10.0,
@@ -116,30 +116,30 @@
 /// All plans of a version, those beside a site that is out, and what each place is handed.
 fn plans(sites: usize) -> Found {
     let form = form(sites);
-    let shape = Shape::of(&form).expect("the run's shape is right");
+    let shape = Shape::from_config(&form).expect("the run's shape is right");
     let begun = Busy::now();
-    let first = Plans::of(&shape, None, true, BEGIN);
+    let first = SitePlans::build(&shape, None, true, BEGIN);
     let of_ms = ms(begun);
     let mut moved = form.clone();
     moved.version = 2;
     moved.branches[0].hubs = vec!["hub-1".into(), "hub-2".into()];
-    let moved = shape.followed_by(&moved).expect("the run's shape is right");
+    let moved = shape.successor(&moved).expect("the run's shape is right");
     let begun = Busy::now();
-    let again = Plans::of(&moved, Some(&first), true, BEGIN);
+    let again = SitePlans::build(&moved, Some(&first), true, BEGIN);
     let again_ms = ms(begun);
     let begun = Busy::now();
-    let beside = plan::beside(&shape, &BTreeSet::from(["site-00".to_string()]), BEGIN);
+    let beside = plan::plans_with_sites_out(&shape, &BTreeSet::from(["site-00".to_string()]), BEGIN);
     let beside_ms = ms(begun);
     let all: Vec<_> = again.all().cloned().collect();
     let (begun, mut bytes, mut most, mut handed) = (Busy::now(), 0, 0, 0);
-    for (_, place) in shape.places() {
-        let planned = standby::for_place(place.name(), all.iter());
+    for (_, place) in shape.nodes() {
+        let planned = fallback::plans_for_node(place.name(), all.iter());
         let own = serde_json::to_vec(&planned).unwrap_or_default().len();
         handed += planned.len();
         bytes += own;
         most = most.max(own);
     }
-    let places = shape.places().count() as f64;
+    let places = shape.nodes().count() as f64;
     Found::from([
         ("of_ms".into(), of_ms),
         ("again_ms".into(), again_ms),
@@ -155,8 +155,8 @@
 }
 
 fn fresh_board(sites: usize, now: Moment) -> Board {
-    let shape = Shape::of(&form(sites)).expect("the run's shape is right");
-    let form = feed::for_branch(&shape, "br-0").expect("it is a branch");
+    let shape = Shape::from_config(&form(sites)).expect("the run's shape is right");
+    let form = feed::config_for_branch(&shape, "br-0").expect("it is a branch");
     let mut board = Board::new("br-0", 256, false, now);
     board.told(&form, Vec::new(), now);
     board
@@ -211,8 +211,8 @@
             board.beat(now);
         }
     }
-    let marks = feed::marks(LIVE_PURGES, LIVE_PURGES, now.micros() / 1_000, "").len();
-    let purge = feed::purge(LIVE_PURGES, Some(mixed(1)), None, now.micros() / 1_000).len();
+    let marks = feed::markers_event(LIVE_PURGES, LIVE_PURGES, now.micros() / 1_000, "").len();
+    let purge = feed::purge_event(LIVE_PURGES, Some(mixed(1)), None, now.micros() / 1_000).len();
     Found::from([("folds".into(), folds as f64), ("router_line_bytes".into(), (marks + purge) as f64)])
 }
 
@@ -297,31 +297,31 @@
     ])
 }
 
-fn goes(purge: u64) -> Goes {
-    Goes { build: "0.1.0".into(), settings: 7, shape: 1, purge, term: 1, ..Goes::default() }
+fn goes(purge: u64) -> Versions {
+    Versions { build: "0.1.0".into(), settings: 7, shape: 1, purge, term: 1, ..Versions::default() }
 }
 
-fn acting(n: usize, now: Moment) -> Acting {
-    let who = Who {
+fn acting(n: usize, now: Moment) -> AuditedProcess {
+    let who = ProcessIdentity {
         member: format!("router-{n}"),
         start: 1,
         role: Audited::Router,
         site: format!("br-{n}"),
         place: format!("br-{n}"),
     };
-    Acting::begin(who, vec!["clip".into()], goes(0), now)
+    AuditedProcess::new(who, vec!["clip".into()], goes(0), now)
 }
 
 /// Downloads that end, with purges that come among them, each at its place.
-fn count(acting: &mut Acting, downloads: u64, purges: u64, has: u64, id: &mut u64, now: Moment) {
+fn count(acting: &mut AuditedProcess, downloads: u64, purges: u64, has: u64, id: &mut u64, now: Moment) {
     let mut applied = 0;
     for n in 1..=downloads {
         *id += 1;
         while applied < purges && n * purges >= (applied + 1) * downloads {
             applied += 1;
-            acting.goes_by(goes(has + applied), now);
+            acting.set_versions(goes(has + applied), now);
         }
-        acting.ended(0, Outcome::Fulfilled, mixed(*id), now);
+        acting.download_ended(0, Outcome::Fulfilled, mixed(*id), now);
     }
 }
 
@@ -343,12 +343,12 @@
             let due = purges * step * REPORTS_EVERY.as_micros() / 1_000_000;
             count(&mut acting, upto - id, due - last_purge, last_purge, &mut id, now);
             last_purge = due;
-            acting.beat(now);
+            acting.tick(now);
             let report = acting.report(now);
             links += report.links.len();
             waits = waits.max(report.links.len());
             let upto = report.links.last().map(|link| link.number);
-            bytes += audit_line(&FromAudited::Audited(Box::new(report))).len();
+            bytes += audit_line(&ProcessMessage::Report(Box::new(report))).len();
             upto.into_iter().for_each(|upto| acting.recorder().acknowledged(1, upto));
         }
         found.insert(format!("bytes_a_second_{label}"), bytes as f64 / SECONDS as f64);
@@ -367,8 +367,8 @@
     const DOWNLOADS: u64 = REQUESTS_A_ROUTER / 5;
     let scratch = crate::rig::Scratch::new();
     let (mut store, _) = Store::open(&scratch.file("store")).expect("a store");
-    let (mut keep, _) = Keep::open(&[], BEGIN);
-    let mut routers: Vec<Acting> = (0..routers).map(|n| acting(n, BEGIN)).collect();
+    let (mut keep, _) = KeeperState::open(&[], BEGIN);
+    let mut routers: Vec<AuditedProcess> = (0..routers).map(|n| acting(n, BEGIN)).collect();
     let (mut reports, mut links, mut kept_bytes, mut in_bytes) = (0u64, 0u64, 0u64, 0u64);
     let (mut hear, mut disk) = (std::time::Duration::ZERO, std::time::Duration::ZERO);
     let (mut id, mut purge) = (0u64, 0u64);
@@ -379,16 +379,16 @@
         let mut sent = Vec::new();
         for acting in &mut routers {
             count(acting, DOWNLOADS, due - purge, purge, &mut id, now);
-            acting.beat(now);
-            sent.push(audit_line(&FromAudited::Audited(Box::new(acting.report(now)))));
+            acting.tick(now);
+            sent.push(audit_line(&ProcessMessage::Report(Box::new(acting.report(now)))));
         }
         purge = due;
         for (text, acting) in sent.iter().zip(&mut routers) {
             in_bytes += text.len() as u64;
             let begun = Busy::now();
-            let Ok(FromAudited::Audited(report)) = serde_json::from_slice(text) else { continue };
-            keep.purges(due, now);
-            let new = keep.hear(&report, now);
+            let Ok(ProcessMessage::Report(report)) = serde_json::from_slice(text) else { continue };
+            keep.purges_published(due, now);
+            let new = keep.on_report(&report, now);
             hear += begun.elapsed();
             let begun = Busy::now();
             store.append(&new).expect("it is kept");
@@ -396,14 +396,14 @@
             kept_bytes +=
                 new.iter().map(|link| serde_json::to_vec(link).unwrap_or_default().len() as u64).sum::<u64>();
             let begun = Busy::now();
-            let answer = keep.answer(&report, now);
+            let answer = keep.answer_report(&report, now);
             black_box(audit_line(&answer));
             hear += begun.elapsed();
             (reports, links) = (reports + 1, links + new.len() as u64);
-            acting.answered(answer, now);
+            acting.on_answer(answer, now);
         }
         let begun = Busy::now();
-        drop(keep.beat(now));
+        drop(keep.tick(now));
         hear += begun.elapsed();
         let begun = Busy::now();
         store.sync().expect("it is kept");
@@ -441,7 +441,8 @@
     /// Virtual time after which the burst is given up.
     const AT_MOST: Span = Span::millis(600_000);
     let first = form(sites);
-    let (mut director, _) = Director::open(&[], Some(&first), BEGIN).unwrap_or_else(|why| panic!("{why}"));
+    let (mut director, _) =
+        SiteController::open(&[], Some(&first), BEGIN).unwrap_or_else(|why| panic!("{why}"));
     let hubs: Vec<(String, String)> =
         first.hubs.iter().map(|hub| (hub.name.clone(), hub.site.clone())).collect();
     let mut now = BEGIN;
@@ -459,20 +460,20 @@
             reports_at = now + REPORTS_EVERY;
             for ((name, site), (version, from)) in hubs.iter().zip(&version) {
                 let version = if *from <= now { *version } else { 0 };
-                let report = Report {
+                let report = HubReport {
                     version,
                     slowness: 1.0,
                     archive_slowness: 1.0,
-                    asked: 1.0,
-                    fetches: 0.1,
-                    wants: 0.1,
-                    part: 0,
-                    holds: 0.0,
-                    loops: Vec::new(),
+                    request_rate: 1.0,
+                    fetch_rate: 0.1,
+                    wanted_rate: 0.1,
+                    share_number: 0,
+                    granted_rate: 0.0,
+                    wait_cycles: Vec::new(),
                     site: site.clone(),
-                    sightings: Vec::new(),
+                    observations: Vec::new(),
                 };
-                effects.extend(director.hear(name, &report, now).1);
+                effects.extend(director.on_report(name, &report, now).1);
             }
         }
         if !under_way && asked < BURST {
@@ -491,7 +492,7 @@
                 Err(why) => panic!("change {asked}: {why}"),
             }
         }
-        effects.extend(director.beat("control-1", "site-00", now));
+        effects.extend(director.tick("control-1", "site-00", now));
         let took = Span::micros(clock.elapsed().as_micros() as u64);
         reckoned += took.seconds();
         now = now + took;
@@ -501,7 +502,7 @@
                     steps += 1;
                     version.iter_mut().for_each(|known| *known = (number, now + WAY));
                 }
-                Effect::Say(Said::Ended { .. }) => {
+                Effect::Announce(ChangeEvent::Ended { .. }) => {
                     under_way = false;
                     done.push((now + WAY).since(BEGIN).seconds() * 1e3);
                 }
@@ -524,14 +525,14 @@
 }
 
 fn profile() -> ServiceProfile {
-    let content = Content {
-        repeat: Repeat::Retriable,
-        target: Span::millis(250),
+    let content = ContentType {
+        idempotency: Idempotency::Retriable,
+        target_time: Span::millis(250),
         target_stretch: 1.0,
         benefit: 1.0,
         write: false,
         in_parts: false,
-        fresh: None,
+        fresh_for: None,
         grace: Span::ZERO,
     };
     let zone_routers: Vec<u16> = (0..ZONES).map(|_| (ROUTERS / ZONES) as u16).collect();
@@ -539,24 +540,24 @@
         zone: 2,
         zone_routers,
         routers: ROUTERS as u16,
-        contents: vec![content],
-        scales_compare: false,
-        roster_on_call: false,
+        content_types: vec![content],
+        scales_comparable: false,
+        membership_on_request: false,
         may_cancel: true,
         may_bypass: false,
         may_join: true,
-        most_pulls: 6,
-        longest_retry_after: Span::millis(1_000),
-        flow_kb_per_s: 1e6,
+        max_pulls: 6,
+        max_retry_after: Span::millis(1_000),
+        client_kb_per_s: 1e6,
         zone_link_kb_per_s: vec![1e9; ZONES],
-        cold_from: 0.2,
-        cold: Span::millis(10_000),
-        fall_multiple: 2.0,
-        fall: Span::millis(1_000),
-        parent_cold_from: 0.1,
-        parent_cold: Span::millis(20_000),
-        parent_fall_multiple: 2.0,
-        purge_settles: Span::millis(6_000),
+        cold_share: 0.2,
+        warm_up_time: Span::millis(10_000),
+        overload_factor: 2.0,
+        overload_window: Span::millis(1_000),
+        parent_cold_share: 0.1,
+        parent_warm_up_time: Span::millis(20_000),
+        parent_overload_factor: 2.0,
+        purge_settle_time: Span::millis(6_000),
     }
 }
 
@@ -566,10 +567,10 @@
     const LASTS: Span = Span::millis(600_000);
     const TAKES: Span = Span::millis(4);
     let mut now = BEGIN;
-    let mut brain = Brain::open(profile(), 11, now);
-    let listing = |node: u32, role: Role| Listing {
-        node: NodeIx(node),
-        stamp: mixed(u64::from(node)),
+    let mut policy = Policy::new(profile(), 11, now);
+    let listing = |node: u32, role: Role| NodeRecord {
+        node: NodeIndex(node),
+        hash_key: mixed(u64::from(node)),
         zone: if role == Role::Cache { 2 } else { 0 },
         cell: (node / 4) as u16,
         kind: role as u8,
@@ -579,13 +580,17 @@
         started: None,
     };
     let caches = (CACHES / ZONES) as u32;
-    let listings: Vec<Listing> = (0..caches)
+    let listings: Vec<NodeRecord> = (0..caches)
         .map(|n| listing(n, Role::Cache))
         .chain((caches..caches + 4).map(|n| listing(n, Role::Parent)))
         .chain([listing(caches + 4, Role::Origin)])
         .collect();
     let mut orders = Vec::new();
-    brain.turn(now, vec![Event::Roster { news: RosterNews::Whole, listings }], &mut orders);
+    policy.step(
+        now,
+        vec![Event::Membership { update: MembershipUpdate::Snapshot, records: listings }],
+        &mut orders,
+    );
     orders.clear();
     let before = own_mb();
     let cpu = Busy::now();
@@ -601,19 +606,19 @@
         if ends.peek().is_some_and(|at| at.0.0 <= due) {
             let Some(std::cmp::Reverse((at, dl, node, sent))) = ends.pop() else { continue };
             now = at;
-            let (ending, remark) = (Ending::Fulfilled, Remark::FromOrigin);
+            let (ending, remark) = (PullOutcome::Fulfilled, CacheStatus::FromOrigin);
             let (took, first_byte) = (at.since(sent), Span::millis(2));
-            let end = PullEnd {
-                dl: DlIx(dl),
-                pull: 0,
-                node: NodeIx(node),
-                ending,
-                remark,
-                closed: true,
-                took,
+            let end = PullResult {
+                dl: DownloadIndex(dl),
+                attempt: 0,
+                node: NodeIndex(node),
+                outcome: ending,
+                cache_status: remark,
+                answered: true,
+                duration: took,
                 first_byte,
             };
-            events.push(Event::Ended(end));
+            events.push(Event::PullEnded(end));
         } else {
             now = due;
             n += 1;
@@ -622,15 +627,15 @@
                 next_dl - 1
             });
             let what = Download {
-                content: ContentIx(0),
+                content: ContentIndex(0),
                 object: ObjectKey(mixed(n)),
                 part: 0,
                 group: (n % 256) as u32,
                 kilobytes: 100.0,
-                leaves_at: now + Span::millis(3_000),
-                repeat: false,
+                deadline: now + Span::millis(3_000),
+                is_retry: false,
             };
-            events.push(Event::Arrived { dl: DlIx(dl), download: what });
+            events.push(Event::Arrived { dl: DownloadIndex(dl), download: what });
         }
         if now >= beat_at {
             beat_at = now + Span::millis(50);
@@ -644,15 +649,15 @@
                 ago: Span::ZERO,
             });
         }
-        brain.turn(now, events, &mut orders);
+        policy.step(now, events, &mut orders);
         for order in orders.drain(..) {
             match order {
-                Order::Pull(pull) => {
+                Action::Pull(pull) => {
                     pulled += 1;
                     ends.push(std::cmp::Reverse((now + TAKES, pull.dl.0, pull.node.0, now)));
                 }
-                Order::Throttle { .. } => throttled += 1,
-                Order::Forget { dl } => free.push(dl.0),
+                Action::Throttle { .. } => throttled += 1,
+                Action::Release { dl } => free.push(dl.0),
                 _ => {}
             }
         }
@@ -746,7 +751,7 @@
         let (acts, bytes) = tell(&mut service, &mut far, now);
         (told, lines) = (told + bytes, lines + 1);
         for act in acts {
-            if let Action::Purge { scope, at } = act {
+            if let FollowerAction::Purge { scope, at } = act {
                 store.purge_scope(&scope, at, now);
             }
         }
--- a/crates/measure/tests/purge.rs
+++ b/crates/measure/tests/purge.rs
@@ -4,9 +4,9 @@
 use harestage_purge::messages::{Request, Response, Status};
 use harestage_purge::promise::Report;
 use harestage_purge::scope::Scope;
-use harestage_shape::form::ShapeForm;
+use harestage_shape::config::ShapeConfig;
 use harestage_standins::{Archive, ArchiveScript, Caller, Fault, Link, pull};
-use harestage_wire::node::Word;
+use harestage_wire::node::AnswerStatus;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -51,7 +51,7 @@
     hubs: Vec<(SocketAddr, Running)>,
     links: Vec<Link>,
     scratch: Scratch,
-    shape: ShapeForm,
+    shape: ShapeConfig,
 }
 
 impl Site {
@@ -60,7 +60,7 @@
         let (service, scratch) = (free_address(), Scratch::new());
         let addresses: Vec<SocketAddr> = (0..many).map(|_| free_address()).collect();
         let forms = addresses.iter().enumerate().map(|(n, at)| hub_form(&format!("h{n}"), *at, 1_000.0, 0));
-        let shape = ShapeForm {
+        let shape = ShapeConfig {
             version: 1,
             archive: archive_form(&archive, 2_000.0),
             hubs: forms.collect(),
@@ -83,7 +83,7 @@
     /// When the copy that a hub gives was made; none if it gives none.
     fn dated(&self, hub: usize, object: u64) -> Option<u64> {
         let reply = Caller::to(self.hubs[hub].0).ok()?.ask(&pull(1, "clip", object, 3_000), LONG)?;
-        (reply.answer.word == Word::Good).then_some(reply.copy?.dated_ms)
+        (reply.answer.status == AnswerStatus::Fulfilled).then_some(reply.copy?.dated_ms)
     }
 }
 
--- a/crates/purger/src/below.rs
+++ b/crates/purger/src/below.rs
@@ -5,7 +5,7 @@
 use harestage_purge::messages::{Ack, ToMember};
 use harestage_purge::retained::MAX_BATCH_ITEMS;
 use harestage_seats::host::{LOOK, STALL, say};
-use harestage_sockets::lines::{Lines, within};
+use harestage_sockets::lines::{LineReader, with_timeout};
 use std::time::Duration;
 
 /// Whoever tells members: what it says, and when it may.
@@ -52,7 +52,7 @@
 }
 
 /// Serves a member from its first word on, to the end of its connection.
-pub async fn serve(teller: &impl Teller, lines: &mut Lines<'_>, first: Ack) -> Result<(), String> {
+pub async fn serve(teller: &impl Teller, lines: &mut LineReader<'_>, first: Ack) -> Result<(), String> {
     if !first.has_valid_name() {
         return Err("a member of no usable name".into());
     }
@@ -75,7 +75,7 @@
             is_full || !next.bootstrapped && matches!(answer, ToMember::Items { .. }) && next.applied == 0;
         say(stream, &answer).await?;
         // What is new is told without being asked; the next line comes in its time.
-        let heard = async { Some(lines.next().await) };
+        let heard = async { Some(lines.next_line().await) };
         let new = async {
             while waits || teller.told().is_some_and(|told| told <= has) {
                 teller.until_news(LOOK).await;
@@ -94,7 +94,7 @@
                 };
                 say(stream, &news).await?;
                 told.1 = upto(&news, has).0;
-                within(STALL, "it says nothing", lines.next()).await?
+                with_timeout(STALL, "it says nothing", lines.next_line()).await?
             }
         };
         next = serde_json::from_slice(&line).map_err(|why| format!("{name}: an unreadable line: {why}"))?;
