--- a/crates/purge/src/members.rs
+++ b/crates/purge/src/members.rs
@@ -672,7 +672,7 @@
             self.count_speaker(by);
             if first > self.timed_after {
                 let took = now.since(self.told_at(first));
-                let slower = Span::micros(took.less(before).as_micros() / WAY_SLOWNESS);
+                let slower = Span::micros(took.saturating_sub(before).as_micros() / WAY_SLOWNESS);
                 let way = if took < before { took } else { before + slower };
                 self.speakers[by as usize].way = way.min(LONGEST_WAY);
             }
--- a/crates/purge/tests/orders.rs
+++ b/crates/purge/tests/orders.rs
@@ -95,7 +95,7 @@
     members.purged(1, at(20_000));
     members.confirm("a", 1, 1, true, at(20_010));
     assert!(!members.is_reached(1));
-    let early = at(20_000) + FENCED_AFTER.less(Span::millis(1));
+    let early = at(20_000) + FENCED_AFTER.saturating_sub(Span::millis(1));
     assert!(members.beat(early).is_empty());
     let fenced = members.beat(at(20_000) + FENCED_AFTER);
     assert_eq!(fenced, [Change::Fenced { member: "b".into(), has: 0 }]);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! The core of harestage: what a router decides, with no input or output of its own.
+//! The decision module of harestage: what a router decides, with no input or output of its own.
 //!
-//! `interface` is the one way in; `policy` holds every decision behind it.
+//! `interface` holds the events and actions, `policy` every decision, `state` the data that they work on.
 pub mod interface;
 pub mod policy;
 pub mod state;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,14 +1,32 @@
-//! Every decision of a router. A front calls `Policy::new` once and then `Policy::turn` with the events of a
-//! moment; what goes in and what comes back is in `door.rs`, the data are in `state.rs`. The design
-//! (docs/design.md) decides each usual download: `RequestHistory` keeps its last-request table and both τ,
-//! `Dispatcher::ask_source` and `Dispatcher::ask_cache` have its hash orders, gap tests and no-copy switch.
-//! Beside it stand six mechanisms, each where its number is:
-//! (1) failures in a row set a cache or parent aside, and a trial download later brings it back;
-//! (2) a cold budget, this router's share of what a fresh cache or parent may be sent;
-//! (3) pulls that are lost, or on a node set aside or gone, are called back, and others follow in hash order;
-//! (4) throttling by chance as a cache's gate fills up, cheaper downloads more often;
-//! (5) purge memory, which bounds the age of the copies that will do;
-//! (6) the origin and link guard: such gates for fills, past which only copies that are held are asked for.
+//! Every decision of a router: to which cache a download's pull goes, from which source the cache may fill,
+//! when a download is throttled, and when a pull is repeated elsewhere.
+//!
+//! A host creates one `Policy` and calls `Policy::step` with the events of a moment. Events and actions are
+//! defined in `interface.rs`, the data in `state.rs`. Inside, a `Dispatcher` finds the way of each download,
+//! and one `NodeState` for each cache, parent and origin accepts or declines pulls and fills; they exchange
+//! messages.
+//!
+//! An ordinary download takes the way that the design (docs/design.md) gives it. Weighted rendezvous hashing
+//! names the object's preferred cache in the router's zone and its preferred parent. `RequestHistory` keeps
+//! the last request of each object and estimates two characteristic times τ: how long the caches of the zone,
+//! and the parents, keep a copy that nobody asks for. A copy whose last gap between requests is longer than τ
+//! would be evicted before its next use, so that it is not kept (`Dispatcher::offer_pull`).
+//!
+//! Six mechanisms protect this against failures and overload. Comments refer to them by number:
+//! (1) Outlier ejection: a cache or parent that fails several times in a row is not used for a while. The
+//!     first pull or fill after that time is a probe; its success brings the node back.
+//! (2) Slow start of cold nodes: a cache or parent that has just started gets only this router's share of the
+//!     load that it can carry, which grows until the node is warm.
+//! (3) Recalling lost pulls: a pull that is long overdue, or whose node was ejected or removed, is cancelled,
+//!     and the download goes on, if need be at the next node in hash order.
+//! (4) Probabilistic load shedding by adaptive concurrency limits: the limit of each cache follows its answer
+//!     times. As the cache comes near its limit, pulls are turned away at random, cheap downloads more often
+//!     than dear ones.
+//! (5) Purge memory: a router remembers recent purges and accepts no copy that is older than the purge of its
+//!     object.
+//! (6) Limits for the origin and the link: the fills that cross the zone's link in, and those that reach the
+//!     origin, have such limits too. Past them, a download is served only from a copy that a cache, or a
+//!     parent, holds.
 use crate::interface::{Action, ContentType, Event, Pull, ServiceProfile};
 pub use crate::state::Policy;
 use crate::state::*;
@@ -16,846 +34,1134 @@
 use crate::window::SlidingWindow;
 use std::hash::Hash;
 
-// Figures that the design leaves open; seen on all deployments unless one is named.
-const EDGE_TAU_START: Span = Span::millis(10_000); // times the zone's routers, as the design page starts it
-const PARENT_TAU_START: (Span, Span) = (Span::millis(6_000), Span::millis(18_000)); // times all routers, most
-const TAU_WEIGHT: f64 = 0.1; // as the design page starts it
-const TABLE_CAP: f64 = 1.6; // the paper has 1.2, which leaves few gaps between τ and forgetting
-const FIRST_RANK: u8 = 1;
-const LATER_RANK: u8 = 2; // rank 1 for all lost hits: adire-branch-net 0.67 to 0.63
-const FILL_BOUND: f64 = 16.0; // fills to be expected among our pulls
-const HOT: f64 = 0.5; // of a cache's part of the sending; an object that takes more is spread
-const FAILURES_IN_A_ROW: f64 = 3.0; // (1) hardly chance at the rate of errors of a sound cache
-const ONE_FAULT: Span = Span::millis(20); // and all that shares it: with a connection many pulls end at once
-const DOUBTFUL_FAILURE: f64 = 0.34; // silence on what may be a miss: what is behind the cache may be slow
-const ASIDE_FIRST: Span = Span::millis(1_000); // doubles, so that a trial costs little while a fault lasts
-const ASIDE_MOST: Span = Span::millis(4_000); // what is well again is soon back; 8 s cost case-cache
-const COLD_MARGIN: f64 = 0.55; // (2) of the allowance; 0.7 came within 85% of a fall on adire-branch-net
-const CACHE_OVER_LINK: f64 = 1.6; // caches send thrice what they miss; half as much for unequal ones
-const MANY_CACHES: f64 = 6.0; // whose link need not be wider; counted in full, a cache of few fell over
-const PARENT_OVER_LINK: f64 = 1.7; // zones' links; at 4 a cold one was pushed over on kartli-tours-later
-const BEAT: Span = Span::millis(50); // (3) well under any target time, and cheap
-const OVERDUE_MULTIPLE: f64 = 4.0; // of the sending time: few sound pulls take longer, even at a busy cache
-const OVERDUE_LEAST: Span = Span::millis(150); // for the way to the origin and back
-const UNSEEN: f64 = 0.5; // of the target time stands in for a sending time not yet seen
-const SENDING_WEIGHT: f64 = 0.02; // a hit's in the mean of its content type: sizes vary much
-const ROOM_START: f64 = 24.0; // (4) pulls, over all routers that share it; a guess that mends both ways
-const ROOM_LEAST: f64 = 3.0; // fewer would show too few answers to widen again
-const ROOM_CUT: (f64, f64) = (0.97, 0.5); // a beat, whole once past slow by that part: answers tell late
-const ROOM_STEP: f64 = 0.5; // a beat, or the following part of the room, as far as answers are from slow
-const ROOM_GROWTH: f64 = 0.04; // of the room, a beat, where answers come at once; 0.1 cost an overload
-const ROOM_RUSH: f64 = 0.12; // the same until a gate was first slow; by steps a start took 3 s of refusals
-const PACE_MOST: f64 = 4.0; // times slower, where each of many routers sees few answers; more is too late
-const MEAN_WEIGHT: f64 = 0.5; // a beat, over the routers; 0.2 cost adire-branch-net-later 0.02
-const IN_USE: f64 = 0.7; // of the room; a gate that is not in use learns nothing from quick answers
-const CACHE_SLOW: f64 = 0.55; // all three: part of the target time that may go by there
-const LINK_SLOW: f64 = 0.45; // less than at a cache: a fill on a full link delays all others
-const PARENT_GATE: (f64, f64) = (0.6, 4.0); // slow past the link's; rooms, since with one homes were left
-const ORIGIN_SLOW: f64 = 0.8; // 0.5 to 3.0 tried; above 0.8 kartli-tours jams
-const ORIGIN_ZONES: f64 = 8.0; // that may have a whole gate each; more of them would jam the one origin
-const FAILED_RATIO: f64 = 4.0; // what a failure counts for beside the slow answers that it stands among
-const CHEAP_FROM: f64 = 0.5; // of the room: where the cheapest are first turned away; 0.75 was no better
-const DEAR_FROM: f64 = 0.95; // and the dearest
-const ALL_FROM: f64 = 1.1; // and everyone
-const SPREAD: f64 = 2.0; // times its part of our pulls, at which a home is left; 1.5 keeps parts twice
-const SPREAD_LEAST: f64 = 8.0; // pulls; at 4 homes were left in ordinary traffic
-const BACK_IN: Span = Span::millis(400); // half to one and a half of it, so as not to come back together
-const PURGE_MARGIN: Span = Span::millis(5); // (5) a copy made at the very moment of a purge is not trusted
-const FILL_FAILURES: u32 = 2; // (6) then only copies that are held are looked for
+/// Initial characteristic time of the zone's caches, for each router of the zone.
+const INITIAL_EDGE_TAU_PER_ROUTER: Span = Span::millis(10_000);
+/// Initial characteristic time of the parents, for each router of the service, up to the maximum below.
+const INITIAL_PARENT_TAU_PER_ROUTER: Span = Span::millis(6_000);
+const MAX_INITIAL_PARENT_TAU: Span = Span::millis(18_000);
+/// Weight of a new sample in the moving average of a characteristic time.
+const TAU_SMOOTHING: f64 = 0.1;
+/// A request is forgotten after this many characteristic times of the parents. The paper has 1.2, which
+/// leaves few gaps between τ and forgetting.
+const HISTORY_EXPIRY_FACTOR: f64 = 1.6;
+/// Retention rank of a copy of an object with no earlier request. Copies of a higher rank are evicted later.
+const FIRST_REQUEST_RANK: u8 = 1;
+/// Retention rank of a copy that was asked for again within the caches' characteristic time. With one rank
+/// for both, objects that are requested only once displace others, and hits are lost.
+const REPEATED_REQUEST_RANK: u8 = 2;
+/// Maximum number of fills that this router expects to have under way at one parent.
+const MAX_EXPECTED_FILLS: f64 = 16.0;
+/// Part of one cache's fair share of the sending. An object that takes more is spread over several caches.
+const HOT_OBJECT_SHARE: f64 = 0.5;
+
+/// (1) Failures in a row that eject a node. At the error rate of a healthy cache, so many are hardly chance.
+const FAILURES_TO_EJECT: f64 = 3.0;
+/// Failures so close together count as one: many pulls end at once when their shared connection breaks.
+const SAME_FAULT_WINDOW: Span = Span::millis(20);
+/// Weight of a failure that may have its cause behind the node: silence of a cache that may be waiting for a
+/// fill.
+const UNCERTAIN_FAILURE_WEIGHT: f64 = 0.34;
+/// Duration of the first ejection. It doubles with each further one, so that probes cost little while a fault
+/// lasts.
+const FIRST_EJECTION_TIME: Span = Span::millis(1_000);
+/// Maximum duration of an ejection; short, so that a node that is well again is soon used again.
+const MAX_EJECTION_TIME: Span = Span::millis(4_000);
+
+/// (2) Part of the slow-start allowance that is used. With 0.7, the load came within 85% of an overload.
+const SLOW_START_MARGIN: f64 = 0.55;
+/// Capacity of a zone's caches as a multiple of its link in. Caches send three times as much as they miss;
+/// half of that is counted, since caches may differ in size.
+const CACHE_TO_LINK_CAPACITY: f64 = 1.6;
+/// Number of caches from which the zone's link is counted in full. The link of fewer caches may be wider than
+/// they need: when it was counted in full, one of few caches was overloaded.
+const CACHES_FOR_FULL_LINK: f64 = 6.0;
+/// Capacity of a parent as a multiple of the mean link into a zone. With 4, a cold parent was overloaded.
+const PARENT_TO_LINK_CAPACITY: f64 = 1.7;
+
+/// (3) Interval between two ticks: well below any target time, and cheap.
+const TICK_INTERVAL: Span = Span::millis(50);
+/// A pull is overdue after this many times its sending time, plus the time below. Few healthy pulls take
+/// longer, even at a busy cache.
+const OVERDUE_SEND_TIMES: f64 = 4.0;
+/// Allowance for the way to the origin and back.
+const OVERDUE_BASE_TIME: Span = Span::millis(150);
+/// Part of the target time that is assumed as the sending time of a content type before any was seen.
+const INITIAL_SEND_TIME_SHARE: f64 = 0.5;
+/// Weight of a hit in the mean sending time of its content type; low, since sizes vary much.
+const SEND_TIME_SMOOTHING: f64 = 0.02;
+
+/// (4) Initial concurrency limit, in pulls of all routers that share the limited resource.
+const INITIAL_LIMIT: f64 = 24.0;
+/// Minimum concurrency limit, in pulls. Fewer would give too few answers to raise the limit again.
+const MIN_LIMIT: f64 = 3.0;
+/// Factor on the limit at each tick while answers are too slow by `FULL_CUT_EXCESS` or more. Answers tell of
+/// the load late, so that a sharper cut would go on for too long.
+const LIMIT_CUT_PER_TICK: f64 = 0.97;
+/// Excess over the slowness threshold, as a part of it, from which the cut is made in full.
+const FULL_CUT_EXCESS: f64 = 0.5;
+/// Minimum raise of the limit, in pulls a tick.
+const MIN_LIMIT_STEP: f64 = 0.5;
+/// Raise of the limit a tick, as a part of it, where answers take no time. 0.1 caused an overload.
+const LIMIT_GROWTH_PER_TICK: f64 = 0.04;
+/// The same before the limiter has first seen slow answers. By fixed steps, a start refused downloads for 3
+/// s.
+const INITIAL_LIMIT_GROWTH_PER_TICK: f64 = 0.12;
+/// Maximum factor by which a limiter adapts more slowly where many routers share the resource and each sees
+/// few answers. Beyond that it adapts too late.
+const MAX_SLOWDOWN: f64 = 4.0;
+/// Weight of a tick in the mean load, divided by the number of routers.
+const MEAN_LOAD_SMOOTHING: f64 = 0.5;
+/// Part of the limit that must be used before it is raised: quick answers of an idle resource prove nothing.
+const IN_USE_SHARE: f64 = 0.7;
+/// Answers of a cache are too slow beyond this part of the target time.
+const CACHE_SLOW_RATIO: f64 = 0.55;
+/// The same for fills over the link in; less than at a cache, since a fill on a full link delays all others.
+const LINK_SLOW_RATIO: f64 = 0.45;
+/// The same for fills that a parent sends from its own copy. Higher than that of the link, whose limit
+/// therefore reacts first.
+const PARENT_SLOW_RATIO: f64 = 0.6;
+/// Factor on a parent's initial and minimum limit. With 1, fills left their preferred parents.
+const PARENT_LIMIT_FACTOR: f64 = 4.0;
+/// The same as `CACHE_SLOW_RATIO` for the origin's first byte. Above 0.8, the origin jams.
+const ORIGIN_SLOW_RATIO: f64 = 0.8;
+/// Number of zones that may each have a full limit for the origin. More of them would jam the one origin.
+const ZONES_WITH_FULL_ORIGIN_LIMIT: f64 = 8.0;
+/// A failure counts as an answer of this multiple of the slowness threshold.
+const FAILURE_LATENCY_FACTOR: f64 = 4.0;
+/// Parts of the limit that must be in use before the cheapest downloads, the dearest ones, and all are turned
+/// away.
+const SHED_CHEAPEST_FROM: f64 = 0.5;
+const SHED_DEAREST_FROM: f64 = 0.95;
+const SHED_ALL_FROM: f64 = 1.1;
+/// Multiple of its fair share of this router's pulls up to which a node is offered more. With 1.5, too many
+/// pulls left their preferred caches, and parts were kept twice.
+const MAX_FAIR_SHARES: f64 = 2.0;
+/// Minimum of that bound, in pulls. With 4, pulls left their preferred caches in ordinary traffic.
+const MIN_PULL_BOUND: f64 = 8.0;
+/// Mean time after which a throttled client is told to come back; drawn between half and one and a half of
+/// it, so that clients don't come back together.
+const MEAN_RETRY_AFTER: Span = Span::millis(400);
+
+/// (5) A copy must be made so long after a purge: one that was made at the very moment of the purge is not
+/// trusted.
+const PURGE_MARGIN: Span = Span::millis(5);
+
+/// (6) Failed fills of a download after which only copies that are held are looked for.
+const MAX_FILL_FAILURES: u32 = 2;
+/// Index of the rate of fills that went on to the origin in `Dispatcher::fill_rates`.
+const FILLS_FROM_ORIGIN: usize = 2;
 
 impl Policy {
+    /// Creates the policy of one router. `seed` makes its random draws differ from those of other routers.
     pub fn new(profile: ServiceProfile, seed: u64, now: Moment) -> Policy {
-        let mut post = Context { now, seed, ..Context::default() };
-        post.order(Action::SetTimer { after: BEAT, timer: 0 });
-        // Where the roster must be asked for, the rules hold a router informed whether or not it asks.
+        let mut context = Context { now, seed, ..Context::default() };
+        context.emit(Action::SetTimer { after: TICK_INTERVAL, timer: 0 });
+        // Where membership must be asked for, the service takes a router for informed even if it never asks.
         if profile.membership_on_request {
-            post.order(Action::WatchMembership);
+            context.emit(Action::WatchMembership);
         }
-        Policy { context: post, dispatcher: Dispatcher::open(profile), nodes: Vec::new() }
+        Policy { context, dispatcher: Dispatcher::new(profile), nodes: Vec::new() }
     }
 
-    pub fn step(&mut self, now: Moment, events: Vec<Event>, orders: &mut Vec<Action>) {
+    /// Handles the events of a moment in their order and appends what the host has to do to `actions`.
+    pub fn step(&mut self, now: Moment, events: Vec<Event>, actions: &mut Vec<Action>) {
         self.context.now = now;
         for event in events {
-            self.context.deliver(event);
-            while let Some((to, note)) = self.context.next() {
-                match to {
-                    Recipient::Dispatcher => self.dispatcher.read(note, &mut self.context),
-                    Recipient::Node(node) => node_at(&mut self.nodes, node).read(note, &mut self.context),
+            self.context.handle_event(event);
+            while let Some((recipient, message)) = self.context.next_message() {
+                match recipient {
+                    Recipient::Dispatcher => self.dispatcher.handle(message, &mut self.context),
+                    Recipient::Node(node) => {
+                        node_at(&mut self.nodes, node).handle(message, &mut self.context)
+                    }
                 }
             }
         }
-        orders.append(&mut self.context.actions);
+        actions.append(&mut self.context.actions);
     }
 }
 
 impl NodeState {
-    fn read(&mut self, note: Message, post: &mut Context) {
-        let now = post.now;
-        match note {
-            Message::NodeUpdated(listing, cold) => self.relist(listing, cold, post),
-            Message::Tick => self.beat(post),
-            Message::OfferPull(ask) => {
-                let (taken, aside) = (self.take(&ask, post), self.ejected_until.is_some());
-                post.send(
+    /// Handles one message from the dispatcher.
+    fn handle(&mut self, message: Message, context: &mut Context) {
+        let now = context.now;
+        match message {
+            Message::NodeUpdated(record, slow_start) => self.update_record(record, slow_start, context),
+            Message::Tick => self.tick(context),
+            Message::OfferPull(offer) => {
+                let (accepted, ejected) = (self.accept_pull(&offer, context), self.ejected_until.is_some());
+                context.send(
                     Recipient::Dispatcher,
-                    Message::PullReply {
-                        dl: ask.pull.dl,
-                        node: ask.pull.node,
-                        accepted: taken,
-                        ejected: aside,
-                    },
+                    Message::PullReply { dl: offer.pull.dl, node: offer.pull.node, accepted, ejected },
                 );
             }
-            Message::OfferFill { node, fill, capacity: carries, first_choice: first } => {
-                let granted = self.grants(&fill, carries, first, post);
-                if granted {
+            Message::OfferFill { node, fill, capacity, first_choice } => {
+                let accepted = self.accept_fill(&fill, capacity, first_choice, context);
+                if accepted {
                     self.recent_charges.add(now, fill.charge);
                     self.in_flight.push(fill);
                 }
-                post.send(Recipient::Dispatcher, Message::FillReply { dl: fill.dl, node, granted });
+                context.send(Recipient::Dispatcher, Message::FillReply { dl: fill.dl, node, accepted });
             }
-            Message::Finished { dl, signal: verdict, latency_ratio: ratio, charge } => {
-                let Some(at) = self.in_flight.iter().position(|o| o.dl == dl) else { return };
-                let out = self.in_flight.swap_remove(at);
-                self.recent_charges.add_weighted(out.sent_at, 0.0, charge.map_or(0.0, |c| c - out.charge));
-                ratio.into_iter().for_each(|ratio| self.limiter.show(ratio, out.charge, now));
-                self.judge(verdict, 1.0, post);
+            Message::Finished { dl, signal, latency_ratio, charge } => {
+                let Some(index) = self.in_flight.iter().position(|entry| entry.dl == dl) else { return };
+                let entry = self.in_flight.swap_remove(index);
+                self.recent_charges.add_weighted(
+                    entry.sent_at,
+                    0.0,
+                    charge.map_or(0.0, |charge| charge - entry.charge),
+                );
+                latency_ratio
+                    .into_iter()
+                    .for_each(|ratio| self.limiter.record_latency(ratio, entry.charge, now));
+                self.apply_signal(signal, 1.0, context);
             }
             _ => {}
         }
     }
 
-    fn relist(&mut self, listing: NodeRecord, cold: SlowStart, post: &mut Context) {
-        let anew = self.record.is_none_or(|l| listing.started > l.started);
-        if anew || listing.phase == Phase::Removed {
-            // What was seen of an ended process says nothing of the next.
+    /// Takes over a new record of the node. After a restart or a removal, all that was seen of the node is
+    /// forgotten.
+    fn update_record(&mut self, record: NodeRecord, slow_start: SlowStart, context: &mut Context) {
+        let restarted = self.record.is_none_or(|known| record.started > known.started);
+        if restarted || record.phase == Phase::Removed {
+            // What was seen of an ended process says nothing about the next one.
             (self.failure_streak, self.ejected_until, self.ejections, self.last_success) =
-                (0.0, None, 0, post.now);
-            let (slow, part) = if listing.role == Role::Parent { PARENT_GATE } else { (CACHE_SLOW, 1.0) };
-            self.limiter = ConcurrencyLimiter::open(slow, cold.routers, part);
-            self.call_back(post);
+                (0.0, None, 0, context.now);
+            let (slow_ratio, limit_factor) = if record.role == Role::Parent {
+                (PARENT_SLOW_RATIO, PARENT_LIMIT_FACTOR)
+            } else {
+                (CACHE_SLOW_RATIO, 1.0)
+            };
+            self.limiter = ConcurrencyLimiter::new(slow_ratio, slow_start.routers, limit_factor);
+            self.report_all_overdue(context);
         }
         if self.record.is_none() {
-            // These outlive a restart: what was sent before its news came may have met the cold process.
-            self.recent_charges = SlidingWindow::new(cold.window * 0.1, 11);
+            // The charges outlive a restart: pulls sent before the news of it may have met the cold process.
+            // Eleven buckets of a tenth always cover the whole window.
+            self.recent_charges = SlidingWindow::new(slow_start.window * 0.1, 11);
         }
-        (self.record, self.slow_start) = (Some(listing), cold);
+        (self.record, self.slow_start) = (Some(record), slow_start);
     }
 
-    fn call_back(&self, post: &mut Context) {
-        self.in_flight
-            .iter()
-            .for_each(|out| post.send(Recipient::Dispatcher, Message::Overdue { dl: out.dl, ejected: true }));
-    }
-
-    /// (2) Whether a node is warm or its allowance covers the charge. Guards against pushing over what has
-    /// just started, caches by pulls and parents by fills; it slows the return of nodes that warm up early.
-    /// What a share holds beyond whole downloads is rounded up or down by chance, anew in each window.
-    fn bears(&self, charge: f64, carries: f64, post: &Context) -> bool {
-        let warms = self.record.filter(|l| l.role != Role::Origin);
-        let Some(started) = warms.and_then(|l| l.started) else { return true };
-        let (cold, age) = (&self.slow_start, post.now.since(started));
-        let part = cold.initial_share + (1.0 - cold.initial_share) * (age / cold.duration);
-        let budget =
-            COLD_MARGIN * cold.overload_factor * part * carries * cold.window.seconds() / cold.routers;
+    /// (3) Reports all pulls and fills under way at a node that was ejected, restarted or removed.
+    fn report_all_overdue(&self, context: &mut Context) {
+        self.in_flight.iter().for_each(|entry| {
+            context.send(Recipient::Dispatcher, Message::Overdue { dl: entry.dl, ejected: true })
+        });
+    }
+
+    /// (2) Whether the node is warm, or its slow-start allowance covers `charge` seconds of sending.
+    ///
+    /// Prevents overload of a node that has just started: caches by pulls, parents by fills. It delays the
+    /// return of nodes that warm up faster than told. What this router's share holds beyond whole downloads
+    /// is rounded up or down at random, with a new draw in each window; else many routers would all round up.
+    fn slow_start_admits(&self, charge: f64, capacity: f64, context: &Context) -> bool {
+        let warms_up = self.record.filter(|record| record.role != Role::Origin);
+        let Some(started) = warms_up.and_then(|record| record.started) else { return true };
+        let (cold, age) = (&self.slow_start, context.now.since(started));
+        let share = cold.initial_share + (1.0 - cold.initial_share) * (age / cold.duration);
+        let allowance = SLOW_START_MARGIN * cold.overload_factor * share * capacity * cold.window.seconds()
+            / cold.routers;
         let (sent, window) =
-            (self.recent_charges.sum(post.now), post.now.micros() / cold.window.as_micros().max(1));
-        let turn = charge * unit(hash((post.seed, started, window)));
-        age >= cold.duration || sent + charge <= budget + turn
+            (self.recent_charges.sum(context.now), context.now.micros() / cold.window.as_micros().max(1));
+        let rounding = charge * unit_interval(hash((context.seed, started, window)));
+        age >= cold.duration || sent + charge <= allowance + rounding
     }
 
-    fn fit(&self, out: &InFlight, carries: f64, trial: bool, post: &Context) -> bool {
-        let back = |until| post.now >= until && trial && self.in_flight.is_empty();
-        self.ejected_until.is_none_or(back) && self.bears(out.charge, carries, post)
+    /// Whether the node is neither ejected nor past its slow-start allowance. After the time of an ejection,
+    /// a single pull or fill that may be repeated (`may_probe`) is let through as a probe.
+    fn is_available(&self, entry: &InFlight, capacity: f64, may_probe: bool, context: &Context) -> bool {
+        let may_return = |until| context.now >= until && may_probe && self.in_flight.is_empty();
+        self.ejected_until.is_none_or(may_return) && self.slow_start_admits(entry.charge, capacity, context)
     }
 
-    fn take(&mut self, ask: &PullOffer, post: &mut Context) -> bool {
-        let (fit, out) =
-            (self.fit(&ask.in_flight, ask.capacity, ask.may_probe, post), self.in_flight.len() as f64 + 1.0);
-        self.limiter.in_flight = out;
-        if !fit || out > ask.max_in_flight || !self.limiter.lets(0.0, ask.cheapness, post.chance()) {
+    /// Accepts a pull and sends it, or declines it.
+    fn accept_pull(&mut self, offer: &PullOffer, context: &mut Context) -> bool {
+        let (available, in_flight) = (
+            self.is_available(&offer.in_flight, offer.capacity, offer.may_probe, context),
+            self.in_flight.len() as f64 + 1.0,
+        );
+        self.limiter.in_flight = in_flight;
+        if !available
+            || in_flight > offer.max_in_flight
+            || !self.limiter.admits(0.0, offer.cheapness, context.random())
+        {
             return false;
         }
-        self.in_flight.push(ask.in_flight);
-        self.recent_charges.add(post.now, ask.in_flight.charge);
-        post.order(Action::Pull(ask.pull));
+        self.in_flight.push(offer.in_flight);
+        self.recent_charges.add(context.now, offer.in_flight.charge);
+        context.emit(Action::Pull(offer.pull));
         true
     }
 
-    /// (6) A parent whose own link is full passes fills on to the next, but never to the origin.
-    fn grants(&mut self, fill: &InFlight, carries: f64, first: bool, post: &mut Context) -> bool {
-        let (used, cheap) = (self.under_way(), if first { 0.0 } else { -1.0 });
-        let origin = self.record.is_some_and(|l| l.role == Role::Origin);
-        self.limiter.in_flight = used;
-        let open = used <= FILL_BOUND && self.limiter.lets(fill.certainty, cheap, post.chance());
-        (origin || open) && self.fit(fill, carries, true, post)
+    /// (6) Accepts or declines a fill. A parent whose own link is full declines it, so that it goes to the
+    /// next parent; a fill that another source has declined is not turned away again by the limit, so that
+    /// full links of parents send no load to the origin.
+    fn accept_fill(
+        &mut self,
+        fill: &InFlight,
+        capacity: f64,
+        first_choice: bool,
+        context: &mut Context,
+    ) -> bool {
+        let (in_flight, cheapness) = (self.load(), if first_choice { 0.0 } else { -1.0 });
+        let is_origin = self.record.is_some_and(|record| record.role == Role::Origin);
+        self.limiter.in_flight = in_flight;
+        let within_limits = in_flight <= MAX_EXPECTED_FILLS
+            && self.limiter.admits(fill.likelihood, cheapness, context.random());
+        (is_origin || within_limits) && self.is_available(fill, capacity, true, context)
     }
 
-    /// Pulls at a cache, fills to be expected at a parent.
-    fn under_way(&self) -> f64 {
-        let fills = self.record.is_some_and(|l| l.role != Role::Cache);
-        self.in_flight.iter().map(|o| if fills { o.certainty } else { 1.0 }).sum()
+    /// Load of this router on the node: pulls under way at a cache, expected fills at a parent or the origin.
+    fn load(&self) -> f64 {
+        let counts_fills = self.record.is_some_and(|record| record.role != Role::Cache);
+        self.in_flight.iter().map(|entry| if counts_fills { entry.likelihood } else { 1.0 }).sum()
     }
 
-    /// (1) Guards against nodes that fail fast, fall silent or can't be reached, whatever the cause.
-    fn judge(&mut self, verdict: HealthSignal, failure: f64, post: &mut Context) {
-        let now = post.now;
-        match verdict {
+    /// (1) Ejects the node after several failures in a row, and brings it back after a success.
+    ///
+    /// Protects against nodes that fail fast, fall silent or can't be reached, whatever the cause. `failures`
+    /// is the weight of a failure.
+    fn apply_signal(&mut self, signal: HealthSignal, failures: f64, context: &mut Context) {
+        let now = context.now;
+        match signal {
             HealthSignal::Success => {
-                let held_up = self.ejected_until.is_some() || now.since(self.last_success) > ASIDE_MOST;
-                self.ejections = (self.ejections - i32::from(held_up)).max(0);
+                // Each return from an ejection, or from a silence as long as one, takes one ejection off the
+                // count.
+                let returned =
+                    self.ejected_until.is_some() || now.since(self.last_success) > MAX_EJECTION_TIME;
+                self.ejections = (self.ejections - i32::from(returned)).max(0);
                 (self.failure_streak, self.ejected_until, self.last_success) = (0.0, None, now);
             }
-            HealthSignal::Failure if now.since(self.last_failure) < ONE_FAULT => return,
+            HealthSignal::Failure if now.since(self.last_failure) < SAME_FAULT_WINDOW => return,
             HealthSignal::Failure => {
-                (self.failure_streak, self.last_failure) = (self.failure_streak + failure, now)
+                (self.failure_streak, self.last_failure) = (self.failure_streak + failures, now)
+            }
+            HealthSignal::Overloaded => {
+                self.limiter.record_latency(FAILURE_LATENCY_FACTOR * CACHE_SLOW_RATIO, 1.0, now)
             }
-            HealthSignal::Overloaded => self.limiter.show(FAILED_RATIO * CACHE_SLOW, 1.0, now),
             HealthSignal::Inconclusive => {}
         }
-        if verdict == HealthSignal::Failure
-            && (self.failure_streak >= FAILURES_IN_A_ROW || self.ejected_until.is_some())
+        if signal == HealthSignal::Failure
+            && (self.failure_streak >= FAILURES_TO_EJECT || self.ejected_until.is_some())
         {
-            self.ejected_until = Some(now + (ASIDE_FIRST * 2f64.powi(self.ejections)).min(ASIDE_MOST));
+            self.ejected_until =
+                Some(now + (FIRST_EJECTION_TIME * 2f64.powi(self.ejections)).min(MAX_EJECTION_TIME));
             self.ejections += 1;
         }
     }
 
-    fn beat(&mut self, post: &mut Context) {
-        let (now, aside, last_good) = (post.now, self.ejected_until.is_some(), self.last_success);
-        let late = self
+    /// (3) Looks for overdue pulls and fills, and lets the concurrency limit adapt.
+    ///
+    /// If the node has answered others since, an overdue one is taken for lost and reported to the
+    /// dispatcher. If not, the silence counts as a failure of the node; when that ejects it, all that is
+    /// under way there is reported.
+    fn tick(&mut self, context: &mut Context) {
+        let (now, ejected, last_success) = (context.now, self.ejected_until.is_some(), self.last_success);
+        let overdue = self
             .in_flight
             .iter_mut()
-            .filter(|o| !o.reported_overdue && now.since(o.sent_at) > o.overdue_after);
-        let late = late.map(|o| std::mem::replace(o, InFlight { reported_overdue: true, ..*o }));
-        let (lost, silent): (Vec<_>, Vec<_>) = late.partition(|o| o.sent_at < last_good && !aside);
-        lost.iter()
-            .for_each(|o| post.send(Recipient::Dispatcher, Message::Overdue { dl: o.dl, ejected: aside }));
-        let failures: f64 = silent.iter().map(|o| o.certainty).sum();
+            .filter(|entry| !entry.reported_overdue && now.since(entry.sent_at) > entry.overdue_after);
+        let overdue =
+            overdue.map(|entry| std::mem::replace(entry, InFlight { reported_overdue: true, ..*entry }));
+        let (lost, silent): (Vec<_>, Vec<_>) =
+            overdue.partition(|entry| entry.sent_at < last_success && !ejected);
+        lost.iter().for_each(|entry| {
+            context.send(Recipient::Dispatcher, Message::Overdue { dl: entry.dl, ejected })
+        });
+        let failures: f64 = silent.iter().map(|entry| entry.likelihood).sum();
         if failures > 0.0 {
-            self.judge(HealthSignal::Failure, failures, post);
+            self.apply_signal(HealthSignal::Failure, failures, context);
             if self.ejected_until.is_some() {
-                self.call_back(post);
+                self.report_all_overdue(context);
             }
         }
-        self.limiter.in_flight = self.under_way();
-        self.limiter.beat(now);
+        self.limiter.in_flight = self.load();
+        self.limiter.tick(now);
     }
 }
 
-/// A bound that learns: answers that take longer than they should narrow it. Guards against overload of what
-/// stands behind, whether load or a fault caused it; it hurts where slow answers are slow at any load.
+/// An adaptive concurrency limit: slow answers lower it, quick answers raise it while it is in use.
+///
+/// Protects whatever it stands before from overload, whether load or a fault is the cause. It does harm where
+/// answers are slow at any load.
 impl ConcurrencyLimiter {
-    fn open(slow: f64, sharers: f64, part: f64) -> ConcurrencyLimiter {
-        let shown = SlidingWindow::new(Span::millis(250) * sharers.min(PACE_MOST), 4);
+    /// `slow_ratio` is the part of the target time beyond which answers are too slow, `routers` the number of
+    /// routers that share the resource, `limit_factor` a factor on the initial and the minimum limit.
+    fn new(slow_ratio: f64, routers: f64, limit_factor: f64) -> ConcurrencyLimiter {
+        // Where routers are many, each sees few answers and must collect them for longer.
+        let latency_ratios = SlidingWindow::new(Span::millis(250) * routers.min(MAX_SLOWDOWN), 4);
         ConcurrencyLimiter {
-            limit: ROOM_START * part,
-            growth: ROOM_RUSH,
-            routers: sharers,
-            slow_ratio: slow,
-            share: part,
-            latency_ratios: shown,
+            limit: INITIAL_LIMIT * limit_factor,
+            growth: INITIAL_LIMIT_GROWTH_PER_TICK,
+            routers,
+            slow_ratio,
+            limit_factor,
+            latency_ratios,
             ..ConcurrencyLimiter::default()
         }
     }
 
-    /// What all routers have under way here, if the others ask as much as this one does on the whole.
-    fn level(&self) -> f64 {
+    /// The load of all routers, on the assumption that each of the others has this router's mean load.
+    fn estimated_load(&self) -> f64 {
         self.in_flight + (self.routers - 1.0) * self.mean_in_flight
     }
 
-    /// (4) By chance, so that routers that know nothing of each other don't swing together.
-    fn lets(&mut self, charge: f64, cheap: f64, chance: f64) -> bool {
-        let from = DEAR_FROM + (CHEAP_FROM - DEAR_FROM) * cheap;
-        let lets = cheap < 0.0 || chance >= ((self.level() + charge) / self.limit - from) / (ALL_FROM - from);
-        self.in_flight += if lets { charge } else { 0.0 };
-        lets
+    /// (4) Whether `charge` more load is admitted. It is turned away at random, so that routers that know
+    /// nothing of each other don't all stop and start together; the nearer to the limit and the cheaper (0 to
+    /// 1), the more often. A negative cheapness is always admitted. `draw` is a random number between 0 and
+    /// 1.
+    fn admits(&mut self, charge: f64, cheapness: f64, draw: f64) -> bool {
+        let shed_from = SHED_DEAREST_FROM + (SHED_CHEAPEST_FROM - SHED_DEAREST_FROM) * cheapness;
+        let admitted = cheapness < 0.0
+            || draw
+                >= ((self.estimated_load() + charge) / self.limit - shed_from) / (SHED_ALL_FROM - shed_from);
+        self.in_flight += if admitted { charge } else { 0.0 };
+        admitted
     }
 
-    // By weight, so that many small answers don't hide that the large ones jam.
-    fn show(&mut self, ratio: f64, weight: f64, now: Moment) {
-        self.latency_ratios.add_weighted(now, weight, weight * ratio.min(FAILED_RATIO * self.slow_ratio));
+    /// Records an answer that took `ratio` of its target time, with a weight, so that many small answers
+    /// don't hide that the large ones jam.
+    fn record_latency(&mut self, ratio: f64, weight: f64, now: Moment) {
+        self.latency_ratios.add_weighted(
+            now,
+            weight,
+            weight * ratio.min(FAILURE_LATENCY_FACTOR * self.slow_ratio),
+        );
     }
 
+    /// Whether recent answers were too slow on average.
     fn is_slow(&self, now: Moment) -> bool {
         self.latency_ratios.mean(now).is_some_and(|ratio| ratio > self.slow_ratio)
     }
 
-    fn beat(&mut self, now: Moment) {
-        let (pace, ratio) = (self.routers.min(PACE_MOST), self.latency_ratios.mean(now));
-        let spare = 1.0 - ratio.unwrap_or(self.slow_ratio) / self.slow_ratio;
-        // From its start on the mean of all it has seen: a fresh router must not take the others to be idle.
+    /// Adapts the limit to the recent answers.
+    fn tick(&mut self, now: Moment) {
+        let (slowdown, ratio) = (self.routers.min(MAX_SLOWDOWN), self.latency_ratios.mean(now));
+        // From 1 where answers take no time to negative where they are too slow.
+        let headroom = 1.0 - ratio.unwrap_or(self.slow_ratio) / self.slow_ratio;
+        // A new limiter starts with the mean over all of its ticks: a router that has just started must not
+        // assume that the others are idle.
         self.ticks += 1.0;
-        self.mean_in_flight +=
-            (self.in_flight - self.mean_in_flight) * (MEAN_WEIGHT / self.routers).max(1.0 / self.ticks);
-        if spare < 0.0 {
-            let cut = ROOM_CUT.0.powf((-spare / ROOM_CUT.1).min(1.0) / pace);
-            (self.growth, self.limit) = (ROOM_GROWTH, (self.limit * cut).max(ROOM_LEAST * self.share));
-        } else if self.level() > self.limit * IN_USE && ratio.is_some() {
-            self.limit += ROOM_STEP.max(self.limit * self.growth * spare) / pace;
+        self.mean_in_flight += (self.in_flight - self.mean_in_flight)
+            * (MEAN_LOAD_SMOOTHING / self.routers).max(1.0 / self.ticks);
+        if headroom < 0.0 {
+            let cut = LIMIT_CUT_PER_TICK.powf((-headroom / FULL_CUT_EXCESS).min(1.0) / slowdown);
+            (self.growth, self.limit) =
+                (LIMIT_GROWTH_PER_TICK, (self.limit * cut).max(MIN_LIMIT * self.limit_factor));
+        } else if self.estimated_load() > self.limit * IN_USE_SHARE && ratio.is_some() {
+            self.limit += MIN_LIMIT_STEP.max(self.limit * self.growth * headroom) / slowdown;
         }
     }
 }
 
 impl RequestHistory {
-    fn enter(&mut self, key: (ObjectKey, u32), repeat: bool, now: Moment) -> HistoryEntry {
-        let expiry = self.parent_tau * TABLE_CAP;
-        let line = match self.entries.get(&key).filter(|l| now.since(l.last_request) <= expiry) {
-            // A client's repeat is the same wish; as a gap it would make every failure look popular.
-            Some(line) if repeat => *line,
-            Some(line) => {
-                HistoryEntry { last_request: now, gap: Some(now.since(line.last_request)), ..*line }
+    /// Records a request for an object and part, and returns its entry with the gap since the request before
+    /// it.
+    fn record_request(&mut self, key: (ObjectKey, u32), is_retry: bool, now: Moment) -> HistoryEntry {
+        let expiry = self.parent_tau * HISTORY_EXPIRY_FACTOR;
+        let entry = match self.entries.get(&key).filter(|known| now.since(known.last_request) <= expiry) {
+            // A client's retry is the same request; counted as a gap, it would make every failure look
+            // popular.
+            Some(known) if is_retry => *known,
+            Some(known) => {
+                HistoryEntry { last_request: now, gap: Some(now.since(known.last_request)), ..*known }
             }
             None => HistoryEntry { last_request: now, ..HistoryEntry::default() },
         };
-        self.entries.insert(key, line);
+        self.entries.insert(key, entry);
         self.by_age.push_back((now, key));
-        line
+        entry
     }
 }
 
 impl Dispatcher {
-    fn open(profile: ServiceProfile) -> Dispatcher {
-        let trade = |c: &ContentType| ContentState {
-            settings: c.clone(),
-            mean_send_seconds: c.target_time.seconds() * UNSEEN,
+    /// Creates the dispatcher of a router that knows no nodes yet.
+    fn new(profile: ServiceProfile) -> Dispatcher {
+        let initial_state = |settings: &ContentType| ContentState {
+            settings: settings.clone(),
+            mean_send_seconds: settings.target_time.seconds() * INITIAL_SEND_TIME_SHARE,
         };
-        let trades = profile.content_types.iter().map(trade).collect();
-        let edge_tau = EDGE_TAU_START * profile.own_routers();
-        let parent_tau = (PARENT_TAU_START.0 * f64::from(profile.routers.max(1))).min(PARENT_TAU_START.1);
-        let traffic = SlidingWindow::new(Span::millis(1_000), 4);
-        let ledger =
-            RequestHistory { edge_tau, parent_tau, total_load: traffic, ..RequestHistory::default() };
-        let (roster, near, most, out, dls) = Default::default();
-        let odds = [(); 3].map(|()| SlidingWindow::new(Span::millis(500), 8));
-        let (routers, part) = (profile.own_routers(), (ORIGIN_ZONES / profile.zones()).min(1.0));
-        let (link, purges) = (ConcurrencyLimiter::open(LINK_SLOW, routers, 1.0), PurgeMemory::default());
-        let origin = ConcurrencyLimiter::open(ORIGIN_SLOW, routers, part);
+        let content_types = profile.content_types.iter().map(initial_state).collect();
+        let edge_tau = INITIAL_EDGE_TAU_PER_ROUTER * profile.zone_router_count();
+        let parent_tau =
+            (INITIAL_PARENT_TAU_PER_ROUTER * f64::from(profile.routers.max(1))).min(MAX_INITIAL_PARENT_TAU);
+        // Loads and rates are those of the last four seconds.
+        let total_load = SlidingWindow::new(Span::millis(1_000), 4);
+        let history = RequestHistory { edge_tau, parent_tau, total_load, ..RequestHistory::default() };
+        let (members, reachable, max_caches, pulls_in_flight, downloads) = Default::default();
+        let fill_rates = [(); 3].map(|()| SlidingWindow::new(Span::millis(500), 8));
+        let (routers, origin_factor) =
+            (profile.zone_router_count(), (ZONES_WITH_FULL_ORIGIN_LIMIT / profile.zone_count()).min(1.0));
+        let (link_limiter, purge_memory) =
+            (ConcurrencyLimiter::new(LINK_SLOW_RATIO, routers, 1.0), PurgeMemory::default());
+        let origin_limiter = ConcurrencyLimiter::new(ORIGIN_SLOW_RATIO, routers, origin_factor);
         Dispatcher {
             profile,
-            content_types: trades,
-            members: roster,
-            reachable: near,
-            max_caches: most,
-            pulls_in_flight: out,
-            downloads: dls,
-            history: ledger,
-            purge_memory: purges,
-            fill_rates: odds,
-            link_limiter: link,
-            origin_limiter: origin,
-        }
-    }
-
-    fn read(&mut self, note: Message, post: &mut Context) {
-        let now = post.now;
-        match note {
+            content_types,
+            members,
+            reachable,
+            max_caches,
+            pulls_in_flight,
+            downloads,
+            history,
+            purge_memory,
+            fill_rates,
+            link_limiter,
+            origin_limiter,
+        }
+    }
+
+    /// Handles one message from the host or from a node.
+    fn handle(&mut self, message: Message, context: &mut Context) {
+        let now = context.now;
+        match message {
             Message::MembershipLost if self.profile.membership_on_request => {
-                post.order(Action::WatchMembership)
+                context.emit(Action::WatchMembership)
             }
-            Message::NodeUpdated(listing, _) => self.list(listing, post),
-            Message::Arrived(dl, what) => {
-                let line = self.history.enter((what.object, what.part), what.is_retry, now);
-                self.hold(dl, PendingDownload::new(what, line));
-                self.pass_gates(dl, post);
+            Message::NodeUpdated(record, _) => self.update_member(record, context),
+            Message::Arrived(dl, request) => {
+                let entry =
+                    self.history.record_request((request.object, request.part), request.is_retry, now);
+                self.add_download(dl, PendingDownload::new(request, entry));
+                self.apply_limiters(dl, context);
             }
-            Message::FillReply { dl, node, granted } => {
-                let Some(Some(held)) = self.downloads.get_mut(dl.0 as usize) else { return };
-                if !granted {
-                    held.declined.push(node);
-                    return self.ask_source(dl, post);
+            Message::FillReply { dl, node, accepted } => {
+                let Some(Some(download)) = self.downloads.get_mut(dl.0 as usize) else { return };
+                if !accepted {
+                    download.declined.push(node);
+                    return self.offer_fill(dl, context);
                 }
-                held.source = Some(node);
-                self.ask_cache(dl, post);
+                download.source = Some(node);
+                self.offer_pull(dl, context);
             }
-            Message::PullReply { dl, node, accepted: taken, ejected: aside } => {
-                let Some(Some(held)) = self.downloads.get_mut(dl.0 as usize) else { return };
-                if taken {
-                    return self.place(dl, node, now);
+            Message::PullReply { dl, node, accepted, ejected } => {
+                let Some(Some(download)) = self.downloads.get_mut(dl.0 as usize) else { return };
+                if accepted {
+                    return self.record_attempt(dl, node, now);
                 }
-                // One set aside has failed others lately; to a download it is as good as failed.
-                (if aside { &mut held.failed } else { &mut held.declined }).push(node);
-                self.ask_cache(dl, post);
+                // An ejected node has failed other downloads lately, and counts as one that has failed this
+                // one too.
+                (if ejected { &mut download.failed } else { &mut download.declined }).push(node);
+                self.offer_pull(dl, context);
             }
-            Message::PullEnded(end) => self.ended(end, post),
-            Message::ClientLeft(dl) => self.close(dl, post),
-            Message::Overdue { dl, ejected: aside } => self.overdue(dl, aside, post),
-            Message::Purged { object, group, at } => self.purge_memory.hear(object, group, at),
+            Message::PullEnded(result) => self.handle_pull_end(result, context),
+            Message::ClientLeft(dl) => self.finish(dl, context),
+            Message::Overdue { dl, ejected } => self.handle_overdue(dl, ejected, context),
+            Message::Purged { object, group, at } => self.purge_memory.record(object, group, at),
             Message::Tick => {
-                self.reachable.iter().for_each(|node| post.send(Recipient::Node(*node), Message::Tick));
-                self.history.tidy(now, self.history.parent_tau * TABLE_CAP);
+                self.reachable.iter().for_each(|node| context.send(Recipient::Node(*node), Message::Tick));
+                self.history.expire(now, self.history.parent_tau * HISTORY_EXPIRY_FACTOR);
                 [&mut self.link_limiter, &mut self.origin_limiter]
                     .into_iter()
-                    .for_each(|gate| gate.beat(now));
-                self.purge_memory.tidy(now.before(self.profile.purge_settle_time + PURGE_MARGIN));
-                post.order(Action::SetTimer { after: BEAT, timer: 0 });
+                    .for_each(|limiter| limiter.tick(now));
+                self.purge_memory.expire(now.before(self.profile.purge_settle_time + PURGE_MARGIN));
+                context.emit(Action::SetTimer { after: TICK_INTERVAL, timer: 0 });
             }
             _ => {}
         }
     }
 
-    /// How many caches it takes to send what is asked of an object: one, unless a crowd wants it.
-    fn spread(&self, what: &Download, now: Moment) -> f64 {
-        let heat = self.history.object_load.get(&what.object).map_or(0.0, |ring| ring.sum(now));
-        let caches = self.ready(Role::Cache).count() as f64;
-        (heat * caches / (HOT * self.history.total_load.sum(now).max(1.0))).ceil().min(caches)
+    /// Number of caches that it takes to send what is requested of an object: one, unless the object is hot.
+    fn caches_needed(&self, request: &Download, now: Moment) -> f64 {
+        let load = self.history.object_load.get(&request.object).map_or(0.0, |window| window.sum(now));
+        let caches = self.ready_nodes(Role::Cache).count() as f64;
+        (load * caches / (HOT_OBJECT_SHARE * self.history.total_load.sum(now).max(1.0))).ceil().min(caches)
     }
 
-    fn list(&mut self, listing: NodeRecord, post: &mut Context) {
-        // No pull can name a cache of another zone; at full size they are nearly all that is listed.
-        if listing.role != Role::Cache || listing.zone == self.profile.zone {
-            self.enter(listing);
-            let cold = self.profile.cold_start(listing.role);
-            post.send(Recipient::Node(listing.node), Message::NodeUpdated(listing, cold));
+    /// Takes over a new record of a node. Caches of other zones are ignored: no pull may name them, and in a
+    /// large service they are nearly all that is reported.
+    fn update_member(&mut self, record: NodeRecord, context: &mut Context) {
+        if record.role != Role::Cache || record.zone == self.profile.zone {
+            self.add_member(record);
+            let slow_start = self.profile.slow_start(record.role);
+            context.send(Recipient::Node(record.node), Message::NodeUpdated(record, slow_start));
         }
     }
 
-    /// Rule 3: whoever drains or is gone is named for nothing more, as cache or as source, without any grace.
-    pub(crate) fn ready(&self, role: Role) -> impl Iterator<Item = &NodeRecord> {
-        self.known().filter(move |l| l.role == role && l.phase == Phase::Ready)
+    /// The nodes of a role that a pull may name, as cache or as source. From the moment at which the router
+    /// is told that a node drains or is removed, the rules allow no pull to name it, without any grace
+    /// period.
+    pub(crate) fn ready_nodes(&self, role: Role) -> impl Iterator<Item = &NodeRecord> {
+        self.reachable_records().filter(move |record| record.role == role && record.phase == Phase::Ready)
     }
 
-    /// First of a hash order, in which each node comes first as often as its scale says.
-    fn first<'a>(&self, nodes: impl Iterator<Item = &'a NodeRecord>, of: impl Hash) -> Option<NodeRecord> {
-        let draw = |l: &NodeRecord| -self.scale(l) / unit(hash((&of, l.hash_key))).ln();
-        nodes.max_by(|a, b| draw(a).total_cmp(&draw(b))).copied()
+    /// The first node in the hash order of `key`: weighted rendezvous hashing, in which each node comes first
+    /// as often as its scale says. All routers get the same order.
+    fn first_in_hash_order<'a>(
+        &self,
+        nodes: impl Iterator<Item = &'a NodeRecord>,
+        key: impl Hash,
+    ) -> Option<NodeRecord> {
+        let score =
+            |record: &NodeRecord| -self.scale(record) / unit_interval(hash((&key, record.hash_key))).ln();
+        nodes.max_by(|a, b| score(a).total_cmp(&score(b))).copied()
     }
 
-    /// (6) Guards the link in and the origin, each against more fills than come back in time. What fails
-    /// to pass the link's gate is only looked for at its cache, what fails at the origin's at its parent too.
-    /// Fills are counted by the odds, since nothing tells beforehand which pulls will need one.
-    fn pass_gates(&mut self, dl: DownloadIndex, post: &mut Context) {
-        let Some(Some(held)) = self.downloads.get(dl.0 as usize) else { return };
-        // A fill that leaves no copy serves one download only.
-        let unkept = held.history.gap.is_some_and(|gap| gap >= self.history.edge_tau);
-        let own = self.cheap(held);
-        let cheap = if unkept && own >= 0.0 { 1.0 } else { own };
-        let sure = self.believed(held, post.now).is_some();
-        let odds = self.chance_of(usize::from(sure), post.now);
-        let fills = self.link_limiter.lets(odds, cheap, post.chance());
-        let reaches = odds * self.chance_of(2, post.now);
-        let fetches = fills && self.origin_limiter.lets(reaches, cheap, post.chance());
-        let Some(Some(held)) = self.downloads.get_mut(dl.0 as usize) else { return };
-        held.link_load = if fills { odds } else { 0.0 };
-        held.origin_load = if fetches { reaches } else { 0.0 };
-        held.only_held = !fetches;
-        if fills && held.fill_failures < FILL_FAILURES {
-            return self.ask_source(dl, post);
+    /// (6) Starts the way of a download with the limits for the link in and the origin, which protect each
+    /// from more fills than can end in time.
+    ///
+    /// A download that the link's limit turns away is served only if its cache holds a copy; one that the
+    /// origin's limit turns away, only if its cache or its parent does. Since nothing tells beforehand which
+    /// pulls will need a fill, each counts with the probability of one.
+    fn apply_limiters(&mut self, dl: DownloadIndex, context: &mut Context) {
+        let Some(Some(download)) = self.downloads.get(dl.0 as usize) else { return };
+        // A fill that leaves no copy serves this one download only.
+        let leaves_no_copy = download.history.gap.is_some_and(|gap| gap >= self.history.edge_tau);
+        let own_cheapness = self.cheapness(download);
+        let cheapness = if leaves_no_copy && own_cheapness >= 0.0 { 1.0 } else { own_cheapness };
+        let copy_expected = self.copy_holder(download, context.now).is_some();
+        let fill_probability = self.fill_rate(usize::from(copy_expected), context.now);
+        let may_fill = self.link_limiter.admits(fill_probability, cheapness, context.random());
+        let origin_probability = fill_probability * self.fill_rate(FILLS_FROM_ORIGIN, context.now);
+        let may_reach_origin =
+            may_fill && self.origin_limiter.admits(origin_probability, cheapness, context.random());
+        let Some(Some(download)) = self.downloads.get_mut(dl.0 as usize) else { return };
+        download.link_load = if may_fill { fill_probability } else { 0.0 };
+        download.origin_load = if may_reach_origin { origin_probability } else { 0.0 };
+        download.only_held = !may_reach_origin;
+        if may_fill && download.fill_failures < MAX_FILL_FAILURES {
+            return self.offer_fill(dl, context);
         }
-        self.ask_cache(dl, post);
+        self.offer_pull(dl, context);
     }
 
-    fn chance_of(&self, which: usize, now: Moment) -> f64 {
+    /// Recent share of pulls that needed a fill (or of fills that went on to the origin), one half without
+    /// any data.
+    fn fill_rate(&self, which: usize, now: Moment) -> f64 {
         (self.fill_rates[which].sum(now) + 1.0) / (self.fill_rates[which].count(now) + 2.0)
     }
 
-    /// A way starts with its source: the object's home among all parents, then the origin. What runs at the
-    /// origin goes there without a parent, which would keep nothing of it.
-    fn ask_source(&mut self, dl: DownloadIndex, post: &mut Context) {
-        let Some(Some(held)) = self.downloads.get(dl.0 as usize) else { return };
-        let write = self.content_types[held.request.content.0 as usize].settings.write;
-        let open = |l: &&NodeRecord| !held.declined.contains(&l.node) && !held.failed.contains(&l.node);
-        let parents = self.ready(Role::Parent).filter(|l| open(l) && !write);
-        let home = self.first(parents, held.request.object.0);
-        let origin = || self.ready(Role::Origin).find(|l| open(l) && !held.only_held).copied();
-        let Some(l) = home.or_else(origin) else { return self.ask_cache(dl, post) };
-        let sure = self.believed(held, post.now).is_some();
-        let odds = if write { 1.0 } else { self.chance_of(usize::from(sure), post.now) };
-        // What is not surely a hit weighs in full until it is over: odds lag behind a rush of misses.
-        let charge = self.weight(&held.request) * if sure { odds } else { 1.0 };
-        let fill = self.out_of(dl, held, odds, charge, post.now);
-        let (node, carries, first) = (l.node, self.carries(&l), held.declined.is_empty());
-        post.send(
-            Recipient::Node(node),
-            Message::OfferFill { node, fill, capacity: carries, first_choice: first },
-        );
+    /// Finds the source of a fill before the cache is chosen: the object's preferred parent, then the next
+    /// parents in hash order, then the origin. A write goes to the origin without a parent, which would keep
+    /// nothing of it.
+    fn offer_fill(&mut self, dl: DownloadIndex, context: &mut Context) {
+        let Some(Some(download)) = self.downloads.get(dl.0 as usize) else { return };
+        let is_write = self.content_types[download.request.content.0 as usize].settings.write;
+        let untried = |record: &&NodeRecord| {
+            !download.declined.contains(&record.node) && !download.failed.contains(&record.node)
+        };
+        let parents = self.ready_nodes(Role::Parent).filter(|record| untried(record) && !is_write);
+        let preferred = self.first_in_hash_order(parents, download.request.object.0);
+        let origin =
+            || self.ready_nodes(Role::Origin).find(|record| untried(record) && !download.only_held).copied();
+        let Some(source) = preferred.or_else(origin) else { return self.offer_pull(dl, context) };
+        let copy_expected = self.copy_holder(download, context.now).is_some();
+        let fill_probability =
+            if is_write { 1.0 } else { self.fill_rate(usize::from(copy_expected), context.now) };
+        // What is not expected to be a hit is charged in full until it has ended: the rate lags behind a rush
+        // of misses.
+        let charge =
+            self.send_seconds(&download.request) * if copy_expected { fill_probability } else { 1.0 };
+        let fill = self.new_in_flight(dl, download, fill_probability, charge, context.now);
+        let (node, capacity, first_choice) =
+            (source.node, self.capacity_of(&source), download.declined.is_empty());
+        context.send(Recipient::Node(node), Message::OfferFill { node, fill, capacity, first_choice });
     }
 
-    /// Cheap, up to 1, is what earns little for its sending, told or seen; writes take none.
-    fn cheap(&self, held: &PendingDownload) -> f64 {
-        let earns = |t: &ContentState| t.settings.benefit / t.mean_send_seconds.max(0.001);
-        let trade = &self.content_types[held.request.content.0 as usize];
-        let dearest =
-            self.content_types.iter().filter(|t| !t.settings.write).map(earns).fold(0.001, f64::max);
-        let seen = held.history.best_send_seconds.filter(|_| held.request.kilobytes <= 0.0);
-        let sending = seen.unwrap_or(self.weight(&held.request)).max(0.001);
-        if trade.settings.write { -1.0 } else { (1.0 - trade.settings.benefit / sending / dearest).max(0.0) }
+    /// How early a download is shed: 0 for the one with the highest benefit for each second of sending, near
+    /// 1 for one with hardly any, negative for writes, which are never shed. A download of unknown size
+    /// counts with the shortest time in which it was seen sent.
+    fn cheapness(&self, download: &PendingDownload) -> f64 {
+        let benefit_rate =
+            |content: &ContentState| content.settings.benefit / content.mean_send_seconds.max(0.001);
+        let content = &self.content_types[download.request.content.0 as usize];
+        let dearest = self
+            .content_types
+            .iter()
+            .filter(|content| !content.settings.write)
+            .map(benefit_rate)
+            .fold(0.001, f64::max);
+        let seen = download.history.best_send_seconds.filter(|_| download.request.kilobytes <= 0.0);
+        let send_seconds = seen.unwrap_or(self.send_seconds(&download.request)).max(0.001);
+        if content.settings.write {
+            -1.0
+        } else {
+            (1.0 - content.settings.benefit / send_seconds / dearest).max(0.0)
+        }
     }
 
-    /// Seconds of sending that a download is taken to need.
-    fn weight(&self, what: &Download) -> f64 {
-        let told = f64::from(what.kilobytes) / self.profile.client_kb_per_s.max(1.0);
-        if told > 0.0 { told } else { self.content_types[what.content.0 as usize].mean_send_seconds }
+    /// Expected seconds of sending: from the size, or where it is unknown the mean of the content type.
+    fn send_seconds(&self, request: &Download) -> f64 {
+        let from_size = f64::from(request.kilobytes) / self.profile.client_kb_per_s.max(1.0);
+        if from_size > 0.0 {
+            from_size
+        } else {
+            self.content_types[request.content.0 as usize].mean_send_seconds
+        }
     }
 
-    fn out_of(
+    /// The entry of a pull or fill that is sent now, with the time after which it is overdue.
+    fn new_in_flight(
         &self,
         dl: DownloadIndex,
-        held: &PendingDownload,
-        odds: f64,
+        download: &PendingDownload,
+        likelihood: f64,
         charge: f64,
         now: Moment,
     ) -> InFlight {
-        let sending = held.history.best_send_seconds.unwrap_or(self.weight(&held.request));
-        let overdue = Span::from_seconds(OVERDUE_MULTIPLE * sending) + OVERDUE_LEAST;
-        InFlight {
-            dl,
-            sent_at: now,
-            overdue_after: overdue,
-            certainty: odds,
-            charge,
-            reported_overdue: false,
-        }
+        let send_seconds = download.history.best_send_seconds.unwrap_or(self.send_seconds(&download.request));
+        let overdue_after = Span::from_seconds(OVERDUE_SEND_TIMES * send_seconds) + OVERDUE_BASE_TIME;
+        InFlight { dl, sent_at: now, overdue_after, likelihood, charge, reported_overdue: false }
     }
 
-    /// The transfers that a node surely carries. Links in were built for the misses of
-    /// the caches behind them, and parents for the links; what was seen carried says too little of the whole.
-    fn carries(&self, l: &NodeRecord) -> f64 {
-        let ((own, mean), caches) = (self.profile.links(), self.max_caches.max(1) as f64);
-        let cache = own * CACHE_OVER_LINK / caches * (caches / MANY_CACHES).sqrt().min(1.0);
-        if l.role == Role::Cache { cache.max(1.0) } else { (mean * PARENT_OVER_LINK).max(1.0) }
+    /// Capacity that a node surely has, in transfers at the same time. It follows from the links: a link into
+    /// a zone was built for the misses of the caches behind it, and the parents for the links. The load that
+    /// a node was seen to carry says too little about what it could carry.
+    fn capacity_of(&self, record: &NodeRecord) -> f64 {
+        let ((own_link, mean_link), caches) = (self.profile.link_capacities(), self.max_caches.max(1) as f64);
+        let cache =
+            own_link * CACHE_TO_LINK_CAPACITY / caches * (caches / CACHES_FOR_FULL_LINK).sqrt().min(1.0);
+        if record.role == Role::Cache {
+            cache.max(1.0)
+        } else {
+            (mean_link * PARENT_TO_LINK_CAPACITY).max(1.0)
+        }
     }
 
     /// The cache that should still hold the copy of the last fill.
-    fn believed(&self, held: &PendingDownload, now: Moment) -> Option<NodeIndex> {
-        let (node, since) = held.history.edge_copy?;
-        let fresh = self.content_types[held.request.content.0 as usize].settings.fresh_for;
-        let stands = fresh.is_none_or(|f| now.since(since) < f);
-        (stands && self.still(node, since, &held.request)).then_some(node)
-    }
-
-    /// A restart or a purge since then voids a copy; its miss says nothing of evictions.
-    fn still(&self, node: NodeIndex, since: Moment, what: &Download) -> bool {
-        let same = self.members[node.0 as usize].is_some_and(|l| l.started.is_none_or(|s| s <= since));
-        same && self.purge_memory.last_of(what).is_none_or(|p| p < since)
-    }
-
-    /// The object's home among the own zone's ready caches. Where that one is set aside, cold or has too many
-    /// of our pulls for its part, each part goes on in an order of its own. What comes in parts starts with
-    /// that order: one cache can't send what a crowd wants of one object, and a router that sees few
-    /// downloads can't tell a crowd from one client. Routers that differed there would keep each part twice.
-    fn ask_cache(&mut self, dl: DownloadIndex, post: &mut Context) {
-        let now = post.now;
-        let Some(Some(held)) = self.downloads.get(dl.0 as usize) else { return };
-        let (what, gap, source) = (&held.request, held.history.gap, held.source);
-        let trade = &self.content_types[what.content.0 as usize];
-        let open = |l: &NodeRecord| !held.declined.contains(&l.node) && !held.failed.contains(&l.node);
-        let spread = self.spread(what, now);
-        let (part, any) = (u64::from(what.part) + 1, spread * post.chance());
-        // Without a fill only the home is sure to have what comes in one part.
-        let nth = if trade.settings.in_parts { part } else { any as u64 * u64::from(source.is_some()) };
-        let home = self.first(self.ready(Role::Cache), (what.object.0, nth)).filter(open);
-        let others = self.ready(Role::Cache).filter(|l| open(l));
-        let next = || self.first(others, (what.object.0, u64::from(what.part) + 1));
-        let Some(best) = home.or_else(next) else { return self.pass_by(dl, post) };
-        if !self.may_pull(held, &best, now) {
-            return self.give_up(dl, post);
-        }
-        let all: usize = self.ready(Role::Cache).map(|l| self.pulls_in_flight[l.node.0 as usize]).sum();
-        let scales = self.ready(Role::Cache).map(|l| self.scale(l)).sum::<f64>();
-        let fair = (all + 1) as f64 * self.scale(&best) / scales.max(0.01);
-        let parent = source.is_some_and(|s| self.is_parent(s));
-        let troubled = held.fill_failures > 0 || held.only_held || self.origin_limiter.is_slow(now);
-        let odds = if self.believed(held, now) == Some(best.node) { 1.0 } else { DOUBTFUL_FAILURE };
-        let out = self.out_of(dl, held, odds, trade.mean_send_seconds.max(self.weight(what)), now);
+    fn copy_holder(&self, download: &PendingDownload, now: Moment) -> Option<NodeIndex> {
+        let (node, since) = download.history.edge_copy?;
+        let fresh_for = self.content_types[download.request.content.0 as usize].settings.fresh_for;
+        let is_fresh = fresh_for.is_none_or(|fresh_for| now.since(since) < fresh_for);
+        (is_fresh && self.copy_is_valid(node, since, &download.request)).then_some(node)
+    }
+
+    /// Whether neither a restart of the node nor a purge has voided a copy that it has held since then. A
+    /// miss on a voided copy says nothing about evictions.
+    fn copy_is_valid(&self, node: NodeIndex, since: Moment, request: &Download) -> bool {
+        let same_process = self.members[node.0 as usize]
+            .is_some_and(|record| record.started.is_none_or(|started| started <= since));
+        same_process && self.purge_memory.latest_for(request).is_none_or(|purged| purged < since)
+    }
+
+    /// Offers the pull to a cache of the zone: the object's preferred cache in hash order.
+    ///
+    /// Where that one is ejected, cold or has far more than its fair share of this router's pulls, each part
+    /// goes on in a hash order of its own. Objects of several parts start with that order, since one cache
+    /// can't send all that a crowd wants of one object. This does not depend on how hot the object is: a
+    /// router that sees few downloads can't tell a crowd from one client, and if routers differed in this,
+    /// each part would be kept twice.
+    fn offer_pull(&mut self, dl: DownloadIndex, context: &mut Context) {
+        let now = context.now;
+        let Some(Some(download)) = self.downloads.get(dl.0 as usize) else { return };
+        let (request, gap, source) = (&download.request, download.history.gap, download.source);
+        let content = &self.content_types[request.content.0 as usize];
+        let untried = |record: &NodeRecord| {
+            !download.declined.contains(&record.node) && !download.failed.contains(&record.node)
+        };
+        let caches_needed = self.caches_needed(request, now);
+        let (part_order, random_order) = (u64::from(request.part) + 1, caches_needed * context.random());
+        // A hot object is spread over as many hash orders as it needs caches. Without a fill, only the first
+        // order leads to a cache that can be expected to hold an object of a single part.
+        let order = if content.settings.in_parts {
+            part_order
+        } else {
+            random_order as u64 * u64::from(source.is_some())
+        };
+        let preferred = self
+            .first_in_hash_order(self.ready_nodes(Role::Cache), (request.object.0, order))
+            .filter(untried);
+        let others = self.ready_nodes(Role::Cache).filter(|record| untried(record));
+        let next = || self.first_in_hash_order(others, (request.object.0, u64::from(request.part) + 1));
+        let Some(cache) = preferred.or_else(next) else { return self.bypass_caches(dl, context) };
+        if !self.may_pull(download, &cache, now) {
+            return self.give_up(dl, context);
+        }
+        let all_pulls: usize =
+            self.ready_nodes(Role::Cache).map(|record| self.pulls_in_flight[record.node.0 as usize]).sum();
+        let all_scales = self.ready_nodes(Role::Cache).map(|record| self.scale(record)).sum::<f64>();
+        let fair_share = (all_pulls + 1) as f64 * self.scale(&cache) / all_scales.max(0.01);
+        let from_parent = source.is_some_and(|source| self.is_parent(source));
+        let upstream_troubled =
+            download.fill_failures > 0 || download.only_held || self.origin_limiter.is_slow(now);
+        // Where the cache should hold a copy, silence is its own; else it may be waiting for a fill.
+        let likelihood =
+            if self.copy_holder(download, now) == Some(cache.node) { 1.0 } else { UNCERTAIN_FAILURE_WEIGHT };
+        let in_flight = self.new_in_flight(
+            dl,
+            download,
+            likelihood,
+            content.mean_send_seconds.max(self.send_seconds(request)),
+            now,
+        );
         let pull = Pull {
             source,
-            max_age: self.oldest(what, troubled, now),
+            max_age: self.max_copy_age(request, upstream_troubled, now),
             rank: match gap {
-                _ if trade.settings.write => 0,
-                None => FIRST_RANK,
-                Some(gap) if gap < self.history.edge_tau => LATER_RANK,
+                _ if content.settings.write => 0,
+                None => FIRST_REQUEST_RANK,
+                Some(gap) if gap < self.history.edge_tau => REPEATED_REQUEST_RANK,
                 Some(_) => 0,
             },
             join: self.profile.may_join,
-            only_held: held.only_held && parent,
-            no_copy: parent && gap.is_some_and(|gap| gap >= self.history.parent_tau),
-            renew: trade.settings.fresh_for.is_some() && source.is_some(),
-            timeout: if self.profile.may_cancel { Span::ZERO } else { out.overdue_after },
-            connect_within: self.window_left(held, now),
-            ..Pull::plain(dl, best.node)
+            only_held: download.only_held && from_parent,
+            no_copy: from_parent && gap.is_some_and(|gap| gap >= self.history.parent_tau),
+            renew: content.settings.fresh_for.is_some() && source.is_some(),
+            timeout: if self.profile.may_cancel { Span::ZERO } else { in_flight.overdue_after },
+            connect_within: self.connect_within(download, now),
+            ..Pull::lookup(dl, cache.node)
         };
-        let ask = PullOffer {
+        let offer = PullOffer {
             pull,
-            in_flight: out,
-            cheapness: self.cheap(held),
-            max_in_flight: (SPREAD * fair).max(SPREAD_LEAST),
-            capacity: self.carries(&best),
-            may_probe: trade.settings.idempotency == Idempotency::Retriable,
+            in_flight,
+            cheapness: self.cheapness(download),
+            max_in_flight: (MAX_FAIR_SHARES * fair_share).max(MIN_PULL_BOUND),
+            capacity: self.capacity_of(&cache),
+            may_probe: content.settings.idempotency == Idempotency::Retriable,
         };
-        post.send(Recipient::Node(best.node), Message::OfferPull(ask));
-    }
-
-    /// Where it may be, the parent that has granted a fill is asked itself: guards against zones whose caches
-    /// are gone or, half of them, fail. Full or cold ones are no reason: the parent fills for others too.
-    fn pass_by(&mut self, dl: DownloadIndex, post: &mut Context) {
-        let Some(Some(held)) = self.downloads.get(dl.0 as usize) else { return };
-        let failed = self.ready(Role::Cache).filter(|l| held.failed.contains(&l.node)).count();
-        let bare = self.profile.may_bypass && failed * 2 >= self.ready(Role::Cache).count();
-        let parent = held.source.filter(|s| bare && self.is_parent(*s));
-        let to = parent.and_then(|p| self.members[p.0 as usize]).filter(|l| self.may_pull(held, l, post.now));
-        let Some(to) = to else { return self.give_up(dl, post) };
-        let source = self.ready(Role::Origin).find(|_| !held.only_held).map(|l| l.node);
-        let (oldest, join) = (self.oldest(&held.request, held.only_held, post.now), self.profile.may_join);
-        let start_within = self.window_left(held, post.now);
-        post.order(Action::Pull(Pull {
+        context.send(Recipient::Node(cache.node), Message::OfferPull(offer));
+    }
+
+    /// Sends the pull to the parent that has accepted the fill, without a cache, where the service allows it
+    /// and no cache is left to try. Protects against zones whose caches are all gone, or where at least half
+    /// of them fail. Caches that are full or cold are no reason for it: the parent fills for other zones too.
+    fn bypass_caches(&mut self, dl: DownloadIndex, context: &mut Context) {
+        let Some(Some(download)) = self.downloads.get(dl.0 as usize) else { return };
+        let failed =
+            self.ready_nodes(Role::Cache).filter(|record| download.failed.contains(&record.node)).count();
+        let may_bypass = self.profile.may_bypass && failed * 2 >= self.ready_nodes(Role::Cache).count();
+        let parent = download.source.filter(|source| may_bypass && self.is_parent(*source));
+        let parent = parent
+            .and_then(|parent| self.members[parent.0 as usize])
+            .filter(|record| self.may_pull(download, record, context.now));
+        let Some(parent) = parent else { return self.give_up(dl, context) };
+        let source = self.ready_nodes(Role::Origin).find(|_| !download.only_held).map(|record| record.node);
+        let (max_age, join) =
+            (self.max_copy_age(&download.request, download.only_held, context.now), self.profile.may_join);
+        let connect_within = self.connect_within(download, context.now);
+        context.emit(Action::Pull(Pull {
             source,
-            max_age: oldest,
+            max_age,
             join,
-            connect_within: start_within,
-            ..Pull::plain(dl, to.node)
+            connect_within,
+            ..Pull::lookup(dl, parent.node)
         }));
-        self.place(dl, to.node, post.now);
+        self.record_attempt(dl, parent.node, context.now);
     }
 
-    /// (5) The oldest copy that will do: none from before a purge that this router was told of. (6) While
-    /// what is behind the caches fails, an aged copy now is of more benefit than a fresh one too late.
-    fn oldest(&self, what: &Download, troubled: bool, now: Moment) -> Span {
-        let content = &self.content_types[what.content.0 as usize].settings;
-        let usual = content.fresh_for.map(|fresh| if troubled { fresh + content.grace } else { fresh });
-        let since =
-            self.purge_memory.last_of(what).map(|at| now.since(at + PURGE_MARGIN).max(Span::micros(1)));
-        usual.into_iter().chain(since).min().unwrap_or(Span::ZERO)
+    /// Maximum age of the copies that may answer a request; zero: any.
+    ///
+    /// (5) No copy from before a purge that this router was told of. (6) While the source or the origin has
+    /// trouble (`upstream_troubled`), the grace time of the content type is added: a stale copy now is of
+    /// more benefit than a fresh one too late.
+    fn max_copy_age(&self, request: &Download, upstream_troubled: bool, now: Moment) -> Span {
+        let content = &self.content_types[request.content.0 as usize].settings;
+        let usual = content
+            .fresh_for
+            .map(|fresh_for| if upstream_troubled { fresh_for + content.grace } else { fresh_for });
+        let since_purge = self
+            .purge_memory
+            .latest_for(request)
+            .map(|purged| now.since(purged + PURGE_MARGIN).max(Span::micros(1)));
+        usual.into_iter().chain(since_purge).min().unwrap_or(Span::ZERO)
     }
 
-    /// Rule 2: what may have run goes on only where, and as long as, a repeat does no harm.
-    fn may_pull(&self, held: &PendingDownload, to: &NodeRecord, now: Moment) -> bool {
-        let spent = held.attempts.len() as u32 >= self.profile.max_pulls;
-        if spent || held.answered || now >= held.request.deadline || held.pulls_out() {
+    /// Whether another pull of a download may go to `to`. A download that may have run is repeated only
+    /// where, and as long as, a second run does no harm.
+    fn may_pull(&self, download: &PendingDownload, to: &NodeRecord, now: Moment) -> bool {
+        let exhausted = download.attempts.len() as u32 >= self.profile.max_pulls;
+        if exhausted || download.answered || now >= download.request.deadline || download.has_open_attempts()
+        {
             return false;
         }
-        let Some(first) = held.may_have_run() else { return true };
-        match self.content_types[held.request.content.0 as usize].settings.idempotency {
+        let Some(first) = download.first_possible_run() else { return true };
+        match self.content_types[download.request.content.0 as usize].settings.idempotency {
             Idempotency::Retriable => true,
             Idempotency::NonRetriable => false,
-            Idempotency::Deduped { scope: within, window: memory } => {
-                let Some(was) = self.members[first.node.0 as usize] else { return false };
-                let knows = match within {
+            Idempotency::Deduped { scope, window } => {
+                let Some(ran_at) = self.members[first.node.0 as usize] else { return false };
+                let drops_repeat = match scope {
                     DedupeScope::All => true,
-                    DedupeScope::Zone => was.zone == to.zone,
-                    DedupeScope::Cell => (was.zone, was.cell) == (to.zone, to.cell),
+                    DedupeScope::Zone => ran_at.zone == to.zone,
+                    DedupeScope::Cell => (ran_at.zone, ran_at.cell) == (to.zone, to.cell),
                 };
-                knows && now.since(first.sent_at) < memory
+                drops_repeat && now.since(first.sent_at) < window
             }
         }
     }
 
-    /// How long a repeat may wait for its connection, which may come up after its window has closed;
-    /// zero: for ever.
-    fn window_left(&self, held: &PendingDownload, now: Moment) -> Span {
-        match (held.may_have_run(), self.content_types[held.request.content.0 as usize].settings.idempotency)
-        {
-            (Some(first), Idempotency::Deduped { window: memory, .. }) => {
-                memory.less(now.since(first.sent_at))
+    /// How long the repeat of a deduped download may wait for its connection: it must not be sent after the
+    /// window in which repeats are dropped. Zero: without a limit.
+    fn connect_within(&self, download: &PendingDownload, now: Moment) -> Span {
+        match (
+            download.first_possible_run(),
+            self.content_types[download.request.content.0 as usize].settings.idempotency,
+        ) {
+            (Some(first), Idempotency::Deduped { window, .. }) => {
+                window.saturating_sub(now.since(first.sent_at))
             }
             _ => Span::ZERO,
         }
     }
 
-    /// Answers at once what this router won't go on with. A throttling reply promises that a repeat is
-    /// harmless, so that what may have run gets one only where repeats are.
-    fn give_up(&mut self, dl: DownloadIndex, post: &mut Context) {
-        let Some(Some(held)) = self.downloads.get(dl.0 as usize) else { return };
-        held.source
+    /// Answers a download that this router can't serve, at once. A throttled client may repeat its request,
+    /// so that a download that may have run is throttled only if a repeat is harmless; else it is abandoned.
+    fn give_up(&mut self, dl: DownloadIndex, context: &mut Context) {
+        let Some(Some(download)) = self.downloads.get(dl.0 as usize) else { return };
+        download
+            .source
             .into_iter()
-            .for_each(|source| post.send(Recipient::Node(source), Message::never_sent(dl)));
-        let repeat = self.content_types[held.request.content.0 as usize].settings.idempotency;
-        let known =
-            matches!(repeat, Idempotency::Retriable | Idempotency::Deduped { scope: DedupeScope::All, .. });
-        let retry_after = (BACK_IN * (0.5 + post.chance())).min(self.profile.max_retry_after);
-        let harmless = known || held.may_have_run().is_none();
-        post.order(if harmless { Action::Throttle { dl, retry_after } } else { Action::Abandon { dl } });
-        self.leave_gates(dl);
-        self.close(dl, post);
-    }
-
-    /// Ends what is owed for a download; pulls still out are called back, since nobody waits for them.
-    fn close(&mut self, dl: DownloadIndex, post: &mut Context) {
-        let Some(Some(held)) = self.downloads.get_mut(dl.0 as usize) else { return };
-        held.answered = true;
-        let may = self.profile.may_cancel;
-        for (n, s) in held.attempts.iter_mut().enumerate().filter(|(_, s)| may && !s.ended && !s.cancelled) {
-            s.cancelled = true;
-            post.order(Action::Cancel { dl, attempt: n as u8 });
-        }
-        if !held.pulls_out() {
+            .for_each(|source| context.send(Recipient::Node(source), Message::withdrawn_fill(dl)));
+        let idempotency = self.content_types[download.request.content.0 as usize].settings.idempotency;
+        let repeats_are_safe = matches!(
+            idempotency,
+            Idempotency::Retriable | Idempotency::Deduped { scope: DedupeScope::All, .. }
+        );
+        let retry_after = (MEAN_RETRY_AFTER * (0.5 + context.random())).min(self.profile.max_retry_after);
+        let is_harmless = repeats_are_safe || download.first_possible_run().is_none();
+        context.emit(if is_harmless { Action::Throttle { dl, retry_after } } else { Action::Abandon { dl } });
+        self.release_limiters(dl);
+        self.finish(dl, context);
+    }
+
+    /// Marks a download as answered. Pulls that are still under way are cancelled, since nobody waits for
+    /// them, and the index is released as soon as none is left.
+    fn finish(&mut self, dl: DownloadIndex, context: &mut Context) {
+        let Some(Some(download)) = self.downloads.get_mut(dl.0 as usize) else { return };
+        download.answered = true;
+        let may_cancel = self.profile.may_cancel;
+        for (number, attempt) in download
+            .attempts
+            .iter_mut()
+            .enumerate()
+            .filter(|(_, attempt)| may_cancel && !attempt.ended && !attempt.cancelled)
+        {
+            attempt.cancelled = true;
+            context.emit(Action::Cancel { dl, attempt: number as u8 });
+        }
+        if !download.has_open_attempts() {
             self.downloads[dl.0 as usize] = None;
-            post.order(Action::Release { dl });
+            context.emit(Action::Release { dl });
         }
     }
 
-    /// (3) A pull on a node set aside or gone is called back, and goes on elsewhere once that is confirmed.
-    /// Guards against silence. A non-retriable download waits on: nothing could follow its pull. What takes
-    /// far longer than ever at a node that answers others is taken for lost, and pulled there once again.
-    fn overdue(&mut self, dl: DownloadIndex, aside: bool, post: &mut Context) {
-        let Some(Some(held)) = self.downloads.get_mut(dl.0 as usize) else { return };
-        let once = self.content_types[held.request.content.0 as usize].settings.idempotency
+    /// (3) Cancels an overdue pull; the download goes on elsewhere when the end of the pull is reported.
+    ///
+    /// Protects against nodes that are silent (`ejected`: ejected, restarted or removed), and against single
+    /// answers that are lost: a first pull that takes far longer than ever before, at a node that answers
+    /// others, is repeated at that node once. A non-retriable download goes on waiting, since no other pull
+    /// could follow.
+    fn handle_overdue(&mut self, dl: DownloadIndex, ejected: bool, context: &mut Context) {
+        let Some(Some(download)) = self.downloads.get_mut(dl.0 as usize) else { return };
+        let runs_once = self.content_types[download.request.content.0 as usize].settings.idempotency
             == Idempotency::NonRetriable;
-        let lost = held.attempts.len() == 1
-            && held.history.best_send_seconds.is_some()
-            && !self.origin_limiter.is_slow(post.now);
-        let may = self.profile.may_cancel && !held.answered && !once && (aside || lost);
-        let last = held.attempts.iter_mut().enumerate().next_back();
-        if let Some((n, sent)) = last.filter(|(_, s)| may && !s.ended && !s.cancelled) {
-            sent.cancelled = true;
-            post.order(Action::Cancel { dl, attempt: n as u8 });
-        }
-    }
-
-    fn ended(&mut self, end: PullResult, post: &mut Context) {
-        let (now, dl) = (post.now, end.dl);
-        let Some(Some(held)) = self.downloads.get_mut(dl.0 as usize) else { return };
-        let Some(sent) = held.attempts.get_mut(end.attempt as usize).filter(|s| !s.ended) else { return };
-        (sent.ended, sent.proven_unrun) = (true, end.outcome.proves_not_run());
-        let was = *sent;
-        self.pulls_in_flight[was.node.0 as usize] -= 1;
-        let verdict = self.tell_nodes(&end, &was, post);
-        self.leave_gates(dl);
-        if end.outcome == PullOutcome::Fulfilled {
-            self.learn(&end, &was, now);
-        }
-        let Some(Some(held)) = self.downloads.get_mut(dl.0 as usize) else { return };
-        if held.answered || end.answered {
-            return self.close(dl, post);
-        } else if held.pulls_out() {
+        let is_lost = download.attempts.len() == 1
+            && download.history.best_send_seconds.is_some()
+            && !self.origin_limiter.is_slow(context.now);
+        let may_cancel = self.profile.may_cancel && !download.answered && !runs_once && (ejected || is_lost);
+        let last = download.attempts.iter_mut().enumerate().next_back();
+        if let Some((number, attempt)) =
+            last.filter(|(_, attempt)| may_cancel && !attempt.ended && !attempt.cancelled)
+        {
+            attempt.cancelled = true;
+            context.emit(Action::Cancel { dl, attempt: number as u8 });
+        }
+    }
+
+    /// Learns from the end of a pull, and sends the download on if it has no answer yet.
+    fn handle_pull_end(&mut self, result: PullResult, context: &mut Context) {
+        let (now, dl) = (context.now, result.dl);
+        let Some(Some(download)) = self.downloads.get_mut(dl.0 as usize) else { return };
+        let Some(attempt) =
+            download.attempts.get_mut(result.attempt as usize).filter(|attempt| !attempt.ended)
+        else {
             return;
+        };
+        (attempt.ended, attempt.proven_unrun) = (true, result.outcome.proves_not_run());
+        let attempt = *attempt;
+        self.pulls_in_flight[attempt.node.0 as usize] -= 1;
+        let signal = self.report_outcome(&result, &attempt, context);
+        self.release_limiters(dl);
+        if result.outcome == PullOutcome::Fulfilled {
+            self.update_history(&result, &attempt, now);
         }
-        // The preferred node is tried once more, since it has the copy.
-        let home = matches!(end.outcome, PullOutcome::Broken | PullOutcome::Cancelled) && end.attempt == 0;
-        if end.cache_status.is_behind() {
-            // Another parent may do better than one that failed, but not than the origin behind them all.
-            held.fill_failures +=
-                if end.cache_status == CacheStatus::OriginFailed { FILL_FAILURES } else { 1 };
-            held.failed.extend(was.source.filter(|_| end.cache_status != CacheStatus::SourceLacks));
-        } else if verdict != HealthSignal::Success && !home || end.cache_status == CacheStatus::NoFillSlot {
-            held.failed.push(was.node);
-        }
-        let write = self.content_types[held.request.content.0 as usize].settings.write;
-        let looked = was.source.is_none() || held.only_held;
-        held.source = None;
-        if end.outcome == PullOutcome::Missed && looked || end.cache_status.is_behind() && write {
-            return self.give_up(dl, post);
-        }
-        self.pass_gates(dl, post);
-    }
-
-    /// Passes on what an end says of the cache and of its source. What failed behind a cache is not held
-    /// against it, nor the origin's failure against a parent.
-    fn tell_nodes(&mut self, end: &PullResult, was: &Attempt, post: &mut Context) -> HealthSignal {
-        let now = post.now;
-        let Some(Some(held)) = self.downloads.get(end.dl.0 as usize) else {
+        let Some(Some(download)) = self.downloads.get_mut(dl.0 as usize) else { return };
+        if download.answered || result.answered {
+            return self.finish(dl, context);
+        } else if download.has_open_attempts() {
+            return;
+        }
+        // A first pull that broke or was cancelled is repeated at the same cache, which has the copy.
+        let retry_same_node =
+            matches!(result.outcome, PullOutcome::Broken | PullOutcome::Cancelled) && result.attempt == 0;
+        if result.cache_status.is_upstream_failure() {
+            // Another parent may do better than one that failed, but none does better than the origin behind
+            // them all.
+            download.fill_failures +=
+                if result.cache_status == CacheStatus::OriginFailed { MAX_FILL_FAILURES } else { 1 };
+            download
+                .failed
+                .extend(attempt.source.filter(|_| result.cache_status != CacheStatus::SourceLacks));
+        } else if signal != HealthSignal::Success && !retry_same_node
+            || result.cache_status == CacheStatus::NoFillSlot
+        {
+            download.failed.push(attempt.node);
+        }
+        let is_write = self.content_types[download.request.content.0 as usize].settings.write;
+        let only_looked_for = attempt.source.is_none() || download.only_held;
+        download.source = None;
+        if result.outcome == PullOutcome::Missed && only_looked_for
+            || result.cache_status.is_upstream_failure() && is_write
+        {
+            return self.give_up(dl, context);
+        }
+        self.apply_limiters(dl, context);
+    }
+
+    /// Reports the end of a pull to its cache and its source, and updates the rates of fills and the limits
+    /// for link and origin. Returns what the end says about the cache. A failure behind a cache is not held
+    /// against the cache, nor a failure of the origin against a parent.
+    fn report_outcome(
+        &mut self,
+        result: &PullResult,
+        attempt: &Attempt,
+        context: &mut Context,
+    ) -> HealthSignal {
+        let now = context.now;
+        let Some(Some(download)) = self.downloads.get(result.dl.0 as usize) else {
             return HealthSignal::Inconclusive;
         };
-        let (fulfilled, sure) =
-            (end.outcome == PullOutcome::Fulfilled, self.believed(held, now) == Some(was.node));
-        let verdict = match end.outcome {
+        let (fulfilled, copy_expected) =
+            (result.outcome == PullOutcome::Fulfilled, self.copy_holder(download, now) == Some(attempt.node));
+        let signal = match result.outcome {
             PullOutcome::Fulfilled | PullOutcome::Missed => HealthSignal::Success,
             PullOutcome::Cancelled | PullOutcome::NotSent => HealthSignal::Inconclusive,
-            _ if end.cache_status.is_behind() || end.cache_status == CacheStatus::NoFillSlot => {
+            _ if result.cache_status.is_upstream_failure()
+                || result.cache_status == CacheStatus::NoFillSlot =>
+            {
                 HealthSignal::Success
             }
             PullOutcome::Full => HealthSignal::Overloaded,
-            PullOutcome::TimedOut if !sure => HealthSignal::Inconclusive,
+            PullOutcome::TimedOut if !copy_expected => HealthSignal::Inconclusive,
             _ => HealthSignal::Failure,
         };
-        let (weight, told) = (self.weight(&held.request), held.request.kilobytes > 0.0);
-        // Where no notes are told, all that is fulfilled passes for a hit, so that gates still learn.
-        let hit = fulfilled
-            && matches!(end.cache_status, CacheStatus::Hit | CacheStatus::Stale | CacheStatus::Unknown);
-        let trade = &mut self.content_types[held.request.content.0 as usize];
-        if hit && (told || self.pulls_in_flight[was.node.0 as usize] <= 2) {
-            let sending = if told { weight } else { end.duration.seconds() };
-            trade.mean_send_seconds += SENDING_WEIGHT * (sending - trade.mean_send_seconds);
-        }
-        let target = trade.settings.target_time + Span::from_seconds(weight * trade.settings.target_stretch);
-        let ratio = hit.then(|| end.duration / target);
-        post.send(
-            Recipient::Node(was.node),
-            Message::Finished { dl: end.dl, signal: verdict, latency_ratio: ratio, charge: None },
+        let (send_seconds, size_known) =
+            (self.send_seconds(&download.request), download.request.kilobytes > 0.0);
+        // Where nodes report no cache status, everything that is fulfilled counts as a hit, so that limits
+        // still adapt.
+        let is_hit = fulfilled
+            && matches!(result.cache_status, CacheStatus::Hit | CacheStatus::Stale | CacheStatus::Unknown);
+        let content = &mut self.content_types[download.request.content.0 as usize];
+        // Without a size, only the time that an idle cache takes tells how long the sending is.
+        if is_hit && (size_known || self.pulls_in_flight[attempt.node.0 as usize] <= 2) {
+            let sample = if size_known { send_seconds } else { result.duration.seconds() };
+            content.mean_send_seconds += SEND_TIME_SMOOTHING * (sample - content.mean_send_seconds);
+        }
+        let target =
+            content.settings.target_time + Span::from_seconds(send_seconds * content.settings.target_stretch);
+        let latency_ratio = is_hit.then(|| result.duration / target);
+        context.send(
+            Recipient::Node(attempt.node),
+            Message::Finished { dl: result.dl, signal, latency_ratio, charge: None },
         );
-        if let Some(source) = was.source {
-            let verdict = match end.cache_status {
+        if let Some(source) = attempt.source {
+            let signal = match result.cache_status {
                 CacheStatus::Filled | CacheStatus::FromOrigin | CacheStatus::OriginFailed => {
                     HealthSignal::Success
                 }
                 CacheStatus::SourceRefused | CacheStatus::SourceLost => HealthSignal::Failure,
                 _ => HealthSignal::Inconclusive,
             };
-            // What may have reached the source stays charged, also where it only lacked the object.
-            let spared = hit || matches!(end.outcome, PullOutcome::NotSent | PullOutcome::NoConnection);
-            let charge = Some(if spared { 0.0 } else { weight });
-            // What came from its own copy tells of its link; what it had to fetch, of the origin's.
-            let ratio =
-                (end.cache_status == CacheStatus::Filled).then(|| end.duration.less(end.first_byte) / target);
-            post.send(
+            // What may have reached the source stays charged to it, even if the source only lacked the
+            // object.
+            let did_not_reach =
+                is_hit || matches!(result.outcome, PullOutcome::NotSent | PullOutcome::NoConnection);
+            let charge = Some(if did_not_reach { 0.0 } else { send_seconds });
+            // A fill from the source's own copy tells of the source's link, one that it had to fetch of the
+            // origin's.
+            let latency_ratio = (result.cache_status == CacheStatus::Filled)
+                .then(|| result.duration.saturating_sub(result.first_byte) / target);
+            context.send(
                 Recipient::Node(source),
-                Message::Finished { dl: end.dl, signal: verdict, latency_ratio: ratio, charge },
+                Message::Finished { dl: result.dl, signal, latency_ratio, charge },
             );
         }
-        let filled = matches!(end.cache_status, CacheStatus::Filled | CacheStatus::FromOrigin);
-        // What failed on its way or was only looked for tells of misses as much as what was filled. A stuck
-        // origin shows nothing but waits that nobody saw end.
-        let unseen = end.outcome == PullOutcome::TimedOut && !sure && end.duration > target;
-        let lacked = filled || end.cache_status.is_behind() || unseen || end.outcome == PullOutcome::Missed;
-        if lacked || hit {
-            self.fill_rates[usize::from(sure)].add(now, f64::from(u8::from(lacked)));
-        }
-        if filled
-            || unseen
-            || matches!(end.cache_status, CacheStatus::OriginFailed | CacheStatus::SourceLacks)
+        let was_filled = matches!(result.cache_status, CacheStatus::Filled | CacheStatus::FromOrigin);
+        // A fill that failed, and a lookup that missed, tell as much of misses as a fill that succeeded. Of a
+        // stuck origin, nothing shows but waits that end without an answer.
+        let stuck_fill =
+            result.outcome == PullOutcome::TimedOut && !copy_expected && result.duration > target;
+        let missed = was_filled
+            || result.cache_status.is_upstream_failure()
+            || stuck_fill
+            || result.outcome == PullOutcome::Missed;
+        if missed || is_hit {
+            self.fill_rates[usize::from(copy_expected)].add(now, f64::from(u8::from(missed)));
+        }
+        if was_filled
+            || stuck_fill
+            || matches!(result.cache_status, CacheStatus::OriginFailed | CacheStatus::SourceLacks)
         {
-            self.fill_rates[2].add(now, f64::from(u8::from(end.cache_status != CacheStatus::Filled)));
-        }
-        if filled {
-            // One that is told to be large takes its time on any link: what it takes beyond shows a full one.
-            let sending = Span::from_seconds(if told { weight } else { 0.0 });
-            self.link_limiter.show(
-                end.duration.less(end.first_byte).less(sending) / target.less(sending),
-                weight,
+            self.fill_rates[FILLS_FROM_ORIGIN]
+                .add(now, f64::from(u8::from(result.cache_status != CacheStatus::Filled)));
+        }
+        if was_filled {
+            // A large object takes its time on any link; only what it takes beyond its own sending shows a
+            // full one.
+            let sending = Span::from_seconds(if size_known { send_seconds } else { 0.0 });
+            self.link_limiter.record_latency(
+                result.duration.saturating_sub(result.first_byte).saturating_sub(sending)
+                    / target.saturating_sub(sending),
+                send_seconds,
                 now,
             );
         }
-        match end.cache_status {
-            CacheStatus::FromOrigin => self.origin_limiter.show(end.first_byte / target, 1.0, now),
-            CacheStatus::OriginFailed => self.origin_limiter.show(f64::INFINITY, 1.0, now),
-            CacheStatus::SourceLost => self.origin_limiter.show(f64::INFINITY, DOUBTFUL_FAILURE, now),
-            CacheStatus::NoFillSlot => self.link_limiter.show(FAILED_RATIO * LINK_SLOW, weight, now),
-            _ if unseen => self.origin_limiter.show(end.duration / target, DOUBTFUL_FAILURE, now),
+        match result.cache_status {
+            CacheStatus::FromOrigin => {
+                self.origin_limiter.record_latency(result.first_byte / target, 1.0, now)
+            }
+            CacheStatus::OriginFailed => self.origin_limiter.record_latency(f64::INFINITY, 1.0, now),
+            CacheStatus::SourceLost => {
+                self.origin_limiter.record_latency(f64::INFINITY, UNCERTAIN_FAILURE_WEIGHT, now)
+            }
+            CacheStatus::NoFillSlot => {
+                self.link_limiter.record_latency(FAILURE_LATENCY_FACTOR * LINK_SLOW_RATIO, send_seconds, now)
+            }
+            _ if stuck_fill => {
+                self.origin_limiter.record_latency(result.duration / target, UNCERTAIN_FAILURE_WEIGHT, now)
+            }
             _ => {}
         }
-        verdict
+        signal
     }
 
-    /// Samples τ from misses on copies believed kept, and notes what this answer left where.
-    fn learn(&mut self, end: &PullResult, was: &Attempt, now: Moment) {
-        let Some(Some(held)) = self.downloads.get(end.dl.0 as usize) else { return };
-        self.history.saw(&held.request, end.duration.less(end.first_byte).seconds());
-        self.history.warm(
-            held.request.object,
-            end.duration.seconds(),
+    /// Records where a fulfilled pull has left copies, and samples the characteristic times: a miss on a copy
+    /// that should still have been there shows that a copy is evicted within the last gap between requests.
+    fn update_history(&mut self, result: &PullResult, attempt: &Attempt, now: Moment) {
+        let Some(Some(download)) = self.downloads.get(result.dl.0 as usize) else { return };
+        self.history
+            .record_send_time(&download.request, result.duration.saturating_sub(result.first_byte).seconds());
+        self.history.record_load(
+            download.request.object,
+            result.duration.seconds(),
             SlidingWindow::new(Span::millis(1_000), 4),
             now,
         );
-        let write = self.content_types[held.request.content.0 as usize].settings.write;
-        if write || !matches!(end.cache_status, CacheStatus::Filled | CacheStatus::FromOrigin) {
+        let is_write = self.content_types[download.request.content.0 as usize].settings.write;
+        if is_write || !matches!(result.cache_status, CacheStatus::Filled | CacheStatus::FromOrigin) {
             return;
         }
-        let (what, line, at_origin) =
-            (held.request, held.history, end.cache_status == CacheStatus::FromOrigin);
-        let through = was.source.filter(|s| self.is_parent(*s));
-        let given =
-            line.parent_copy.filter(|(p, since)| Some(*p) == through && self.still(*p, *since, &what));
-        let evicted = self.believed(held, now) == Some(was.node);
-        let kept = line.gap.is_none_or(|gap| gap < self.history.edge_tau);
-        let left = line.gap.is_none_or(|gap| gap < self.history.parent_tau);
-        let mean = |tau, gap: Option<Span>| gap.map_or(tau, |g| tau * (1.0 - TAU_WEIGHT) + g * TAU_WEIGHT);
-        self.history.edge_tau = mean(self.history.edge_tau, line.gap.filter(|_| evicted));
-        let again = line.gap.filter(|_| at_origin && given.is_some());
-        self.history.parent_tau = mean(self.history.parent_tau, again);
-        let Some(entry) = self.history.entries.get_mut(&(what.object, what.part)) else { return };
-        entry.edge_copy = kept.then_some((was.node, now));
-        entry.parent_copy =
-            through.filter(|_| left).map(|p| (p, now)).or(entry.parent_copy.filter(|_| !at_origin));
+        let (request, history, from_origin) =
+            (download.request, download.history, result.cache_status == CacheStatus::FromOrigin);
+        let parent = attempt.source.filter(|source| self.is_parent(*source));
+        let parent_copy = history
+            .parent_copy
+            .filter(|(node, since)| Some(*node) == parent && self.copy_is_valid(*node, *since, &request));
+        let evicted = self.copy_holder(download, now) == Some(attempt.node);
+        let edge_keeps = history.gap.is_none_or(|gap| gap < self.history.edge_tau);
+        let parent_keeps = history.gap.is_none_or(|gap| gap < self.history.parent_tau);
+        let average =
+            |tau, gap: Option<Span>| gap.map_or(tau, |gap| tau * (1.0 - TAU_SMOOTHING) + gap * TAU_SMOOTHING);
+        self.history.edge_tau = average(self.history.edge_tau, history.gap.filter(|_| evicted));
+        let parent_gap = history.gap.filter(|_| from_origin && parent_copy.is_some());
+        self.history.parent_tau = average(self.history.parent_tau, parent_gap);
+        let Some(entry) = self.history.entries.get_mut(&(request.object, request.part)) else { return };
+        entry.edge_copy = edge_keeps.then_some((attempt.node, now));
+        entry.parent_copy = parent
+            .filter(|_| parent_keeps)
+            .map(|node| (node, now))
+            .or(entry.parent_copy.filter(|_| !from_origin));
     }
 }
