--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -6,23 +6,24 @@
 /// Whether the check passes in a folder with these files, and what it prints.
 fn limits(files: &[(&str, String)]) -> (bool, String) {
     static CASES: AtomicU32 = AtomicU32::new(0);
-    let case = format!("harestage-limits-{}-{}", std::process::id(), CASES.fetch_add(1, Ordering::Relaxed));
-    let folder = std::env::temp_dir().join(case);
+    let name = format!("harestage-limits-{}-{}", std::process::id(), CASES.fetch_add(1, Ordering::Relaxed));
+    let folder = std::env::temp_dir().join(name);
     for (path, text) in files {
         let path = folder.join(path);
         std::fs::create_dir_all(path.parent().unwrap()).unwrap();
         std::fs::write(path, text).unwrap();
     }
-    let said = checked(&folder);
+    let result = check(&folder);
     std::fs::remove_dir_all(&folder).unwrap();
-    said
+    result
 }
 
-fn checked(folder: &Path) -> (bool, String) {
+/// Whether the check passes in this folder, and what it prints.
+fn check(folder: &Path) -> (bool, String) {
     let script = concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/limits");
-    let ended = Command::new("bash").arg(script).arg(folder).output().unwrap();
-    assert!(ended.stderr.is_empty(), "{}", String::from_utf8_lossy(&ended.stderr));
-    (ended.status.success(), String::from_utf8(ended.stdout).unwrap())
+    let output = Command::new("bash").arg(script).arg(folder).output().unwrap();
+    assert!(output.stderr.is_empty(), "{}", String::from_utf8_lossy(&output.stderr));
+    (output.status.success(), String::from_utf8(output.stdout).unwrap())
 }
 
 /// `deploy/balancer.toml` with this `policy` line among others.
@@ -34,7 +35,7 @@
 
 #[test]
 fn the_module_as_it_stands_passes() {
-    let (good, printed) = checked(Path::new(env!("CARGO_MANIFEST_DIR")));
+    let (good, printed) = check(Path::new(env!("CARGO_MANIFEST_DIR")));
     assert!(good, "{printed}");
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The module beside the plain reading of the rules, on generated events; the seeds are fixed.
+//! The policy against the plain reading of the rules in `common`, on generated events with fixed seeds.
 mod common;
 use common::*;
 use harestage::state::*;
@@ -9,62 +9,65 @@
     Span::millis(u64::from(ms))
 }
 
-fn step(front: &mut Front, (what, how, how_much): (u8, u8, u16)) {
-    let node = u32::from(how_much) % 10;
-    match what % 16 {
+/// Does one of the things that clients, nodes or time can do.
+fn step(host: &mut CheckedHost, (kind, choice, amount): (u8, u8, u16)) {
+    let node = u32::from(amount) % 10;
+    match kind % 16 {
         0..=5 => {
-            let (object, part) = (u64::from(how_much % 7), u32::from(how_much % 3));
-            front.arrive(u16::from(how % 4), object, part, millis(200 + how_much % 2_500));
+            let (object, part) = (u64::from(amount % 7), u32::from(amount % 3));
+            host.arrive(u16::from(choice % 4), object, part, millis(200 + amount % 2_500));
         }
         6..=10 => {
-            let out = front.out();
-            if out.is_empty() {
+            let open_pulls = host.open_pulls();
+            if open_pulls.is_empty() {
                 return;
             }
             use CacheStatus::{Filled, FromOrigin, Hit, NoFillSlot, SourceLost, SourceRefused, Unknown};
             use PullOutcome::{Broken, Cancelled, Error, Fulfilled, Full, Missed, NoConnection, NotSent};
-            let found =
+            let served =
                 [(Fulfilled, Hit), (Fulfilled, FromOrigin), (Fulfilled, Filled), (Full, SourceRefused)];
             let failed = [(Error, Unknown), (Error, SourceLost), (Full, Unknown), (Full, NoFillSlot)];
             let lost = [(Missed, Unknown), (NoConnection, Unknown), (Broken, Unknown), (Cancelled, Unknown)];
-            let all = [found, failed, lost, [(NotSent, Unknown); 4]].concat();
-            let (ending, remark) = all[how as usize % 13];
-            front.end(out[how_much as usize % out.len()], ending, remark);
+            let all = [served, failed, lost, [(NotSent, Unknown); 4]].concat();
+            let (outcome, cache_status) = all[choice as usize % 13];
+            host.end(open_pulls[amount as usize % open_pulls.len()], outcome, cache_status);
         }
-        11 => front.wait(millis(how_much % 900)),
+        11 => host.wait(millis(amount % 900)),
         12 => {
-            let phase = [Phase::Ready, Phase::Draining, Phase::Removed, Phase::Ready][how as usize % 4];
-            let started = (phase == Phase::Ready).then(|| front.now.before(millis(how_much % 3_000)));
-            front.relist(node, phase, started.filter(|_| how % 8 > 3));
+            let phase = [Phase::Ready, Phase::Draining, Phase::Removed, Phase::Ready][choice as usize % 4];
+            let started = (phase == Phase::Ready).then(|| host.now.before(millis(amount % 3_000)));
+            host.update_node(node, phase, started.filter(|_| choice % 8 > 3));
         }
         13 => {
-            let kept = front.roster.values().filter(|l| l.node.0 != node).copied().collect();
-            front.list(MembershipUpdate::Snapshot, kept);
+            let kept = host.members.values().filter(|record| record.node.0 != node).copied().collect();
+            host.update_members(MembershipUpdate::Snapshot, kept);
         }
         14 => {
-            let object = (how % 2 == 0).then(|| u64::from(how_much % 7));
-            front.purge(object, u32::from(how_much % 3), millis(how_much % 500));
+            let object = (choice % 2 == 0).then(|| u64::from(amount % 7));
+            host.purge(object, u32::from(amount % 3), millis(amount % 500));
         }
         _ => {
-            if let Some(dl) = front.held.keys().nth(how as usize % front.held.len().max(1)).copied() {
-                front.leave(dl);
+            if let Some(dl) =
+                host.downloads.keys().nth(choice as usize % host.downloads.len().max(1)).copied()
+            {
+                host.leave(dl);
             }
         }
     }
-    front.wait(Span::millis(u64::from(how % 5) * 10));
+    host.wait(Span::millis(u64::from(choice % 5) * 10));
 }
 
 fn play(may_cancel: bool, steps: &[(u8, u8, u16)]) {
-    let mut service = profile();
-    service.may_cancel = may_cancel;
-    let mut front = Front::open(service);
-    steps.iter().for_each(|s| step(&mut front, *s));
-    front.wait(Span::millis(4_000));
-    assert!(front.held.is_empty(), "rule 1: downloads were left without an answer");
+    let mut profile = profile();
+    profile.may_cancel = may_cancel;
+    let mut host = CheckedHost::new(profile);
+    steps.iter().for_each(|choices| step(&mut host, *choices));
+    host.wait(Span::millis(4_000));
+    assert!(host.downloads.is_empty(), "rule 1: downloads were left without an answer");
 }
 
 #[test]
-fn module_and_plain_model_agree_on_what_is_allowed() {
+fn the_policy_keeps_the_rules_under_generated_events() {
     fn keeps_rules(may_cancel: bool, steps: Vec<(u8, u8, u16)>) -> bool {
         play(may_cancel, &steps);
         true
