--- a/crates/benchlink/src/frame.rs
+++ b/crates/benchlink/src/frame.rs
@@ -1,49 +1,56 @@
-//! Frames of the bench's wire: bytes in, records out, and back.
+//! Frames of the simulator's protocol: reads batches of event records, writes replies of action records. Records,
+//! fields and codes have the protocol's own names; `host` translates them to the policy's.
 use std::fmt;
 
-pub const HEADER: usize = 16;
-pub const EVENT: usize = 48;
-pub const ACTION: usize = 32;
-pub const ENTRY: usize = 22;
+/// Lengths of the fixed parts of a frame, in bytes.
+pub const HEADER_LEN: usize = 16;
+pub const EVENT_LEN: usize = 48;
+pub const ACTION_LEN: usize = 32;
+pub const ENTRY_LEN: usize = 22;
 
-/// What is malformed, and at which byte of the frame.
+/// What is wrong with a frame, and at which of its bytes.
 #[derive(Debug, PartialEq)]
-pub struct Malformed {
-    pub what: String,
-    pub at: usize,
+pub struct FrameError {
+    pub reason: String,
+    /// Offset in the frame, header included.
+    pub offset: usize,
 }
 
-impl fmt::Display for Malformed {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} at byte {}", self.what, self.at)
+        write!(f, "{} at byte {}", self.reason, self.offset)
     }
 }
 
-pub fn malformed<T>(what: impl Into<String>, at: usize) -> Result<T, Malformed> {
-    Err(Malformed { what: what.into(), at })
+/// Gives a `FrameError` as a result.
+pub fn frame_error<T>(reason: impl Into<String>, offset: usize) -> Result<T, FrameError> {
+    Err(FrameError { reason: reason.into(), offset })
 }
 
+/// An entry of the member list.
 #[derive(Debug, PartialEq, Clone)]
 pub struct MemberEntry {
+    /// The node's zone.
     pub hall: u16,
+    /// The node's id; the protocol calls every node a cache.
     pub cache: u32,
+    /// Start of the node, in microseconds of the simulation; zero if long ago.
     pub online_since: u64,
     pub scale: f32,
     pub phase: u8,
+    /// The node's cell within its zone.
     pub bay: u16,
     pub kind: u8,
 }
 
+/// What the simulator reports.
 #[derive(Debug, PartialEq, Clone)]
 pub enum EventRecord {
-    Spawn {
-        seed: u64,
-        info: Vec<u8>,
-    },
-    Targets {
-        how: u8,
-        entries: Vec<MemberEntry>,
-    },
+    /// A router starts; `info` is the text of its settings.
+    Spawn { seed: u64, info: Vec<u8> },
+    /// A report on the member list.
+    Targets { how: u8, entries: Vec<MemberEntry> },
+    /// A client requests a download, which the protocol calls a ticket.
     Request {
         ticket: u64,
         class: u16,
@@ -54,50 +61,49 @@
         part: f32,
         options: u16,
     },
-    Established {
-        ticket: u64,
-        hop: u8,
-    },
+    /// The stream of a pull was opened.
+    Established { ticket: u64, hop: u8 },
+    /// A pull has ended.
     Response {
         ticket: u64,
+        /// Code of the outcome.
         rc: u16,
+        /// Code of the cache status.
         note: u32,
         first_byte: u32,
         cache: u32,
+        /// Number of the pull among those of its download, from zero.
         hop: u8,
+        /// The client has its final answer.
         complete: bool,
         took: u32,
     },
-    Aborted {
-        ticket: u64,
-    },
-    Elapsed {
-        handle: u32,
-    },
-    Sampled {
-        cache: u32,
-        rc: u16,
-    },
+    /// The client left.
+    Aborted { ticket: u64 },
+    /// A timer has fired.
+    Elapsed { handle: u32 },
+    /// The answer to a probe.
+    Sampled { cache: u32, rc: u16 },
+    /// A message from another router.
     Inbox,
+    /// The router stops.
     Teardown,
-    Replaced {
-        item: u64,
-        tag: u16,
-        age: u32,
-    },
-    For {
-        instance: u16,
-    },
+    /// A purge of an item, or with item zero of all items of a tag.
+    Replaced { item: u64, tag: u16, age: u32 },
+    /// The records after this one are for this router.
+    For { instance: u16 },
 }
 
+/// The records of one frame.
 #[derive(Debug, PartialEq, Clone)]
 pub struct Batch {
+    /// Time of the simulation, in microseconds.
     pub clock: u64,
-    /// Each with the byte of the frame at which it starts.
+    /// Each record with its offset in the frame.
     pub records: Vec<(usize, EventRecord)>,
 }
 
-/// Big-endian fields of a slice that is known to be long enough.
+/// Reads big-endian fields at offsets of a slice that is known to be long enough.
 struct Fields<'a>(&'a [u8]);
 
 impl Fields<'_> {
@@ -118,43 +124,44 @@
     }
 }
 
-/// Length of the body that a header announces.
-pub fn body_len(header: &[u8; HEADER]) -> usize {
+/// Length of the body that follows a header, in bytes.
+pub fn body_len(header: &[u8; HEADER_LEN]) -> usize {
     Fields(header).u32(0) as usize
 }
 
-pub fn read_batch(header: &[u8; HEADER], body: &[u8]) -> Result<Batch, Malformed> {
+/// Reads a frame. Its body has a table of fixed-length records and a tail with what is longer.
+pub fn read_batch(header: &[u8; HEADER_LEN], body: &[u8]) -> Result<Batch, FrameError> {
     let head = Fields(header);
     let count = head.u32(12) as usize;
-    let Some(records_len) = count.checked_mul(EVENT).filter(|len| *len <= body.len()) else {
-        return malformed(format!("header: {count} records do not fit the length {}", body.len()), 12);
+    let Some(records_len) = count.checked_mul(EVENT_LEN).filter(|len| *len <= body.len()) else {
+        return frame_error(format!("header: {count} records do not fit the length {}", body.len()), 12);
     };
     let (table, tail) = body.split_at(records_len);
     let mut records = Vec::with_capacity(count);
-    for (n, raw) in table.chunks_exact(EVENT).enumerate() {
-        let at = HEADER + n * EVENT;
+    for (n, raw) in table.chunks_exact(EVENT_LEN).enumerate() {
+        let at = HEADER_LEN + n * EVENT_LEN;
         records.push((at, read_record(raw, at, tail)?));
     }
     Ok(Batch { clock: head.u64(4), records })
 }
 
-/// The part of the tail that the reference at `at` in a record names.
+/// The part of the tail to which a record refers: the record has offset and length at `at`, in units of `unit` bytes.
 fn tail_part<'a>(
     fields: &Fields,
     (name, at): (&str, usize),
     unit: usize,
     record_at: usize,
     tail: &'a [u8],
-) -> Result<&'a [u8], Malformed> {
+) -> Result<&'a [u8], FrameError> {
     let offset = fields.u32(at) as usize;
     let len = (fields.u32(at + 4) as usize).checked_mul(unit);
     match len.and_then(|len| tail.get(offset..offset.checked_add(len)?)) {
         Some(part) => Ok(part),
-        None => malformed(format!("{name} lies outside the tail of {} bytes", tail.len()), record_at + at),
+        None => frame_error(format!("{name} lies outside the tail of {} bytes", tail.len()), record_at + at),
     }
 }
 
-fn read_record(raw: &[u8], at: usize, tail: &[u8]) -> Result<EventRecord, Malformed> {
+fn read_record(raw: &[u8], at: usize, tail: &[u8]) -> Result<EventRecord, FrameError> {
     let f = Fields(raw);
     Ok(match f.u8(0) {
         0 => {
@@ -162,8 +169,11 @@
             EventRecord::Spawn { seed: f.u64(1), info: info.to_vec() }
         }
         1 => {
-            let part = tail_part(&f, ("TARGETS MembersList", 10), ENTRY, at, tail)?;
-            EventRecord::Targets { how: f.u8(1), entries: part.chunks_exact(ENTRY).map(read_entry).collect() }
+            let part = tail_part(&f, ("TARGETS MembersList", 10), ENTRY_LEN, at, tail)?;
+            EventRecord::Targets {
+                how: f.u8(1),
+                entries: part.chunks_exact(ENTRY_LEN).map(read_entry).collect(),
+            }
         }
         2 => EventRecord::Request {
             ticket: f.u64(1),
@@ -196,7 +206,7 @@
         9 => EventRecord::Teardown,
         10 => EventRecord::Replaced { item: f.u64(1), tag: f.u16(9), age: f.u32(11) },
         11 => EventRecord::For { instance: f.u16(1) },
-        code => return malformed(format!("unknown event code {code}"), at),
+        code => return frame_error(format!("unknown event code {code}"), at),
     })
 }
 
@@ -213,20 +223,56 @@
     }
 }
 
+/// What the simulator is to do.
 #[derive(Debug, PartialEq, Clone)]
 pub enum ActionRecord {
-    Instance { instance: u16 },
-    ServeVia { ticket: u64, age: u32, rank: u8, within: u32, cache: u32, switches: u8, feeder: u32 },
-    Abandon { ticket: u64, hop: u8 },
-    PushBack { ticket: u64, not_before: u32 },
-    RespondError { ticket: u64 },
-    Sleep { from_now: u32, handle: u32 },
-    Track { enable: bool },
-    Print { text: String },
-    Fault { text: String },
+    /// The records after this one are from this router.
+    Instance {
+        instance: u16,
+    },
+    /// Send a pull. `feeder` is the source of a fill, or the cache itself if there is none.
+    ServeVia {
+        ticket: u64,
+        age: u32,
+        rank: u8,
+        within: u32,
+        cache: u32,
+        switches: u8,
+        feeder: u32,
+    },
+    /// Cancel a pull.
+    Abandon {
+        ticket: u64,
+        hop: u8,
+    },
+    /// Throttle a client.
+    PushBack {
+        ticket: u64,
+        not_before: u32,
+    },
+    /// Answer a client with an error.
+    RespondError {
+        ticket: u64,
+    },
+    /// Set a timer.
+    Sleep {
+        from_now: u32,
+        handle: u32,
+    },
+    /// Ask for the member list and its changes.
+    Track {
+        enable: bool,
+    },
+    Print {
+        text: String,
+    },
+    /// The router has panicked.
+    Fault {
+        text: String,
+    },
 }
 
-/// A reply as it is gathered; `frame` lays it out.
+/// A reply to a batch. Records are added with `push`, and `frame` gives its bytes.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -235,6 +281,7 @@
 }
 
 impl Reply {
+    /// Adds a record.
     pub fn push(&mut self, action: &ActionRecord) {
         let start = self.records.len();
         match action {
@@ -269,15 +316,17 @@
             ActionRecord::Print { text } => self.text(10, text),
             ActionRecord::Fault { text } => self.text(13, text),
         }
-        self.records.resize(start + ACTION, 0);
+        self.records.resize(start + ACTION_LEN, 0);
     }
 
+    /// Starts a record with its code.
     fn code(&mut self, code: u8) -> &mut Vec<u8> {
         self.count += 1;
         self.records.push(code);
         &mut self.records
     }
 
+    /// Adds a record whose text goes to the tail.
     fn text(&mut self, code: u8, text: &str) {
         let offset = self.tail.len() as u32;
         self.tail.extend(text.as_bytes());
@@ -286,6 +335,7 @@
         r.extend((text.len() as u32).to_be_bytes());
     }
 
+    /// The bytes of the reply.
     pub fn frame(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(8 + self.records.len() + self.tail.len());
         out.extend(self.count.to_be_bytes());
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,53 +1,56 @@
-use harestage_benchlink::frame::{HEADER, Malformed, body_len, malformed, read_batch};
+//! Serves the simulator over standard input and output.
+use harestage_benchlink::frame::{FrameError, HEADER_LEN, body_len, frame_error, read_batch};
 use harestage_benchlink::host::Host;
 use std::io::{self, BufReader, ErrorKind, Read, Write};
 use std::process::ExitCode;
 
+/// Why serving has stopped before the input ended.
 enum Stop {
-    Malformed(Malformed),
+    Frame(FrameError),
     Io(io::Error),
 }
 
 fn main() -> ExitCode {
-    // A panic of the decision code goes to the bench as FAULT; its usual print would say it twice.
+    // A panic of the decision module is reported to the simulator as FAULT; printing it would report it twice.
     std::panic::set_hook(Box::new(|_| {}));
     match serve(BufReader::with_capacity(1 << 20, io::stdin().lock()), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Stop::Malformed(m)) => {
-            eprintln!("harestage-benchlink: {m}");
+        Err(Stop::Frame(error)) => {
+            eprintln!("harestage-benchlink: {error}");
             ExitCode::from(2)
         }
-        Err(Stop::Io(e)) => {
-            eprintln!("harestage-benchlink: {e}");
+        Err(Stop::Io(error)) => {
+            eprintln!("harestage-benchlink: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
+/// Answers frames until the input ends.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), Stop> {
     let mut host = Host::default();
     let mut body = Vec::new();
     loop {
-        let mut header = [0; HEADER];
+        let mut header = [0; HEADER_LEN];
         match read_up_to(&mut input, &mut header).map_err(Stop::Io)? {
             0 => return Ok(()),
-            HEADER => {}
-            got => return malformed("frame header is cut off", got).map_err(Stop::Malformed),
+            HEADER_LEN => {}
+            got => return frame_error("frame header is cut off", got).map_err(Stop::Frame),
         }
         let wanted = body_len(&header);
         body.clear();
         let got = input.by_ref().take(wanted as u64).read_to_end(&mut body).map_err(Stop::Io)?;
         if got < wanted {
-            return malformed(format!("frame of {wanted} bytes is cut off"), HEADER + got)
-                .map_err(Stop::Malformed);
+            return frame_error(format!("frame of {wanted} bytes is cut off"), HEADER_LEN + got)
+                .map_err(Stop::Frame);
         }
         let reply =
-            read_batch(&header, &body).and_then(|batch| host.play(&batch)).map_err(Stop::Malformed)?;
+            read_batch(&header, &body).and_then(|batch| host.handle_batch(&batch)).map_err(Stop::Frame)?;
         output.write_all(&reply.frame()).and_then(|()| output.flush()).map_err(Stop::Io)?;
     }
 }
 
-/// Like `read_exact`, but tells how much there was before the input ended.
+/// Like `read_exact`, but gives the number of bytes that were read if the input ends early.
 fn read_up_to(input: &mut impl Read, buf: &mut [u8]) -> io::Result<usize> {
     let mut got = 0;
     while got < buf.len() {
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The codec against the wire page's own frames, and what bad input gets.
-use harestage_benchlink::frame::{ActionRecord, EventRecord, HEADER, Reply, body_len, read_batch};
+//! The codec against the example frames of the protocol's specification, and the errors on invalid input.
+use harestage_benchlink::frame::{ActionRecord, EventRecord, HEADER_LEN, Reply, body_len, read_batch};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -8,7 +8,7 @@
     digits.chunks(2).map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap()).collect()
 }
 
-/// A record of the page: its bytes, then so many zero bytes.
+/// A record of the specification: its bytes, then so many zero bytes.
 fn record(hex: &str, zeros: usize) -> Vec<u8> {
     let mut record = bytes(hex);
     record.resize(record.len() + zeros, 0);
@@ -26,9 +26,9 @@
 }
 
 fn read(frame: &[u8]) -> Vec<EventRecord> {
-    let header = frame[..HEADER].try_into().unwrap();
-    assert_eq!(body_len(&header), frame.len() - HEADER);
-    read_batch(&header, &frame[HEADER..]).unwrap().records.into_iter().map(|r| r.1).collect()
+    let header = frame[..HEADER_LEN].try_into().unwrap();
+    assert_eq!(body_len(&header), frame.len() - HEADER_LEN);
+    read_batch(&header, &frame[HEADER_LEN..]).unwrap().records.into_iter().map(|r| r.1).collect()
 }
 
 fn run(input: &[u8]) -> Output {
@@ -39,14 +39,14 @@
     child.wait_with_output().unwrap()
 }
 
-/// A start with these settings, alone in the tail.
-fn start(settings: &str) -> Vec<u8> {
+/// A SPAWN record with these settings, which are alone in the tail.
+fn spawn_record(settings: &str) -> Vec<u8> {
     let len = format!("00 0000000000000007 00000000 {:08x}", settings.len());
     record(&len, 31)
 }
 
 fn spawn(settings: &str) -> Vec<u8> {
-    frame(&[record("0b 0003", 45), start(settings)], settings.as_bytes())
+    frame(&[record("0b 0003", 45), spawn_record(settings)], settings.as_bytes())
 }
 
 const SETTINGS: &str = r#"{"Allowed": {"Cancel": true, "MaxAttempts": 6}, "Balancers": 1, "Classes": [{"Aim": 400000,
@@ -54,7 +54,7 @@
     "Safety": {}, "Zone": 0, "Unheard": [1]}"#;
 
 #[test]
-fn the_page_frame_of_two_instances_is_read() {
+fn the_example_frame_of_two_instances_is_read() {
     let request =
         "02 000026305d3a91c4 0000 00000000 91f03b7c55d20a64 00000000008405da 44200000 41300000 40400000
         0001";
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn the_page_records_of_lists_outcomes_and_purges_are_read() {
+fn the_example_records_of_member_lists_outcomes_and_purges_are_read() {
     let first = "0000 03124a07 0000000000000000 3f800000 01 0000 00";
     let entries = [bytes(first), bytes("0001 2c9011f2 00000000005d1420 3fc00000 01 0000 00")].concat();
     let list = record("01 03 0000000000000029 00000000 00000002", 30);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_page_replies_are_written() {
+fn the_example_replies_are_written() {
     let mut reply = Reply::default();
     let (ticket, cache, feeder) = (0x26305d3a91c4, 0x03124a07, 0x2c9011f2);
     reply.push(&ActionRecord::Instance { instance: 3 });
@@ -104,11 +104,11 @@
 }
 
 #[test]
-fn bad_input_gets_one_line_and_nothing_on_standard_output() {
+fn invalid_input_gets_one_line_on_standard_error_and_nothing_on_standard_output() {
     let unknown = frame(&[record("0b 0003", 45), vec![77; 48]], &[]);
     let outside =
         frame(&[record("0b 0003", 45), record("01 00 0000000000000001 00000004 00000001", 30)], &[]);
-    for (input, says) in [
+    for (input, expected) in [
         (unknown, "unknown event code 77 at byte 64"),
         (outside, "TARGETS MembersList lies outside the tail of 0 bytes at byte 74"),
         (frame(&[record("06 0000004d", 43)], &[]), "no FOR before it at byte 16"),
@@ -119,25 +119,28 @@
         (spawn(&SETTINGS.replace("\"Zone\": 0,", "")), "SPAWN Info: needed key Zone is missing at byte 73"),
         (spawn(&SETTINGS.replace("\"Aim\": 400000,", "")), "needed key Classes[0].Aim is missing"),
         (spawn(&SETTINGS.replace("400000", "\"soon\"")), "key Classes[0].Aim is not a number"),
-        (spawn(&SETTINGS.replace("400000", "-4")), "key Classes[0].Aim is not a span of 0 or more"),
+        (
+            spawn(&SETTINGS.replace("400000", "-4")),
+            "key Classes[0].Aim is not a duration of 0 or more microseconds",
+        ),
         (spawn(&SETTINGS.replace("\"Balancers\": 1", "\"Balancers\": 0")), "key Balancers is not 1 or more"),
     ] {
         let out = run(&input);
-        let told = String::from_utf8(out.stderr).unwrap();
-        assert!(told.contains(says) && told.lines().count() == 1, "{told:?}, not {says:?}");
+        let error = String::from_utf8(out.stderr).unwrap();
+        assert!(error.contains(expected) && error.lines().count() == 1, "{error:?}, not {expected:?}");
         assert!(out.stdout.is_empty() && !out.status.success() && out.status.code() != Some(101));
     }
 }
 
 #[test]
-fn an_instance_starts_anew_in_the_batch_in_which_it_stopped() {
+fn an_instance_starts_again_in_the_batch_in_which_it_stopped() {
     let mut input = spawn(SETTINGS);
     let stop = record("09", 47);
     let timer = record("06 00000000", 43);
-    input.extend(frame(&[record("0b 0003", 45), stop, start(SETTINGS), timer], SETTINGS.as_bytes()));
+    input.extend(frame(&[record("0b 0003", 45), stop, spawn_record(SETTINGS), timer], SETTINGS.as_bytes()));
     let out = run(&input);
     assert!(out.status.success() && out.stderr.is_empty());
-    // Only the second batch has something that calls for orders: the selector and the next timer.
+    // Only the second batch needs actions: the selection of the instance, its first timer and the next one.
     assert_eq!(out.stdout[..8], [0; 8]);
     assert_eq!(u32::from_be_bytes(out.stdout[8..12].try_into().unwrap()), 3);
 }
--- a/crates/profile/tests/settings.rs
+++ b/crates/profile/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that can't be served are refused with key and value.
+//! Settings that can't be used are refused with their key and value.
 use harestage_profile::read_settings;
 
 fn settings(group: &str) -> String {
@@ -8,12 +8,13 @@
     )
 }
 
-/// Who drops repeats of a deduped download is not guessed at: taken for all caches, it could run twice.
+/// Guards against guessing which caches drop repeats of a deduped download: if an unknown group counted as all caches, a
+/// download could run twice.
 #[test]
-fn an_unknown_circle_of_repeats_is_refused() {
+fn an_unknown_group_of_deduplicating_caches_is_refused() {
     for known in ["all", "zone", "cell"] {
         assert!(read_settings(settings(known).as_bytes()).is_ok(), "{known}");
     }
-    let why = read_settings(settings("row").as_bytes()).expect_err("it is refused");
-    assert!(why.contains("Classes[0].Group") && why.contains("row"), "{why}");
+    let error = read_settings(settings("row").as_bytes()).expect_err("it is refused");
+    assert!(error.contains("Classes[0].Group") && error.contains("row"), "{error}");
 }
