--- a/src/policy.rs
+++ b/src/policy.rs
@@ -12,16 +12,16 @@
 //! and the parents, keep a copy that nobody asks for. A copy whose last gap between requests is longer than τ
 //! would be evicted before its next use, so that it is not kept (`Dispatcher::offer_pull`).
 //!
-//! Six mechanisms protect this against failures and overload. Comments refer to them by number:
+//! Six mechanisms protect the service against failures and overload. Comments refer to them by number:
 //! (1) Outlier ejection: a cache or parent that fails several times in a row is not used for a while. The
 //!     first pull or fill after that time is a probe; its success brings the node back.
 //! (2) Slow start of cold nodes: a cache or parent that has just started gets only this router's share of the
 //!     load that it can carry, which grows until the node is warm.
 //! (3) Recalling lost pulls: a pull that is long overdue, or whose node was ejected or removed, is cancelled,
 //!     and the download goes on, if need be at the next node in hash order.
-//! (4) Probabilistic load shedding by adaptive concurrency limits: the limit of each cache follows its answer
-//!     times. As the cache comes near its limit, pulls are turned away at random, cheap downloads more often
-//!     than dear ones.
+//! (4) Probabilistic load shedding by adaptive concurrency limits: the limit of each cache, and of each
+//!     parent for fills, follows its answer times. As a node comes near its limit, pulls are turned away at
+//!     random, cheap downloads more often than dear ones.
 //! (5) Purge memory: a router remembers recent purges and accepts no copy that is older than the purge of its
 //!     object.
 //! (6) Limits for the origin and the link: the fills that cross the zone's link in, and those that reach the
@@ -36,8 +36,9 @@
 
 /// Initial characteristic time of the zone's caches, for each router of the zone.
 const INITIAL_EDGE_TAU_PER_ROUTER: Span = Span::millis(10_000);
-/// Initial characteristic time of the parents, for each router of the service, up to the maximum below.
+/// Initial characteristic time of the parents, for each router of the service.
 const INITIAL_PARENT_TAU_PER_ROUTER: Span = Span::millis(6_000);
+/// Maximum of the initial characteristic time of the parents.
 const MAX_INITIAL_PARENT_TAU: Span = Span::millis(18_000);
 /// Weight of a new sample in the moving average of a characteristic time.
 const TAU_SMOOTHING: f64 = 0.1;
@@ -103,8 +104,8 @@
 const MIN_LIMIT_STEP: f64 = 0.5;
 /// Raise of the limit a tick, as a part of it, where answers take no time. 0.1 caused an overload.
 const LIMIT_GROWTH_PER_TICK: f64 = 0.04;
-/// The same before the limiter has first seen slow answers. By fixed steps, a start refused downloads for 3
-/// s.
+/// The same before the limiter has first seen slow answers. When limits grew by fixed steps, downloads were
+/// refused for 3 s after a start.
 const INITIAL_LIMIT_GROWTH_PER_TICK: f64 = 0.12;
 /// Maximum factor by which a limiter adapts more slowly where many routers share the resource and each sees
 /// few answers. Beyond that it adapts too late.
@@ -128,12 +129,13 @@
 const ZONES_WITH_FULL_ORIGIN_LIMIT: f64 = 8.0;
 /// A failure counts as an answer of this multiple of the slowness threshold.
 const FAILURE_LATENCY_FACTOR: f64 = 4.0;
-/// Parts of the limit that must be in use before the cheapest downloads, the dearest ones, and all are turned
-/// away.
+/// Part of the limit in use from which the cheapest downloads are turned away, at first seldom.
 const SHED_CHEAPEST_FROM: f64 = 0.5;
+/// Part of the limit in use from which the dearest downloads are turned away, at first seldom.
 const SHED_DEAREST_FROM: f64 = 0.95;
+/// Part of the limit in use from which all downloads are turned away.
 const SHED_ALL_FROM: f64 = 1.1;
-/// Multiple of its fair share of this router's pulls up to which a node is offered more. With 1.5, too many
+/// A cache declines pulls beyond this multiple of its fair share of this router's pulls. With 1.5, too many
 /// pulls left their preferred caches, and parts were kept twice.
 const MAX_FAIR_SHARES: f64 = 2.0;
 /// Minimum of that bound, in pulls. With 4, pulls left their preferred caches in ordinary traffic.
@@ -254,8 +256,9 @@
     /// (2) Whether the node is warm, or its slow-start allowance covers `charge` seconds of sending.
     ///
     /// Prevents overload of a node that has just started: caches by pulls, parents by fills. It delays the
-    /// return of nodes that warm up faster than told. What this router's share holds beyond whole downloads
-    /// is rounded up or down at random, with a new draw in each window; else many routers would all round up.
+    /// return of nodes that warm up faster than the settings say. What this router's share holds beyond whole
+    /// downloads is rounded up or down at random, with a new draw in each window; else many routers would all
+    /// round up.
     fn slow_start_admits(&self, charge: f64, capacity: f64, context: &Context) -> bool {
         let warms_up = self.record.filter(|record| record.role != Role::Origin);
         let Some(started) = warms_up.and_then(|record| record.started) else { return true };
@@ -296,8 +299,9 @@
     }
 
     /// (6) Accepts or declines a fill. A parent whose own link is full declines it, so that it goes to the
-    /// next parent; a fill that another source has declined is not turned away again by the limit, so that
-    /// full links of parents send no load to the origin.
+    /// next parent. A fill that another source has declined is not turned away again by the limit, so that
+    /// full links of parents send no load to the origin. The origin's limit is not checked here, but by
+    /// `Dispatcher::apply_limiters`.
     fn accept_fill(
         &mut self,
         fill: &InFlight,
@@ -409,9 +413,9 @@
     }
 
     /// (4) Whether `charge` more load is admitted. It is turned away at random, so that routers that know
-    /// nothing of each other don't all stop and start together; the nearer to the limit and the cheaper (0 to
-    /// 1), the more often. A negative cheapness is always admitted. `draw` is a random number between 0 and
-    /// 1.
+    /// nothing of each other don't all stop and start together: the more often, the nearer the load is to the
+    /// limit and the cheaper the download. A download of negative cheapness is always admitted. `draw` is a
+    /// random number between 0 and 1.
     fn admits(&mut self, charge: f64, cheapness: f64, draw: f64) -> bool {
         let shed_from = SHED_DEAREST_FROM + (SHED_CHEAPEST_FROM - SHED_DEAREST_FROM) * cheapness;
         let admitted = cheapness < 0.0
