--- a/crates/hub/src/desk/above.rs
+++ b/crates/hub/src/desk/above.rs
@@ -7,10 +7,10 @@
 use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_restart::stage::Stage as StartStage;
-use harestage_shape::knots::Key;
-use harestage_shape::tree::ARCHIVE;
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Answer, CopyTag, Word};
+use harestage_shape::topology::ARCHIVE;
+use harestage_shape::wait_cycles::Key;
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{Answer, AnswerStatus, CopyTag};
 
 /// The archive turned a fetch away: it goes again after it, so often at most.
 const AGAIN: Span = Span::millis(60);
@@ -26,14 +26,17 @@
             Stage::Fetching { .. } => (false, true, ARCHIVE),
             Stage::Resting | Stage::Reading => return,
         };
-        match (answer.word, copy) {
-            (Word::Good, Some(tag)) => return self.filled(key, answer, tag, fetching, now),
+        match (answer.status, copy) {
+            (AnswerStatus::Fulfilled, Some(tag)) => return self.filled(key, answer, tag, fetching, now),
             // Bytes that say nothing of their age can't be kept or given on.
-            (Word::Good | Word::StillGood, _) | (Word::Failed | Word::TooLate, _) if fetching => {
+            (AnswerStatus::Fulfilled | AnswerStatus::NotModified, _)
+            | (AnswerStatus::Failed | AnswerStatus::TooLate, _)
+                if fetching =>
+            {
                 return self.fail(key, CacheStatus::OriginFailed);
             }
-            (Word::Lacks, _) if fetching => return self.fail(key, CacheStatus::SourceLacks),
-            (Word::Full, _) if fetching => {
+            (AnswerStatus::NotFound, _) if fetching => return self.fail(key, CacheStatus::SourceLacks),
+            (AnswerStatus::Busy, _) if fetching => {
                 self.start.fetch_failed(now);
                 fill.again += 1;
                 if fill.again > MOST_AGAIN {
@@ -42,7 +45,7 @@
                 return self.stage(key, Stage::Resting, Some(now + AGAIN), now);
             }
             // The former home is fetching it: to join that is to fetch it once.
-            (Word::Lacks, _) if asking && answer.remark == CacheStatus::Joined => {
+            (AnswerStatus::NotFound, _) if asking && answer.remark == CacheStatus::Joined => {
                 fill.asked.push(on);
                 let shape = self.versions.get(fill.version).cloned();
                 return match shape {
@@ -51,9 +54,14 @@
                 };
             }
             // The right went to another: that one's term has to end first.
-            (Word::Full, _) if asking && fill.again < MOST_AGAIN => {
+            (AnswerStatus::Busy, _) if asking && fill.again < MOST_AGAIN => {
                 fill.again += 1;
-                return self.stage(key, Stage::Resting, Some(now + harestage_shape::shield::TERM * 0.4), now);
+                return self.stage(
+                    key,
+                    Stage::Resting,
+                    Some(now + harestage_shape::fetch_rights::CESSION_TERM * 0.4),
+                    now,
+                );
             }
             _ => {}
         }
@@ -103,7 +111,7 @@
             }
             return self.advance(key, now);
         }
-        self.archive.shield.filled(key);
+        self.archive.shield.on_filled(key);
         let Some(mut fill) = self.end(key) else { return };
         let lasted = now.since(fill.begun).seconds();
         self.gauges.lasted.add(now, lasted);
@@ -115,9 +123,9 @@
         }
         let rank = if fill.no_copy { 0 } else { fill.rank };
         let stage = self.start.stage();
-        if !self.copies.has_disk() || stage != StartStage::Alone {
+        if !self.copies.has_disk() || stage != StartStage::WithoutPurges {
             self.copies.put(key, copy.clone(), rank);
-            self.orders.extend(stage.keeps().then(|| self.copies.keep(key, &copy, rank)).flatten());
+            self.orders.extend(stage.stores_fetched().then(|| self.copies.keep(key, &copy, rank)).flatten());
         }
         let (too_old, served): (Vec<_>, Vec<_>) = std::mem::take(&mut fill.waiters)
             .into_iter()
@@ -141,7 +149,7 @@
             self.advance(key, now);
         } else {
             too_old.iter().for_each(|waiter| {
-                self.refuse(waiter.conn, waiter.id, Word::Lacks, CacheStatus::SourceLacks)
+                self.refuse(waiter.conn, waiter.id, AnswerStatus::NotFound, CacheStatus::SourceLacks)
             });
         }
     }
@@ -159,10 +167,10 @@
             return;
         }
         let word = match remark {
-            CacheStatus::SourceLacks => Word::Lacks,
+            CacheStatus::SourceLacks => AnswerStatus::NotFound,
             // Nothing was sent anywhere: a hub that knows no shape yet.
-            CacheStatus::NoFillSlot => Word::Full,
-            _ => Word::Failed,
+            CacheStatus::NoFillSlot => AnswerStatus::Busy,
+            _ => AnswerStatus::Failed,
         };
         fill.waiters.iter().for_each(|waiter| self.refuse(waiter.conn, waiter.id, word, remark));
     }
@@ -187,11 +195,11 @@
             Some(copy) => {
                 let tag =
                     CopyTag { digest: copy.digest, dated_ms: copy.dated.micros() / 1_000, group: copy.group };
-                let (id, word, remark) = (Hex::of(0), Word::Good, CacheStatus::Hit);
-                let answer = Answer { id, word, remark, first_ms: 0.0, body: copy.body };
+                let (id, word, remark) = (HexId::from_u64(0), AnswerStatus::Fulfilled, CacheStatus::Hit);
+                let answer = Answer { id, status: word, remark, first_byte_ms: 0.0, body: copy.body };
                 self.filled(key, answer, tag, false, now);
             }
-            None if !self.start.stage().fills() => self.turn_away(key, now),
+            None if !self.start.stage().allows_fills() => self.turn_away(key, now),
             None => self.advance(key, now),
         }
     }
--- a/crates/hub/src/desk/gauges.rs
+++ b/crates/hub/src/desk/gauges.rs
@@ -2,7 +2,7 @@
 use super::Desk;
 use harestage::time::{Moment, Span};
 use harestage::window::SlidingWindow;
-use harestage_shape::control::Report;
+use harestage_shape::control::HubReport;
 
 /// How long something takes now, against what it usually takes.
 pub(super) struct Pace {
@@ -63,25 +63,26 @@
 
 impl Desk {
     /// For the control service, some times a second.
-    pub fn report(&mut self, now: Moment) -> Report {
-        let ((wants, part), holds) = (self.archive.share.ask(now), self.archive.share.holds(now));
+    pub fn report(&mut self, now: Moment) -> HubReport {
+        let ((wants, part), holds) =
+            (self.archive.share.take_demand(now), self.archive.share.granted_rate(now));
         let (slowness, archive_slowness) =
             (self.gauges.lasted.slowness(now), self.gauges.fetched.slowness(now));
         let (fetches, asked) = (self.gauges.fetches.count(now), self.gauges.asked.count(now));
         let loops = self.circles.take_loops();
         let (site, sightings) = (self.sites.name().to_string(), self.sites.sightings());
-        Report {
+        HubReport {
             version: self.version(),
             slowness,
             archive_slowness,
-            asked,
-            fetches,
-            wants,
-            part,
-            holds,
-            loops,
+            request_rate: asked,
+            fetch_rate: fetches,
+            wanted_rate: wants,
+            share_number: part,
+            granted_rate: holds,
+            wait_cycles: loops,
             site,
-            sightings,
+            observations: sightings,
         }
     }
 
--- a/crates/hub/src/desk/messages.rs
+++ b/crates/hub/src/desk/messages.rs
@@ -2,18 +2,18 @@
 use crate::store::{Copy, Named};
 use bytes::Bytes;
 use harestage::time::{Moment, Span};
-use harestage_audit::acting::Wanted;
-use harestage_copies::record::Marks;
-use harestage_copies::shelf::Meta;
-use harestage_purge::scope::Checked;
+use harestage_audit::process::KeeperRequest;
+use harestage_copies::index::CopyMetadata;
+use harestage_copies::record::Checkpoint;
+use harestage_purge::scope::CompiledScope;
 use harestage_restart::stage;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::knots::{Key, Knot};
-use harestage_shape::parts::Part;
-use harestage_sites::standby::{Planned, Turn};
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Answer, Asked, CopyTag, Given};
-use harestage_wire::peer::{Chase, Mark, Way};
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::wait_cycles::{Key, WaitCycle};
+use harestage_sites::fallback::{FallbackChange, FallbackPlan};
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{Answer, CopyTag, IncomingRequest, OutgoingAnswer};
+use harestage_wire::peer::{AuditMark, CycleProbe, HubRoute};
 use std::collections::BTreeSet;
 
 pub type ConnNo = u64;
@@ -48,11 +48,11 @@
 pub enum News {
     Asked {
         conn: ConnNo,
-        asked: Box<Asked>,
+        asked: Box<IncomingRequest>,
     },
     Cancelled {
         conn: ConnNo,
-        id: Hex,
+        id: HexId,
     },
     Gone {
         conn: ConnNo,
@@ -66,10 +66,10 @@
     Lost {
         pull: PullNo,
     },
-    Chased(Chase),
-    Told(Box<ShapeForm>),
+    Chased(CycleProbe),
+    Told(Box<ShapeConfig>),
     Part {
-        part: Part,
+        part: RateShare,
         asked: Moment,
     },
     Purged {
@@ -78,7 +78,7 @@
     },
     /// A purge of the service of purges.
     Covered {
-        scope: Box<Checked>,
+        scope: Box<CompiledScope>,
         at: Moment,
     },
     /// Nothing is to be taken from these, and from nobody else is it forbidden.
@@ -95,12 +95,12 @@
     Plans {
         version: u64,
         term: u64,
-        plans: Vec<Planned>,
+        plans: Vec<FallbackPlan>,
     },
     /// All purges up to that number are applied.
     HasPurges(u64),
     /// The keeper of the audit wants something of it.
-    Wanted(Box<Wanted>),
+    Wanted(Box<KeeperRequest>),
     /// A copy from its disk; none: it can't be had, or is not what it was.
     Read {
         key: Key,
@@ -124,7 +124,7 @@
 pub enum Order {
     Answer {
         conn: ConnNo,
-        given: Given,
+        given: OutgoingAnswer,
     },
     Pull {
         pull: PullNo,
@@ -136,7 +136,7 @@
     },
     Chase {
         to: Peer,
-        chase: Chase,
+        chase: CycleProbe,
     },
     /// Asks a hub of another site whether it is there.
     Look {
@@ -144,26 +144,26 @@
         to: Peer,
     },
     /// A circle of waits was found here, and broken.
-    Broke(Knot),
+    Broke(WaitCycle),
     /// It goes by another plan from now on, for the log.
-    Turned(Turn),
+    Turned(FallbackChange),
     /// The keeper of the audit wants it to start anew.
     StartAnew(String),
     /// Its start has come to another stage.
-    Started(stage::Turn),
+    Started(stage::StageChange),
     /// A copy is wanted from its disk, is to be kept there, and some are to go from there.
     Read {
         key: Key,
     },
     Keep {
-        meta: Meta,
+        meta: CopyMetadata,
         body: Bytes,
     },
     Unkeep {
         keys: Vec<Key>,
     },
     /// What is to be remembered beside the copies.
-    Mark(Marks),
+    Mark(Checkpoint),
 }
 
 /// A pull as the wire's request needs it.
@@ -177,6 +177,6 @@
     pub only_held: bool,
     pub no_copy: bool,
     /// None: it goes to the archive, which is not ours.
-    pub way: Option<Way>,
-    pub mark: Option<Mark>,
+    pub way: Option<HubRoute>,
+    pub mark: Option<AuditMark>,
 }
--- a/crates/hub/src/net/follow.rs
+++ b/crates/hub/src/net/follow.rs
@@ -3,13 +3,13 @@
 use crate::desk::News;
 use async_channel::Sender;
 use harestage::time::Moment;
-use harestage_audit::lines as audit;
+use harestage_audit::messages as audit;
 use harestage_following::audit::Audited;
 use harestage_following::control::{Heard, Member};
 use harestage_following::purges;
-use harestage_purge::follow::Act;
-use harestage_shape::control::Report;
-use harestage_shape::lines;
+use harestage_purge::follower::Action;
+use harestage_shape::control::HubReport;
+use harestage_shape::messages;
 use std::rc::Rc;
 
 /// A hub as the control service's member.
@@ -20,7 +20,7 @@
 
 impl Member for Hub {
     fn hello(&self) -> String {
-        lines::subscribe(self.version(), &self.shared.name)
+        messages::subscribe_line(self.version(), &self.shared.name)
     }
 
     fn version(&self) -> u64 {
@@ -31,7 +31,7 @@
         self.shared.clock.now()
     }
 
-    fn report(&self) -> Report {
+    fn report(&self) -> HubReport {
         self.shared.desk.borrow_mut().report(self.now())
     }
 
@@ -71,8 +71,8 @@
         self.shared.desk.borrow_mut().audit().is_some_and(|audit| audit.recorder().has_more())
     }
 
-    async fn answered(&self, answer: audit::ToAudited, asked: Moment) -> bool {
-        let wanted = self.shared.desk.borrow_mut().audit().and_then(|audit| audit.answered(answer, asked));
+    async fn answered(&self, answer: audit::KeeperMessage, asked: Moment) -> bool {
+        let wanted = self.shared.desk.borrow_mut().audit().and_then(|audit| audit.on_answer(answer, asked));
         if let Some(wanted) = wanted {
             let _ = self.inbox.send(News::Wanted(Box::new(wanted))).await;
         }
@@ -90,12 +90,12 @@
 }
 
 impl purges::Hands for Hands {
-    async fn apply(&mut self, acts: Vec<Act>, has: u64, ready: bool) {
+    async fn apply(&mut self, acts: Vec<Action>, has: u64, ready: bool) {
         let new = !acts.is_empty();
         for act in acts {
             let news = match act {
-                Act::Purge { scope, at } => News::Covered { scope: Box::new(scope), at },
-                Act::Fences(fenced) => News::Fenced(fenced),
+                Action::Purge { scope, at } => News::Covered { scope: Box::new(scope), at },
+                Action::SetFenced(fenced) => News::Fenced(fenced),
             };
             self.hand(news).await;
         }
--- a/crates/hub/src/start.rs
+++ b/crates/hub/src/start.rs
@@ -2,7 +2,7 @@
 use crate::desk::{Bounds, Keeping};
 use bytes::Bytes;
 use harestage::time::Span;
-use harestage_shape::form::ShapeForm;
+use harestage_shape::config::ShapeConfig;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -54,7 +54,7 @@
     pub contents: Vec<ContentFile>,
     /// The shape that it starts from, until the service tells another.
     #[serde(default)]
-    pub shape: Option<ShapeForm>,
+    pub shape: Option<ShapeConfig>,
 }
 
 /// Copies on disk.
@@ -121,7 +121,7 @@
     pub settings: u64,
     pub storage: Option<StorageStart>,
     pub contents: HashMap<Bytes, Keeping>,
-    pub shape: Option<ShapeForm>,
+    pub shape: Option<ShapeConfig>,
     pub bounds: Bounds,
     pub limits: Limits,
     /// Whether homes are handed over when they move. No file can say no: only measurements do, for their baseline.
@@ -177,10 +177,10 @@
             let more = more.iter().enumerate().map(|(n, text)| address(&format!("{many}[{n}]"), text));
             first.chain(more).collect::<Result<Vec<_>, String>>()
         };
-        if !self.site.is_empty() && !harestage_wire::peer::is_name(&self.site) {
+        if !self.site.is_empty() && !harestage_wire::peer::is_valid_name(&self.site) {
             return Err(format!("key site: {:?} is not a name", self.site));
         }
-        if !harestage_wire::peer::is_name(&self.name) {
+        if !harestage_wire::peer::is_valid_name(&self.name) {
             return Err(format!(
                 "key name: {:?} is not a name of letters, digits, dots and dashes",
                 self.name
@@ -214,7 +214,7 @@
             purges: addresses("purges", &self.purges, "purge_services", &self.purge_services)?,
             keepers: addresses("keepers", &None, "keepers", &self.keepers)?,
             build: env!("CARGO_PKG_VERSION").into(),
-            settings: harestage_audit::stamp::settings_of(&serde_json::to_vec(&self).unwrap_or_default()),
+            settings: harestage_audit::stamp::settings_digest(&serde_json::to_vec(&self).unwrap_or_default()),
             site: self.site.clone(),
             feed: self.feed.as_deref().map(|text| address("feed", text)).transpose()?,
             contents: contents.collect(),
--- a/crates/measure/src/capacity/slopes.rs
+++ b/crates/measure/src/capacity/slopes.rs
@@ -6,27 +6,27 @@
 use harestage::policy::Policy;
 use harestage::state::*;
 use harestage::time::{Moment, Span};
-use harestage_audit::acting::{Acting, Who};
 use harestage_audit::chain::Outcome;
-use harestage_audit::keep::Keep;
-use harestage_audit::lines::{FromAudited, Role as Audited, line as audit_line};
-use harestage_audit::stamp::Goes;
+use harestage_audit::keeper::KeeperState;
+use harestage_audit::messages::{ProcessMessage, Role as Audited, to_line as audit_line};
+use harestage_audit::process::{AuditedProcess, ProcessIdentity};
+use harestage_audit::stamp::Versions;
 use harestage_branch::board::{Board, Saying};
 use harestage_keeper::store::Store;
-use harestage_purge::follow::{Act, Follower};
+use harestage_purge::follower::{Action as FollowerAction, Follower};
 use harestage_purge::index::Index;
-use harestage_purge::lines::{ToMember, line};
-use harestage_purge::order::{Entry, Item, Limit, What};
-use harestage_purge::scope::{Checked, Facts, Scope};
+use harestage_purge::messages::{ToMember, to_line};
+use harestage_purge::scope::{CompiledScope, CopyAttributes, Scope};
+use harestage_purge::sequencer::{Item, LogEntry, Payload, RateLimit};
 use harestage_purge::service::Service;
 use harestage_segments::{Folder, Log};
-use harestage_shape::control::{Effect, Report, Said};
+use harestage_shape::config::{ArchiveConfig, BranchConfig, HubConfig, ShapeConfig};
+use harestage_shape::control::{ChangeEvent, Effect, HubReport};
 use harestage_shape::feed;
-use harestage_shape::form::{ArchiveForm, BranchForm, HubForm, ShapeForm};
-use harestage_shape::tree::Shape;
-use harestage_sites::direct::Director;
-use harestage_sites::plan::{self, Plans};
-use harestage_sites::standby;
+use harestage_shape::topology::Shape;
+use harestage_sites::controller::SiteController;
+use harestage_sites::fallback;
+use harestage_sites::plan::{self, SitePlans};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::hint::black_box;
 
@@ -69,10 +69,10 @@
 }
 
 /// A shape of so many sites with all branches.
-pub fn form(sites: usize) -> ShapeForm {
+pub fn form(sites: usize) -> ShapeConfig {
     let hubs = sites * HUBS_A_SITE;
     let site = |n: usize| format!("site-{:02}", n % sites);
-    let hub = |n: usize| HubForm {
+    let hub = |n: usize| HubConfig {
         name: format!("hub-{n}"),
         address: format!("127.0.0.1:{}", 10_000 + n),
         site: site(n),
@@ -85,7 +85,7 @@
         falls_within_ms: 1_000,
         up: vec!["archive".into()],
     };
-    let branch = |n: usize| BranchForm {
+    let branch = |n: usize| BranchConfig {
         name: format!("br-{n}"),
         site: site(n),
         load: 10.0,
@@ -98,9 +98,9 @@
         feeds: BTreeMap::new(),
         caches: Vec::new(),
     };
-    ShapeForm {
+    ShapeConfig {
         version: 1,
-        archive: ArchiveForm {
+        archive: ArchiveConfig {
             name: "archive".into(),
             address: "127.0.0.1:9999".into(),
             capacity: ROUTERS as f64 * 10.0,
@@ -116,30 +116,30 @@
 /// All plans of a version, those beside a site that is out, and what each place is handed.
 fn plans(sites: usize) -> Found {
     let form = form(sites);
-    let shape = Shape::of(&form).expect("the run's shape is right");
+    let shape = Shape::from_config(&form).expect("the run's shape is right");
     let begun = Busy::now();
-    let first = Plans::of(&shape, None, true, BEGIN);
+    let first = SitePlans::build(&shape, None, true, BEGIN);
     let of_ms = ms(begun);
     let mut moved = form.clone();
     moved.version = 2;
     moved.branches[0].hubs = vec!["hub-1".into(), "hub-2".into()];
-    let moved = shape.followed_by(&moved).expect("the run's shape is right");
+    let moved = shape.successor(&moved).expect("the run's shape is right");
     let begun = Busy::now();
-    let again = Plans::of(&moved, Some(&first), true, BEGIN);
+    let again = SitePlans::build(&moved, Some(&first), true, BEGIN);
     let again_ms = ms(begun);
     let begun = Busy::now();
-    let beside = plan::beside(&shape, &BTreeSet::from(["site-00".to_string()]), BEGIN);
+    let beside = plan::plans_with_sites_out(&shape, &BTreeSet::from(["site-00".to_string()]), BEGIN);
     let beside_ms = ms(begun);
     let all: Vec<_> = again.all().cloned().collect();
     let (begun, mut bytes, mut most, mut handed) = (Busy::now(), 0, 0, 0);
-    for (_, place) in shape.places() {
-        let planned = standby::for_place(place.name(), all.iter());
+    for (_, place) in shape.nodes() {
+        let planned = fallback::plans_for_node(place.name(), all.iter());
         let own = serde_json::to_vec(&planned).unwrap_or_default().len();
         handed += planned.len();
         bytes += own;
         most = most.max(own);
     }
-    let places = shape.places().count() as f64;
+    let places = shape.nodes().count() as f64;
     Found::from([
         ("of_ms".into(), of_ms),
         ("again_ms".into(), again_ms),
@@ -155,8 +155,8 @@
 }
 
 fn fresh_board(sites: usize, now: Moment) -> Board {
-    let shape = Shape::of(&form(sites)).expect("the run's shape is right");
-    let form = feed::for_branch(&shape, "br-0").expect("it is a branch");
+    let shape = Shape::from_config(&form(sites)).expect("the run's shape is right");
+    let form = feed::config_for_branch(&shape, "br-0").expect("it is a branch");
     let mut board = Board::new("br-0", 256, false, now);
     board.told(&form, Vec::new(), now);
     board
@@ -171,7 +171,7 @@
     let begun = Busy::now();
     for n in 0..live {
         now = now + Span::micros(3_600_000_000 / live);
-        board.take(&[(Checked::Object(mixed(n)), now)], n + 1);
+        board.take(&[(CompiledScope::Object(mixed(n)), now)], n + 1);
     }
     let purge_us = ms(begun) * 1e3 / live as f64;
     let state = own_mb() - before;
@@ -204,15 +204,15 @@
     for n in 0..LIVE_PURGES {
         now = now + Span::micros(1_000_000 / PURGES_A_SECOND);
         let place = board.place();
-        board.take(&[(Checked::Object(mixed(n)), now)], n + 1);
+        board.take(&[(CompiledScope::Object(mixed(n)), now)], n + 1);
         let said = board.after(place).map(|said| said.cloned().collect::<Vec<_>>()).unwrap_or_default();
         folds += u64::from(said.iter().any(|said| matches!(said, Saying::Purge { group: Some(_), .. })));
         if n % PURGES_A_SECOND == 0 {
             board.beat(now);
         }
     }
-    let marks = feed::marks(LIVE_PURGES, LIVE_PURGES, now.micros() / 1_000, "").len();
-    let purge = feed::purge(LIVE_PURGES, Some(mixed(1)), None, now.micros() / 1_000).len();
+    let marks = feed::markers_event(LIVE_PURGES, LIVE_PURGES, now.micros() / 1_000, "").len();
+    let purge = feed::purge_event(LIVE_PURGES, Some(mixed(1)), None, now.micros() / 1_000).len();
     Found::from([("folds".into(), folds as f64), ("router_line_bytes".into(), (marks + purge) as f64)])
 }
 
@@ -224,32 +224,33 @@
     let begun = Busy::now();
     for n in 0..live {
         now = now + Span::micros(3_600_000_000 / live);
-        index.enter(&Checked::Object(mixed(n)), now, now);
+        index.insert(&CompiledScope::Object(mixed(n)), now, now);
     }
     let enter_ns = ms(begun) * 1e6 / live as f64;
     let resident = (own_mb() - before) * 1e6;
     const LOOKS: u64 = 400_000;
     let begun = Busy::now();
     for n in 0..LOOKS {
-        let facts = Facts { object: mixed(n % (2 * live)), part: 0, group: None, name: None, tags: None };
-        black_box(index.from_when(black_box(&facts)));
+        let facts =
+            CopyAttributes { object: mixed(n % (2 * live)), part: 0, group: None, name: None, tags: None };
+        black_box(index.newest_purge(black_box(&facts)));
     }
     Found::from([
-        ("bytes".into(), index.bytes() as f64),
+        ("bytes".into(), index.estimated_bytes() as f64),
         ("resident_bytes".into(), resident),
         ("enter_ns".into(), enter_ns),
         ("look_ns".into(), ms(begun) * 1e6 / LOOKS as f64),
-        ("folded".into(), index.folded() as f64),
+        ("folded".into(), index.total_folds() as f64),
     ])
 }
 
-fn entry(n: u64) -> Entry {
-    let what = What::Purge {
+fn entry(n: u64) -> LogEntry {
+    let what = Payload::Purge {
         scope: Scope::Object(format!("{:016x}", mixed(n))),
         tenant: n as u32 % 50,
         key: format!("k{n}"),
     };
-    Entry::Item(Item { number: n, term: 1, at_ms: BEGIN.micros() / 1_000 + n * 83, what })
+    LogEntry::Item(Item { number: n, term: 1, at_ms: BEGIN.micros() / 1_000 + n * 83, payload: what })
 }
 
 /// A log of so many live purges with their reports, opened again, and the service taken up from it.
@@ -259,8 +260,8 @@
     let (mut log, _) = Log::open(Folder::open(&path).expect("a folder"), 8 << 20).expect("a log");
     let (mut bytes, mut records) = (0, 0);
     let begun = Busy::now();
-    let entries: Vec<Entry> = std::iter::once(Entry::Term { term: 1 })
-        .chain((1..=live).flat_map(|n| [entry(n), Entry::Reported { term: 1, number: n }]))
+    let entries: Vec<LogEntry> = std::iter::once(LogEntry::Term { term: 1 })
+        .chain((1..=live).flat_map(|n| [entry(n), LogEntry::Reported { term: 1, number: n }]))
         .collect();
     for entry in &entries {
         let record = serde_json::to_vec(entry).unwrap_or_default();
@@ -278,12 +279,12 @@
     let (_, found) = Log::open(Folder::open(&path).expect("a folder"), 8 << 20).expect("a log");
     let reopen_ms = ms(begun);
     let begun = Busy::now();
-    let read: Vec<Entry> =
+    let read: Vec<LogEntry> =
         found.records.iter().filter_map(|record| serde_json::from_slice(&record.bytes).ok()).collect();
-    let (service, _) = Service::open(&read, Limit { rate: 200.0, burst: 2_000.0 }, BEGIN);
+    let (service, _) = Service::open(&read, RateLimit { rate: 200.0, burst: 2_000.0 }, BEGIN);
     let take_up_ms = ms(begun);
     let begun = Busy::now();
-    let whole = service.whole().len();
+    let whole = service.snapshot().len();
     Found::from([
         ("records".into(), records as f64),
         ("bytes".into(), bytes as f64),
@@ -296,31 +297,31 @@
     ])
 }
 
-fn goes(purge: u64) -> Goes {
-    Goes { build: "0.1.0".into(), settings: 7, shape: 1, purge, term: 1, ..Goes::default() }
+fn goes(purge: u64) -> Versions {
+    Versions { build: "0.1.0".into(), settings: 7, shape: 1, purge, term: 1, ..Versions::default() }
 }
 
-fn acting(n: usize, now: Moment) -> Acting {
-    let who = Who {
+fn acting(n: usize, now: Moment) -> AuditedProcess {
+    let who = ProcessIdentity {
         member: format!("router-{n}"),
         start: 1,
         role: Audited::Router,
         site: format!("br-{n}"),
         place: format!("br-{n}"),
     };
-    Acting::begin(who, vec!["clip".into()], goes(0), now)
+    AuditedProcess::new(who, vec!["clip".into()], goes(0), now)
 }
 
 /// Downloads that end, with purges that come among them, each at its place.
-fn count(acting: &mut Acting, downloads: u64, purges: u64, has: u64, id: &mut u64, now: Moment) {
+fn count(acting: &mut AuditedProcess, downloads: u64, purges: u64, has: u64, id: &mut u64, now: Moment) {
     let mut applied = 0;
     for n in 1..=downloads {
         *id += 1;
         while applied < purges && n * purges >= (applied + 1) * downloads {
             applied += 1;
-            acting.goes_by(goes(has + applied), now);
+            acting.set_versions(goes(has + applied), now);
         }
-        acting.ended(0, Outcome::Fulfilled, mixed(*id), now);
+        acting.download_ended(0, Outcome::Fulfilled, mixed(*id), now);
     }
 }
 
@@ -342,12 +343,12 @@
             let due = purges * step * REPORTS_EVERY.as_micros() / 1_000_000;
             count(&mut acting, upto - id, due - last_purge, last_purge, &mut id, now);
             last_purge = due;
-            acting.beat(now);
+            acting.tick(now);
             let report = acting.report(now);
             links += report.links.len();
             waits = waits.max(report.links.len());
             let upto = report.links.last().map(|link| link.number);
-            bytes += audit_line(&FromAudited::Audited(Box::new(report))).len();
+            bytes += audit_line(&ProcessMessage::Report(Box::new(report))).len();
             upto.into_iter().for_each(|upto| acting.recorder().acknowledged(1, upto));
         }
         found.insert(format!("bytes_a_second_{label}"), bytes as f64 / SECONDS as f64);
@@ -366,8 +367,8 @@
     const DOWNLOADS: u64 = REQUESTS_A_ROUTER / 5;
     let scratch = crate::rig::Scratch::new();
     let (mut store, _) = Store::open(&scratch.file("store")).expect("a store");
-    let (mut keep, _) = Keep::open(&[], BEGIN);
-    let mut routers: Vec<Acting> = (0..routers).map(|n| acting(n, BEGIN)).collect();
+    let (mut keep, _) = KeeperState::open(&[], BEGIN);
+    let mut routers: Vec<AuditedProcess> = (0..routers).map(|n| acting(n, BEGIN)).collect();
     let (mut reports, mut links, mut kept_bytes, mut in_bytes) = (0u64, 0u64, 0u64, 0u64);
     let (mut hear, mut disk) = (std::time::Duration::ZERO, std::time::Duration::ZERO);
     let (mut id, mut purge) = (0u64, 0u64);
@@ -378,16 +379,16 @@
         let mut sent = Vec::new();
         for acting in &mut routers {
             count(acting, DOWNLOADS, due - purge, purge, &mut id, now);
-            acting.beat(now);
-            sent.push(audit_line(&FromAudited::Audited(Box::new(acting.report(now)))));
+            acting.tick(now);
+            sent.push(audit_line(&ProcessMessage::Report(Box::new(acting.report(now)))));
         }
         purge = due;
         for (text, acting) in sent.iter().zip(&mut routers) {
             in_bytes += text.len() as u64;
             let begun = Busy::now();
-            let Ok(FromAudited::Audited(report)) = serde_json::from_slice(text) else { continue };
-            keep.purges(due, now);
-            let new = keep.hear(&report, now);
+            let Ok(ProcessMessage::Report(report)) = serde_json::from_slice(text) else { continue };
+            keep.purges_published(due, now);
+            let new = keep.on_report(&report, now);
             hear += begun.elapsed();
             let begun = Busy::now();
             store.append(&new).expect("it is kept");
@@ -395,14 +396,14 @@
             kept_bytes +=
                 new.iter().map(|link| serde_json::to_vec(link).unwrap_or_default().len() as u64).sum::<u64>();
             let begun = Busy::now();
-            let answer = keep.answer(&report, now);
+            let answer = keep.answer_report(&report, now);
             black_box(audit_line(&answer));
             hear += begun.elapsed();
             (reports, links) = (reports + 1, links + new.len() as u64);
-            acting.answered(answer, now);
+            acting.on_answer(answer, now);
         }
         let begun = Busy::now();
-        drop(keep.beat(now));
+        drop(keep.tick(now));
         hear += begun.elapsed();
         let begun = Busy::now();
         store.sync().expect("it is kept");
@@ -440,7 +441,8 @@
     /// Virtual time after which the burst is given up.
     const AT_MOST: Span = Span::millis(600_000);
     let first = form(sites);
-    let (mut director, _) = Director::open(&[], Some(&first), BEGIN).unwrap_or_else(|why| panic!("{why}"));
+    let (mut director, _) =
+        SiteController::open(&[], Some(&first), BEGIN).unwrap_or_else(|why| panic!("{why}"));
     let hubs: Vec<(String, String)> =
         first.hubs.iter().map(|hub| (hub.name.clone(), hub.site.clone())).collect();
     let mut now = BEGIN;
@@ -458,20 +460,20 @@
             reports_at = now + REPORTS_EVERY;
             for ((name, site), (version, from)) in hubs.iter().zip(&version) {
                 let version = if *from <= now { *version } else { 0 };
-                let report = Report {
+                let report = HubReport {
                     version,
                     slowness: 1.0,
                     archive_slowness: 1.0,
-                    asked: 1.0,
-                    fetches: 0.1,
-                    wants: 0.1,
-                    part: 0,
-                    holds: 0.0,
-                    loops: Vec::new(),
+                    request_rate: 1.0,
+                    fetch_rate: 0.1,
+                    wanted_rate: 0.1,
+                    share_number: 0,
+                    granted_rate: 0.0,
+                    wait_cycles: Vec::new(),
                     site: site.clone(),
-                    sightings: Vec::new(),
+                    observations: Vec::new(),
                 };
-                effects.extend(director.hear(name, &report, now).1);
+                effects.extend(director.on_report(name, &report, now).1);
             }
         }
         if !under_way && asked < BURST {
@@ -490,7 +492,7 @@
                 Err(why) => panic!("change {asked}: {why}"),
             }
         }
-        effects.extend(director.beat("control-1", "site-00", now));
+        effects.extend(director.tick("control-1", "site-00", now));
         let took = Span::micros(clock.elapsed().as_micros() as u64);
         reckoned += took.seconds();
         now = now + took;
@@ -500,7 +502,7 @@
                     steps += 1;
                     version.iter_mut().for_each(|known| *known = (number, now + WAY));
                 }
-                Effect::Say(Said::Ended { .. }) => {
+                Effect::Announce(ChangeEvent::Ended { .. }) => {
                     under_way = false;
                     done.push((now + WAY).since(BEGIN).seconds() * 1e3);
                 }
@@ -705,7 +707,7 @@
     let mut store = copies(many);
     let begun = Busy::now();
     for n in 0..PURGES_A_SECOND {
-        store.purge_scope(&Checked::Object(mixed(n * 7)), BEGIN, BEGIN);
+        store.purge_scope(&CompiledScope::Object(mixed(n * 7)), BEGIN, BEGIN);
     }
     Found::from([
         ("ms_a_second".into(), ms(begun)),
@@ -717,15 +719,15 @@
 /// that it has: what it still has once it was told what it missed.
 fn cut(minutes: u64) -> Found {
     const COPIES: u64 = 20_000;
-    let limit = Limit { rate: 1e6, burst: 1e6 };
+    let limit = RateLimit { rate: 1e6, burst: 1e6 };
     let (mut service, _) = Service::open(&[], limit, BEGIN);
     let (mut near, mut far) = (Follower::new("near", 1), Follower::new("far", 1));
     let mut store = copies(COPIES);
     let tell = |service: &mut Service, member: &mut Follower, now| {
-        let (missing, _) = service.confirm(&member.confirm(), now).expect("it is taken");
-        let told = ToMember::of(service.term(), missing);
-        let bytes = line(&told).len();
-        (member.hear(told).expect("it is news"), bytes)
+        let (missing, _) = service.on_ack(&member.ack(), now).expect("it is taken");
+        let told = ToMember::from_catch_up(service.term(), missing);
+        let bytes = to_line(&told).len();
+        (member.handle(told).expect("it is news"), bytes)
     };
     for member in [&mut near, &mut far] {
         (0..2).for_each(|_| drop(tell(&mut service, member, BEGIN)));
@@ -739,17 +741,17 @@
         let scope = Scope::Object(format!("{:016x}", mixed(object)));
         service.submit(scope, n as u32 % 50, &format!("k{n}"), now).expect("it is taken");
         drop(tell(&mut service, &mut near, now));
-        drop(service.beat(now));
+        drop(service.tick(now));
         if n % (10 * PURGES_A_SECOND) == 0 {
             drop(service.forget_before(now.before(harestage_purger::KEPT).micros() / 1_000, now));
         }
     }
     let (mut told, mut lines) = (0, 0);
-    while far.confirm().has < service.last() && lines < 1_000 {
+    while far.ack().applied < service.last() && lines < 1_000 {
         let (acts, bytes) = tell(&mut service, &mut far, now);
         (told, lines) = (told + bytes, lines + 1);
         for act in acts {
-            if let Act::Purge { scope, at } = act {
+            if let FollowerAction::Purge { scope, at } = act {
                 store.purge_scope(&scope, at, now);
             }
         }
@@ -759,6 +761,6 @@
         ("copies_kept_after_cut".into(), store.copies() as f64 / left),
         ("cut_purged".into(), meant as f64),
         ("cut_bytes".into(), told as f64),
-        ("cut_behind".into(), (service.last() - far.confirm().has) as f64),
+        ("cut_behind".into(), (service.last() - far.ack().applied) as f64),
     ])
 }
--- a/crates/shape/tests/knots.rs
+++ b/crates/shape/tests/wait_cycles.rs
@@ -1,7 +1,7 @@
 //! Fills that wait for each other, in a network without sockets: hubs that disagree, messages that are late or come
 //! twice, and every circle found once and broken by one.
 use harestage::time::{Moment, Span};
-use harestage_shape::knots::{Act, Chase, Key, Knot, Knots};
+use harestage_shape::wait_cycles::{Action, Chase, Key, WaitCycle, WaitTracker};
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -18,13 +18,13 @@
     seed: u64,
     drawn: u64,
     now: u64,
-    knots: BTreeMap<String, Knots>,
+    knots: BTreeMap<String, WaitTracker>,
     filling: HashMap<(String, Key), String>,
     ups: HashMap<(String, Key), String>,
     /// Per pair of hubs in order, as a connection delivers.
     wires: BTreeMap<(u64, u64), (String, String, Message)>,
     free_at: HashMap<(String, String), u64>,
-    broken: Vec<(u64, Knot)>,
+    broken: Vec<(u64, WaitCycle)>,
     messages: usize,
     doubled: bool,
 }
@@ -35,7 +35,7 @@
             seed,
             drawn: 0,
             now: 0,
-            knots: names.iter().map(|name| (name.to_string(), Knots::new(name))).collect(),
+            knots: names.iter().map(|name| (name.to_string(), WaitTracker::new(name))).collect(),
             filling: HashMap::new(),
             ups: HashMap::new(),
             wires: BTreeMap::new(),
@@ -67,7 +67,7 @@
         let now = Moment::at_micros(self.now * 1_000);
         let at = (hub.to_string(), key);
         if self.filling.contains_key(&at) {
-            let act = self.knots.get_mut(hub).unwrap().joined(key, &path, now);
+            let act = self.knots.get_mut(hub).unwrap().on_join(key, &path, now);
             return self.act(hub, act);
         }
         let up = self.ups.get(&at).cloned().unwrap_or("archive".into());
@@ -79,32 +79,32 @@
         let on = (up != "archive").then_some(up);
         self.filling.insert((hub.into(), key), up.into());
         let knots = self.knots.get_mut(hub).unwrap();
-        knots.waits(key, on, now);
-        let act = knots.joined(key, &path, now);
+        knots.wait_started(key, on, now);
+        let act = knots.on_join(key, &path, now);
         if let Some(up) = on {
             let own = path.iter().cloned().chain([hub.to_string()]).collect();
             self.send(hub, up, Message::Pull(key, own));
         }
         // The pull itself carries the path on, so that only what the path closes has to be acted on here.
-        if matches!(act, Some(Act::Leave { .. })) {
+        if matches!(act, Some(Action::Leave { .. })) {
             self.act(hub, act);
         }
     }
 
-    fn act(&mut self, hub: &str, act: Option<Act>) {
+    fn act(&mut self, hub: &str, act: Option<Action>) {
         match act {
-            Some(Act::Send { to, chase }) => {
+            Some(Action::Send { to, chase }) => {
                 if self.doubled {
                     self.send(hub, &to, Message::Chase(chase.clone()));
                 }
                 self.send(hub, &to, Message::Chase(chase));
             }
-            Some(Act::Leave { knot }) => {
-                let key = knot.key;
-                self.broken.push((self.now, knot));
+            Some(Action::Leave { cycle }) => {
+                let key = cycle.key;
+                self.broken.push((self.now, cycle));
                 self.fill(hub, key, "archive", Vec::new());
             }
-            Some(Act::TooLong { .. }) => panic!("no path here is long"),
+            Some(Action::TooLong { .. }) => panic!("no path here is long"),
             None => {}
         }
     }
@@ -118,7 +118,7 @@
                     Message::Pull(key, path) => self.asked(&to, key, path),
                     Message::Chase(chase) => {
                         let now = Moment::at_micros(self.now * 1_000);
-                        let act = self.knots.get_mut(&to).unwrap().chased(chase, now);
+                        let act = self.knots.get_mut(&to).unwrap().on_chase(chase, now);
                         self.act(&to, act);
                     }
                 }
@@ -126,7 +126,7 @@
             if self.now.is_multiple_of(50) {
                 let now = Moment::at_micros(self.now * 1_000);
                 for hub in self.knots.keys().cloned().collect::<Vec<_>>() {
-                    for act in self.knots.get_mut(&hub).unwrap().beat(now) {
+                    for act in self.knots.get_mut(&hub).unwrap().tick(now) {
                         self.act(&hub, Some(act));
                     }
                 }
@@ -196,7 +196,7 @@
         net.ups.insert(("a".into(), key), "b".into());
         net.ups.insert(("b".into(), key), "c".into());
     }
-    net.knots.insert("far".into(), Knots::new("far"));
+    net.knots.insert("far".into(), WaitTracker::new("far"));
     net.ups.insert(("far".into(), KEY), "a".into());
     for key in [KEY, (8, 0), (7, 1)] {
         ["far", "a", "b", "c"].into_iter().for_each(|name| net.asked(name, key, Vec::new()));
@@ -222,7 +222,7 @@
         net.asked("b", (object, 0), Vec::new());
         net.run(net.now + 500);
     }
-    assert_eq!(net.broken.iter().map(|(_, knot)| knot.before).collect::<Vec<_>>(), [0, 1, 2, 3]);
+    assert_eq!(net.broken.iter().map(|(_, knot)| knot.seen_before).collect::<Vec<_>>(), [0, 1, 2, 3]);
     assert!(net.all_end());
 }
 
@@ -230,45 +230,45 @@
 #[test]
 fn a_hub_behind_two_names_is_one_hub() {
     let (now, key) = (Moment::at_micros(0), KEY);
-    let mut a = Knots::new("a");
-    a.known_as("x", "b");
-    a.waits(key, Some("x"), now);
-    let Some(Act::Send { to, chase }) = a.joined(key, &["b".into()], now) else { panic!() };
+    let mut a = WaitTracker::new("a");
+    a.add_alias("x", "b");
+    a.wait_started(key, Some("x"), now);
+    let Some(Action::Send { to, chase }) = a.on_join(key, &["b".into()], now) else { panic!() };
     assert_eq!((to.as_str(), chase.path.clone()), ("x", vec!["b".into(), "a".into()]));
-    let mut b = Knots::new("b");
-    b.waits(key, Some("a"), now);
-    let Some(Act::Leave { knot }) = b.chased(chase, now + Span::millis(9)) else { panic!() };
-    assert_eq!((knot.path, knot.waited), (vec!["b".to_string(), "a".to_string()], Span::millis(9)));
+    let mut b = WaitTracker::new("b");
+    b.wait_started(key, Some("a"), now);
+    let Some(Action::Leave { cycle }) = b.on_chase(chase, now + Span::millis(9)) else { panic!() };
+    assert_eq!((cycle.path, cycle.waited), (vec!["b".to_string(), "a".to_string()], Span::millis(9)));
     // A hub that waits for itself under its other name.
-    let mut b = Knots::new("b");
-    b.known_as("x", "b");
-    b.waits(key, Some("x"), now);
-    let Some(Act::Leave { knot }) = b.joined(key, &["b".into()], now) else { panic!() };
-    assert_eq!(knot.path, ["b"]);
+    let mut b = WaitTracker::new("b");
+    b.add_alias("x", "b");
+    b.wait_started(key, Some("x"), now);
+    let Some(Action::Leave { cycle }) = b.on_join(key, &["b".into()], now) else { panic!() };
+    assert_eq!(cycle.path, ["b"]);
 }
 
 /// A chase that was under way while the fill went elsewhere must not break what is sound now.
 #[test]
 fn a_circle_that_is_over_breaks_nothing() {
     let (now, key) = (Moment::at_micros(0), KEY);
-    let mut c = Knots::new("c");
-    c.waits(key, Some("a"), now);
-    c.waits(key, Some("d"), now);
+    let mut c = WaitTracker::new("c");
+    c.wait_started(key, Some("a"), now);
+    c.wait_started(key, Some("d"), now);
     let late = Chase { key, path: vec!["c".into(), "a".into(), "b".into()], closed: false };
-    assert_eq!(c.chased(late.clone(), now), None);
-    c.waits(key, None, now);
-    assert_eq!(c.chased(late.clone(), now), None);
-    c.over(key);
-    assert_eq!((c.chased(late, now), c.waiting()), (None, 0));
+    assert_eq!(c.on_chase(late.clone(), now), None);
+    c.wait_started(key, None, now);
+    assert_eq!(c.on_chase(late.clone(), now), None);
+    c.wait_ended(key);
+    assert_eq!((c.on_chase(late, now), c.waiting_count()), (None, 0));
 }
 
 /// A chase lost with its connection is sent again.
 #[test]
 fn what_still_waits_is_chased_again() {
-    let mut a = Knots::new("a");
-    a.waits(KEY, Some("b"), Moment::at_micros(0));
-    assert!(a.beat(Moment::at_micros(900_000)).is_empty(), "nobody waits for it");
-    a.joined(KEY, &["c".into()], Moment::at_micros(0));
-    assert_eq!(a.beat(Moment::at_micros(900_000)).len(), 1);
-    assert!(a.beat(Moment::at_micros(950_000)).is_empty());
+    let mut a = WaitTracker::new("a");
+    a.wait_started(KEY, Some("b"), Moment::at_micros(0));
+    assert!(a.tick(Moment::at_micros(900_000)).is_empty(), "nobody waits for it");
+    a.on_join(KEY, &["c".into()], Moment::at_micros(0));
+    assert_eq!(a.tick(Moment::at_micros(900_000)).len(), 1);
+    assert!(a.tick(Moment::at_micros(950_000)).is_empty());
 }
