--- a/crates/purge/tests/orders.rs
+++ b/crates/purge/tests/orders.rs
@@ -104,7 +104,7 @@
     members.on_new_item(1, at(20_000));
     members.on_ack("a", 1, 1, true, at(20_010));
     assert!(!members.is_reached(1));
-    let early = at(20_000) + FENCE_TIMEOUT.less(Span::millis(1));
+    let early = at(20_000) + FENCE_TIMEOUT.saturating_sub(Span::millis(1));
     assert!(members.tick(early).is_empty());
     let fenced = members.tick(at(20_000) + FENCE_TIMEOUT);
     assert_eq!(fenced, [MemberChange::Fenced { member: "b".into(), applied: 0 }]);
