--- a/crates/shape/src/config.rs
+++ b/crates/shape/src/config.rs
@@ -1,5 +1,5 @@
-//! The shape file: JSON, checked by its types first and as a whole afterwards (`check`). A file is taken whole or
-//! not at all, and a complaint is one line that names file, key and value.
+//! The shape file: JSON that is checked by its types first and as a whole afterwards ([`crate::validation`]).
+//! A file is accepted as a whole or not at all. Each error is one line that names file, key and value.
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -138,14 +138,14 @@
     20_000
 }
 
-/// Why a file was not taken.
+/// Why a file was rejected.
 #[derive(Debug, PartialEq)]
 pub enum ConfigError {
     Unreadable {
         file: String,
         reason: String,
     },
-    /// The text ends early, is no JSON, or a key has a value that it can't have.
+    /// The text is truncated or not JSON, or a key has a value that is not allowed.
     Malformed {
         file: String,
         key: String,
@@ -156,30 +156,31 @@
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Unreadable { file, reason: why } => write!(f, "{file}: can't be read: {why}"),
-            Self::Malformed { file, key, reason: why } if key == "." => write!(f, "{file}: {why}"),
-            Self::Malformed { file, key, reason: why } => write!(f, "{file}: key {key}: {why}"),
+            Self::Unreadable { file, reason } => write!(f, "{file}: can't be read: {reason}"),
+            Self::Malformed { file, key, reason } if key == "." => write!(f, "{file}: {reason}"),
+            Self::Malformed { file, key, reason } => write!(f, "{file}: key {key}: {reason}"),
         }
     }
 }
 
 impl std::error::Error for ConfigError {}
 
-/// Reads a shape from text; `file` is named in complaints.
+/// Parses a shape from text. `file` is the name that errors give.
 pub fn parse(file: &str, text: &[u8]) -> Result<ShapeConfig, ConfigError> {
     let mut json = serde_json::Deserializer::from_slice(text);
-    let malformed = |key: String, why: String| ConfigError::Malformed { file: file.into(), key, reason: why };
+    let malformed = |key: String, reason: String| ConfigError::Malformed { file: file.into(), key, reason };
     let form: ShapeConfig = serde_path_to_error::deserialize(&mut json)
-        .map_err(|why| malformed(why.path().to_string(), why.inner().to_string()))?;
-    json.end().map_err(|why| malformed(".".into(), why.to_string()))?;
-    form.figures_hold().map_err(|(key, why)| malformed(key, why))?;
+        .map_err(|reason| malformed(reason.path().to_string(), reason.inner().to_string()))?;
+    json.end().map_err(|reason| malformed(".".into(), reason.to_string()))?;
+    form.check_values().map_err(|(key, reason)| malformed(key, reason))?;
     Ok(form)
 }
 
+/// Reads and parses a shape file.
 pub fn read_file(path: &Path) -> Result<ShapeConfig, ConfigError> {
     let file = path.display().to_string();
     let text = std::fs::read(path)
-        .map_err(|why| ConfigError::Unreadable { file: file.clone(), reason: why.to_string() })?;
+        .map_err(|reason| ConfigError::Unreadable { file: file.clone(), reason: reason.to_string() })?;
     parse(&file, &text)
 }
 
@@ -189,11 +190,12 @@
     serde_json::to_string_pretty(&schema).unwrap_or_default() + "\n"
 }
 
-type Wrong = (String, String);
+/// The key and the error text of a value that is not allowed.
+type InvalidValue = (String, String);
 
 impl ShapeConfig {
-    /// Each figure by itself; what they say of each other is `check`'s.
-    fn figures_hold(&self) -> Result<(), Wrong> {
+    /// Checks each value by itself. [`crate::validation`] checks how the values fit together.
+    fn check_values(&self) -> Result<(), InvalidValue> {
         above_zero("archive.capacity", self.archive.capacity)?;
         more_than_one("archive.stops_at", self.archive.stops_at)?;
         span("archive.stops_within_ms", self.archive.stops_within_ms)?;
@@ -237,8 +239,8 @@
     }
 }
 
-/// The same names go into paths on the wire, so that nothing else may stand in them.
-fn name(key: &str, value: &str) -> Result<(), Wrong> {
+/// Names are also sent in paths on the wire, so only these characters are allowed.
+fn name(key: &str, value: &str) -> Result<(), InvalidValue> {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     let good = (1..=32).contains(&value.len()) && value.bytes().all(plain);
     good.then_some(()).ok_or_else(|| {
@@ -246,29 +248,29 @@
     })
 }
 
-fn address(key: &str, value: &str) -> Result<(), Wrong> {
+fn address(key: &str, value: &str) -> Result<(), InvalidValue> {
     let good = value.parse::<std::net::SocketAddr>().is_ok();
     good.then_some(()).ok_or_else(|| (key.into(), format!("{value:?} is not an address with a port")))
 }
 
-fn above_zero(key: &str, value: f64) -> Result<(), Wrong> {
+fn above_zero(key: &str, value: f64) -> Result<(), InvalidValue> {
     let good = value.is_finite() && value > 0.0;
     good.then_some(()).ok_or_else(|| (key.into(), format!("{value} is not above 0")))
 }
 
-fn more_than_one(key: &str, value: f64) -> Result<(), Wrong> {
+fn more_than_one(key: &str, value: f64) -> Result<(), InvalidValue> {
     let good = value.is_finite() && value > 1.0;
     good.then_some(()).ok_or_else(|| (key.into(), format!("{value} is not above 1")))
 }
 
-fn share(key: &str, value: f64) -> Result<(), Wrong> {
+fn share(key: &str, value: f64) -> Result<(), InvalidValue> {
     (0.0..=1.0)
         .contains(&value)
         .then_some(())
         .ok_or_else(|| (key.into(), format!("{value} is not from 0 to 1")))
 }
 
-fn span(key: &str, ms: u64) -> Result<(), Wrong> {
+fn span(key: &str, ms: u64) -> Result<(), InvalidValue> {
     const DAY: u64 = 86_400_000;
     let good = (1..=DAY).contains(&ms);
     good.then_some(()).ok_or_else(|| (key.into(), format!("{ms} is not from 1 ms to a day")))
--- a/crates/shape/src/control.rs
+++ b/crates/shape/src/control.rs
@@ -1,6 +1,6 @@
-//! The service that numbers versions and hands them out, without its sockets and its file. What comes in are calls
-//! with a moment; what is to be done comes back as effects in their order. A record is on disk before any effect that
-//! follows it is carried out, so that what anyone was told is never forgotten.
+//! The control service as a state machine, without sockets and files: it numbers versions and publishes them.
+//! Calls come in with a moment, and what has to be done is returned as effects in order. A record is on disk
+//! before any effect that follows it is carried out, so the service never forgets what it has told anyone.
 use crate::archive_share::{RateShare, ShareAllocator};
 use crate::config::ShapeConfig;
 use crate::plan::{self, Plan, PlanError};
@@ -12,82 +12,84 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-/// Versions that are kept for members that were away; who was away for longer is told the newest whole.
-const MOST_KEPT: usize = 64;
-/// Loops that are remembered for `status`.
-const MOST_LOOPS: usize = 256;
-/// A member that was silent for as long does not count any more, neither for steps nor for the archive's load.
-const MEMBER_SILENCE: Span = Span::millis(5_000);
-/// Members at most, known by the shape or not.
-const MOST_MEMBERS: usize = 4_096;
-
-/// One line of the service's journal.
+/// Versions kept for members that were away. A member that was away for longer gets the newest version whole.
+const MAX_RETAINED_VERSIONS: usize = 64;
+/// Wait cycles kept for `status`.
+const MAX_RECENT_CYCLES: usize = 256;
+/// A member that was silent for this long no longer counts, neither for steps nor for the load of the
+/// archive.
+const MEMBER_TIMEOUT: Span = Span::millis(5_000);
+/// Limit on the members, whether the shape contains them or not.
+const MAX_MEMBERS: usize = 4_096;
+
+/// One record of the service's journal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Whoever opens the journal takes the next term; what an older term writes after that does not count.
+    /// Whoever opens the journal takes the next term. Records that an older term writes after that are
+    /// ignored.
     pub term: u64,
     pub entry: Entry,
 }
 
+/// What a journal record says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Entry {
+    /// A member has opened the journal with a new term.
     Opened,
-    /// The first shape, or what stands after a change: all before it may be forgotten.
+    /// The first shape, or the shape after a change. All records before it may be dropped.
     Shape(Box<ShapeConfig>),
     #[serde(rename = "begun")]
-    ChangeStarted {
-        plan: Box<Plan>,
-        by: String,
-    },
+    ChangeStarted { plan: Box<Plan>, by: String },
     #[serde(rename = "stage")]
     Transition(Transition),
-    /// How the sites stand from now on.
+    /// The states of the sites from now on.
     Sites(Box<SitesRecord>),
 }
 
-/// What has to outlive a service about its sites.
+/// What has to survive a restart of the service about its sites.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SitesRecord {
     #[serde(rename = "standings")]
     pub states: BTreeMap<String, SiteState>,
-    /// The shape that operators want, where the one in service leaves sites out.
+    /// The shape that operators want, if the one in service excludes sites.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub wanted: Option<ShapeConfig>,
-    /// When each site was lost lately, Unix milliseconds: what flaps is held for longer, whoever leads.
+    /// When each site was lost recently, in Unix milliseconds. A site that flaps is held back for longer,
+    /// whichever member leads.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub losses: BTreeMap<String, Vec<u64>>,
 }
 
-/// Where a site is on its way out of service and back; `harestage_sites` decides on it.
+/// The state of a site on its way out of service and back; `harestage_sites` decides on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SiteState {
     #[default]
     InService,
-    /// Nobody is tied to it any more.
+    /// No node is linked to it any more.
     Lost,
-    /// It is heard again, and proves that it stays.
+    /// It is heard again, and has to stay up for a while before it returns.
     Held,
-    /// Its ties come back, step by step.
+    /// Its upstream links are being restored, step by step.
     Returning,
-    /// Its ties go, step by step: staff has asked for it.
+    /// Its upstream links are being removed, step by step, at an operator's request.
     Leaving,
-    /// Staff keeps it out.
+    /// An operator keeps it out.
     Out,
 }
 
-/// What a witness says of a site, in its report.
+/// What a witness reports of a site.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SiteObservation {
     pub site: String,
-    /// Questions in a row that nobody there has answered.
+    /// The number of consecutive queries that nobody there has answered.
     pub unanswered: u32,
     /// Whether anything was ever heard of it.
     pub known: bool,
-    /// Time of the last answers against the usual one; 1 is usual.
+    /// Ratio of the recent answer times to the usual ones: 1 is usual.
     pub slowness: f64,
-    /// The site itself says that it is going down in order.
+    /// The site itself says that it is shutting down in order.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub leaving: bool,
 }
@@ -95,14 +97,14 @@
 /// What has to be done, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Written and synced before anything that follows.
+    /// Write and sync this record before anything that follows.
     Write(Record),
-    /// Members are to be told this version.
+    /// Send this version to the members.
     Publish(u64),
     Announce(ChangeEvent),
 }
 
-/// For the log, and for whoever watches a change.
+/// An event for the log and for whoever watches a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum ChangeEvent {
@@ -139,7 +141,7 @@
         complete: bool,
         version: u64,
     },
-    /// A site stands so from now on.
+    /// A site has changed its state.
     Site {
         site: String,
         #[serde(rename = "is")]
@@ -147,7 +149,7 @@
         #[serde(rename = "why")]
         reason: String,
     },
-    /// What is held of a site, before anything is done about it.
+    /// The witnesses' view of a site has changed, before anything is done about it.
     #[serde(rename = "seen")]
     ViewChanged {
         site: String,
@@ -165,71 +167,67 @@
     },
 }
 
+/// Why a change was refused.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeError {
+    /// The wanted shape is invalid.
     Invalid(Vec<Violation>),
+    /// There is no plan for the change.
     NoPlan(PlanError),
     /// Another change is under way.
-    Busy {
-        by: String,
-        step: usize,
-        of: usize,
-    },
-    /// The shape is another than the one that the operator looked at.
-    VersionMismatch {
-        expected: u64,
-        actual: u64,
-    },
-    Unchanged {
-        version: u64,
-    },
+    Busy { by: String, step: usize, of: usize },
+    /// The current version is not the one that the operator looked at.
+    VersionMismatch { expected: u64, actual: u64 },
+    /// The wanted shape is the current one.
+    Unchanged { version: u64 },
 }
 
 impl fmt::Display for ChangeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Invalid(complaints) => {
-                let lines: Vec<_> = complaints.iter().map(|c| c.to_string()).collect();
+            Self::Invalid(violations) => {
+                let lines: Vec<_> = violations.iter().map(|violation| violation.to_string()).collect();
                 write!(f, "{}", lines.join("\n"))
             }
-            Self::NoPlan(why) => write!(f, "{why}"),
+            Self::NoPlan(reason) => write!(f, "{reason}"),
             Self::Busy { by, step, of } => write!(f, "a change by {by} is under way, at step {step} of {of}"),
-            Self::VersionMismatch { expected, actual: is } => {
-                write!(f, "version {expected} was expected, and it is {is}")
+            Self::VersionMismatch { expected, actual } => {
+                write!(f, "version {expected} was expected, but the current version is {actual}")
             }
-            Self::Unchanged { version } => write!(f, "version {version} is that shape already"),
+            Self::Unchanged { version } => write!(f, "version {version} already has this shape"),
         }
     }
 }
 
-/// What a hub says of itself, some times a second.
+/// What a hub reports of itself, a few times a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HubReport {
-    /// The version that it goes by.
+    /// The version that it uses.
     pub version: u64,
     pub slowness: f64,
-    /// Time of a fetch at the archive against its usual one.
+    /// Ratio of the archive's fetch time to its usual one.
     #[serde(default)]
     pub archive_slowness: f64,
-    /// Pulls a second that came to it, from branches and from other hubs.
+    /// Pulls a second that it receives, from branches and from other hubs.
     #[serde(default)]
     #[serde(rename = "asked")]
     pub request_rate: f64,
-    /// Fetches a second at the archive, those that it would have begun, and the part it has taken in last.
+    /// Fetches a second at the archive, those that it would have started, and the number of the last archive
+    /// share that it has applied.
     #[serde(rename = "fetches")]
     pub fetch_rate: f64,
     #[serde(rename = "wants")]
     pub wanted_rate: f64,
     #[serde(rename = "part")]
     pub share_number: u64,
-    /// Fetches a second that it may begin by that part, as long as it lasts.
+    /// Fetches a second that this share allows, as long as it is valid.
     #[serde(default)]
     #[serde(rename = "holds")]
     pub granted_rate: f64,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "loops")]
     pub wait_cycles: Vec<CycleReport>,
-    /// Where it is, and what it sees of other sites.
+    /// Its site, and what it observes of other sites.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub site: String,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -237,6 +235,7 @@
     pub observations: Vec<SiteObservation>,
 }
 
+/// A wait cycle that a hub has broken.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CycleReport {
     pub object: String,
@@ -250,9 +249,9 @@
 pub struct Control {
     term: u64,
     shape: Shape,
-    /// The versions that went out lately, by their numbers.
+    /// The versions published recently, by their numbers.
     retained: BTreeMap<u64, Shape>,
-    /// The shape that the plan under way starts from.
+    /// The shape that the current plan starts from.
     base: Option<Shape>,
     rollout: Option<(Rollout, String)>,
     hold: Option<HoldReason>,
@@ -264,26 +263,27 @@
 }
 
 impl Control {
-    /// Takes up the service from its journal, or from a first shape where that is empty. What comes back first is the
-    /// record of the new term.
+    /// Opens the service from its journal, or from a first shape if the journal is empty. The first effect is
+    /// the record of the new term.
     pub fn open(
         journal: &[Record],
         first: Option<&ShapeConfig>,
         now: Moment,
     ) -> Result<(Control, Vec<Effect>), ChangeError> {
-        let journal = fenced(journal);
+        let journal = current_term_records(journal);
         let term = journal.last().map_or(0, |record| record.term) + 1;
-        let fallback = first.cloned().map(|form| ShapeConfig { version: form.version.max(1), ..form });
+        let fallback = first.cloned().map(|config| ShapeConfig { version: config.version.max(1), ..config });
         let shape = journal.iter().rev().find_map(|record| match &record.entry {
-            Entry::Shape(form) => Some(form.as_ref().clone()),
+            Entry::Shape(config) => Some(config.as_ref().clone()),
             _ => None,
         });
         let recovered = shape.is_some();
-        let form = shape.or(fallback).ok_or(ChangeError::Unchanged { version: 0 })?;
-        // What was taken once is taken again: a check that has become stricter must not stop the service.
-        let shape = if recovered { Shape::from_config(&form) } else { topology::validated_shape(&form) }
+        let config = shape.or(fallback).ok_or(ChangeError::Unchanged { version: 0 })?;
+        // A recovered shape was accepted before and is accepted again: a check that has become stricter must
+        // not stop the service.
+        let shape = if recovered { Shape::from_config(&config) } else { topology::validated_shape(&config) }
             .map_err(ChangeError::Invalid)?;
-        let archive = &form.archive;
+        let archive = &config.archive;
         let mut control = Control {
             term,
             shape: shape.clone(),
@@ -307,17 +307,17 @@
         Ok((control, effects))
     }
 
-    /// Goes through what a forerunner wrote after the last whole shape.
+    /// Applies what a predecessor wrote after the last whole shape.
     fn replay(&mut self, journal: &[&Record], now: Moment) {
         let after = journal.iter().rposition(|r| matches!(r.entry, Entry::Shape(_))).map_or(0, |at| at + 1);
         for record in &journal[after..] {
             match &record.entry {
                 Entry::ChangeStarted { plan, by } => {
                     self.base = Some(self.shape.clone());
-                    let runner = Rollout::start(plan.as_ref().clone(), self.shape.version(), now);
-                    self.rollout = Some((runner, by.clone()));
+                    let rollout = Rollout::start(plan.as_ref().clone(), self.shape.version(), now);
+                    self.rollout = Some((rollout, by.clone()));
                 }
-                Entry::Transition(stage) => self.apply_transition(stage, now),
+                Entry::Transition(transition) => self.apply_transition(transition, now),
                 Entry::Opened | Entry::Shape(_) | Entry::Sites(_) => {}
             }
         }
@@ -327,11 +327,11 @@
         Effect::Write(Record { term: self.term, entry })
     }
 
-    /// A stage is taken in, whether it was just written down or recalled.
-    fn apply_transition(&mut self, stage: &Transition, now: Moment) {
-        let Some((runner, _)) = &mut self.rollout else { return };
-        runner.apply(stage, now);
-        let version = match stage {
+    /// Applies a transition that was just journaled or is being replayed.
+    fn apply_transition(&mut self, transition: &Transition, now: Moment) {
+        let Some((rollout, _)) = &mut self.rollout else { return };
+        rollout.apply(transition, now);
+        let version = match transition {
             Transition::Published { version, .. } | Transition::Reverted { version, .. } => *version,
             Transition::Settled { .. } => return,
             Transition::Ended { .. } => {
@@ -340,50 +340,51 @@
             }
         };
         let Some(base) = &self.base else { return };
-        self.shape = runner.plan.shape_after(base, runner.published_steps(), version);
+        self.shape = rollout.plan.shape_after(base, rollout.published_steps(), version);
         self.retain_version();
     }
 
     fn retain_version(&mut self) {
         self.retained.insert(self.shape.version(), self.shape.clone());
-        while self.retained.len() > MOST_KEPT {
+        while self.retained.len() > MAX_RETAINED_VERSIONS {
             self.retained.pop_first();
         }
         let archive = self.shape.archive();
         self.shares.set_stop_rate(archive.capacity * archive.stops_at);
     }
 
-    /// Begins a change. `expect` is the version that the operator looked at.
+    /// Starts a change. `expect` is the version that the operator looked at.
     pub fn apply(
         &mut self,
-        form: &ShapeConfig,
+        config: &ShapeConfig,
         expect: Option<u64>,
         by: &str,
         now: Moment,
     ) -> Result<Vec<Effect>, ChangeError> {
-        if let Some((runner, by)) = &self.rollout {
-            let (step, of) = (runner.published_steps(), runner.plan.steps.len());
+        if let Some((rollout, by)) = &self.rollout {
+            let (step, of) = (rollout.published_steps(), rollout.plan.steps.len());
             return Err(ChangeError::Busy { by: by.clone(), step, of });
         }
-        let is = self.shape.version();
-        if let Some(expected) = expect.filter(|expected| *expected != is) {
-            return Err(ChangeError::VersionMismatch { expected, actual: is });
+        let actual = self.shape.version();
+        if let Some(expected) = expect.filter(|expected| *expected != actual) {
+            return Err(ChangeError::VersionMismatch { expected, actual });
         }
-        let plan = plan::plan_change(&self.shape, form, now).map_err(|why| match why {
-            PlanError::Invalid(complaints) => ChangeError::Invalid(complaints),
-            why => ChangeError::NoPlan(why),
+        let plan = plan::plan_change(&self.shape, config, now).map_err(|reason| match reason {
+            PlanError::Invalid(violations) => ChangeError::Invalid(violations),
+            reason => ChangeError::NoPlan(reason),
         })?;
         if plan.steps.is_empty() {
-            return Err(ChangeError::Unchanged { version: is });
+            return Err(ChangeError::Unchanged { version: actual });
         }
-        let said = ChangeEvent::Started { from: is, steps: plan.steps.len(), by: by.into() };
+        let event = ChangeEvent::Started { from: actual, steps: plan.steps.len(), by: by.into() };
         let record = self.record(Entry::ChangeStarted { plan: Box::new(plan.clone()), by: by.into() });
         self.base = Some(self.shape.clone());
-        self.rollout = Some((Rollout::start(plan, is, now), by.into()));
-        Ok(vec![record, self.announce(said)])
+        self.rollout = Some((Rollout::start(plan, actual, now), by.into()));
+        Ok(vec![record, self.announce(event)])
     }
 
-    /// Goes over to another shape at once, whatever is under way: a site is lost, and there is no time for steps.
+    /// Switches to another shape at once and ends any change under way: a site is lost, and there is no time
+    /// for steps.
     pub fn replace_shape(&mut self, shape: Shape) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.rollout.take().is_some() {
@@ -399,97 +400,100 @@
         effects
     }
 
-    /// A record of this term, for what is decided beside it.
+    /// A journal record of this term, for decisions made outside of this state machine.
     pub fn journal_entry(&self, entry: Entry) -> Effect {
         self.record(entry)
     }
 
-    fn announce(&mut self, said: ChangeEvent) -> Effect {
-        self.last_event = Some(said.clone());
-        Effect::Announce(said)
+    fn announce(&mut self, event: ChangeEvent) -> Effect {
+        self.last_event = Some(event.clone());
+        Effect::Announce(event)
     }
 
-    /// A hub has reported; it gets its part of the archive.
+    /// Handles the report of a hub and returns its share of the archive.
     pub fn on_report(
         &mut self,
         hub: &str,
         report: &HubReport,
         now: Moment,
     ) -> (Option<RateShare>, Vec<Effect>) {
-        if !self.members.contains_key(hub) && self.members.len() >= MOST_MEMBERS {
+        if !self.members.contains_key(hub) && self.members.len() >= MAX_MEMBERS {
             return (None, Vec::new());
         }
         let finite = |n: f64| if n.is_finite() { n.max(0.0) } else { 0.0 };
-        let (slowness, fetches) = (finite(report.slowness), finite(report.fetch_rate));
-        let (asked, archive_slowness) = (finite(report.request_rate), finite(report.archive_slowness));
-        let heard = MemberHealth {
+        let (slowness, fetch_rate) = (finite(report.slowness), finite(report.fetch_rate));
+        let (request_rate, archive_slowness) = (finite(report.request_rate), finite(report.archive_slowness));
+        let member = MemberHealth {
             version: report.version,
             last_report: now,
             slowness,
             archive_slowness,
-            request_rate: asked,
-            fetch_rate: fetches,
+            request_rate,
+            fetch_rate,
         };
-        self.members.insert(hub.into(), heard);
+        self.members.insert(hub.into(), member);
         let mut effects = Vec::new();
-        for seen in report.wait_cycles.iter().take(MOST_LOOPS) {
-            let (object, path) = (seen.object.clone(), seen.path.clone());
-            let said = ChangeEvent::WaitCycle {
+        for cycle in report.wait_cycles.iter().take(MAX_RECENT_CYCLES) {
+            let (object, path) = (cycle.object.clone(), cycle.path.clone());
+            let event = ChangeEvent::WaitCycle {
                 hub: hub.into(),
                 object,
                 path,
-                waited_ms: seen.waited_ms,
-                seen_before: seen.seen_before,
+                waited_ms: cycle.waited_ms,
+                seen_before: cycle.seen_before,
             };
             self.cycles_seen += 1;
-            self.recent_cycles.push_back(said.clone());
-            effects.push(Effect::Announce(said));
+            self.recent_cycles.push_back(event.clone());
+            effects.push(Effect::Announce(event));
         }
-        while self.recent_cycles.len() > MOST_LOOPS {
+        while self.recent_cycles.len() > MAX_RECENT_CYCLES {
             self.recent_cycles.pop_front();
         }
-        // Who is at no top needs no part: it asks other hubs only.
-        let at_top = self.shape.find(hub).is_some_and(|at| self.shape.top_hubs().contains(&at));
-        let most = self.shape.top_hubs().len();
-        let part = at_top.then(|| {
-            self.shares.request(hub, report.wanted_rate, report.share_number, report.granted_rate, most, now)
+        // A hub that is not a top hub needs no share: it only asks other hubs.
+        let is_top_hub = self.shape.find(hub).is_some_and(|at| self.shape.top_hubs().contains(&at));
+        let hub_count = self.shape.top_hubs().len();
+        let share = is_top_hub.then(|| {
+            self.shares.request(
+                hub,
+                report.wanted_rate,
+                report.share_number,
+                report.granted_rate,
+                hub_count,
+                now,
+            )
         });
-        (part, effects)
+        (share, effects)
     }
 
-    /// To be called some times a second.
+    /// Has to be called a few times a second.
     pub fn tick(&mut self, now: Moment) -> Vec<Effect> {
-        self.members.retain(|_, heard| now.since(heard.last_report) < MEMBER_SILENCE);
-        let Some((mut runner, by)) = self.rollout.take() else { return Vec::new() };
+        self.members.retain(|_, member| now.since(member.last_report) < MEMBER_TIMEOUT);
+        let Some((mut rollout, by)) = self.rollout.take() else { return Vec::new() };
         let ages = self.hub_ages(now);
         let archive = self.shape.archive();
-        let stopping = archive.capacity * archive.stops_at;
-        let view = HealthView { members: &self.members, archive_stop_rate: stopping, ages: &ages };
-        runner.observe(&view, now);
-        let turn = runner.decide(&view, now);
-        let (done, of) = (runner.published_steps(), runner.plan.steps.len());
-        self.rollout = Some((runner, by));
-        match turn {
+        let archive_stop_rate = archive.capacity * archive.stops_at;
+        let view = HealthView { members: &self.members, archive_stop_rate, ages: &ages };
+        rollout.observe(&view, now);
+        let decision = rollout.decide(&view, now);
+        let (step, of) = (rollout.published_steps(), rollout.plan.steps.len());
+        self.rollout = Some((rollout, by));
+        match decision {
             Decision::Hold(hold) => {
-                let new =
+                let is_new =
                     self.hold.as_ref().map(std::mem::discriminant) != Some(std::mem::discriminant(&hold));
-                let why = hold.to_string();
+                let reason = hold.to_string();
                 self.hold = Some(hold);
-                if new {
-                    vec![self.announce(ChangeEvent::Held { step: done, of, reason: why })]
-                } else {
-                    Vec::new()
-                }
+                if is_new { vec![self.announce(ChangeEvent::Held { step, of, reason })] } else { Vec::new() }
             }
-            Decision::Apply(stage) => self.commit(stage, of, now),
+            Decision::Apply(transition) => self.commit(transition, of, now),
         }
     }
 
-    fn commit(&mut self, stage: Transition, of: usize, now: Moment) -> Vec<Effect> {
+    fn commit(&mut self, transition: Transition, of: usize, now: Moment) -> Vec<Effect> {
         self.hold = None;
-        let mut effects = vec![self.record(Entry::Transition(stage.clone()))];
-        self.apply_transition(&stage, now);
-        match stage {
+        let mut effects = vec![self.record(Entry::Transition(transition.clone()))];
+        self.apply_transition(&transition, now);
+        match transition {
             Transition::Published { step, version } => {
                 effects.extend([
                     Effect::Publish(version),
@@ -515,54 +519,58 @@
     }
 
     fn hub_ages(&self, now: Moment) -> BTreeMap<String, Span> {
-        let fresh = self.shape.hubs().filter(|(_, hub)| hub.since_ms > 0);
+        let started = self.shape.hubs().filter(|(_, hub)| hub.since_ms > 0);
         let age = |since_ms: u64| now.since(Moment::at_micros(since_ms.saturating_mul(1_000)));
-        fresh.map(|(_, hub)| (hub.name.clone(), age(hub.since_ms))).collect()
+        started.map(|(_, hub)| (hub.name.clone(), age(hub.since_ms))).collect()
     }
 
+    /// The current term.
     pub fn term(&self) -> u64 {
         self.term
     }
 
+    /// The shape in service.
     pub fn shape(&self) -> &Shape {
         &self.shape
     }
 
-    /// A version that is still kept.
+    /// A version, if it is still retained.
     pub fn version(&self, number: u64) -> Option<&Shape> {
         self.retained.get(&number)
     }
 
+    /// Whether a change is under way.
     pub fn is_changing(&self) -> bool {
         self.rollout.is_some()
     }
 
+    /// The status of the service, its members and the current change.
     pub fn status(&self, now: Moment) -> Status {
-        let change = self.rollout.as_ref().map(|(runner, by)| ChangeStatus {
+        let change = self.rollout.as_ref().map(|(rollout, by)| ChangeStatus {
             by: by.clone(),
-            step: runner.published_steps(),
-            of: runner.plan.steps.len(),
-            undone: runner.reverted_count(),
-            lasted_ms: runner.elapsed(now).as_micros() / 1_000,
+            step: rollout.published_steps(),
+            of: rollout.plan.steps.len(),
+            undone: rollout.reverted_count(),
+            lasted_ms: rollout.elapsed(now).as_micros() / 1_000,
             held: self.hold.as_ref().map(HoldReason::to_string),
         });
-        let members = self.members.iter().map(|(name, heard)| MemberStatus {
+        let members = self.members.iter().map(|(name, member)| MemberStatus {
             name: name.clone(),
-            version: heard.version,
-            silent_ms: now.since(heard.last_report).as_micros() / 1_000,
-            slowness: heard.slowness,
-            asked: heard.request_rate,
+            version: member.version,
+            silent_ms: now.since(member.last_report).as_micros() / 1_000,
+            slowness: member.slowness,
+            asked: member.request_rate,
             allowance: self.shape.find(name).map_or(0.0, |at| self.shape.allowance(at, now)),
-            fetches: heard.fetch_rate,
+            fetches: member.fetch_rate,
         });
         let archive = self.shape.archive();
-        let asked: f64 = self.members.values().map(|heard| heard.fetch_rate).sum();
+        let fetch_rate: f64 = self.members.values().map(|member| member.fetch_rate).sum();
         Status {
             term: self.term,
             version: self.shape.version(),
             change,
             members: members.collect(),
-            archive_share: asked / (archive.capacity * archive.stops_at).max(1e-9),
+            archive_share: fetch_rate / (archive.capacity * archive.stops_at).max(1e-9),
             allocated: self.shares.allocated(now),
             wait_cycles: self.cycles_seen,
             last_wait_cycles: self.recent_cycles.iter().rev().take(8).cloned().collect(),
@@ -570,9 +578,9 @@
     }
 }
 
-/// The lines that count. One of an older term behind one of a newer term was written by a runner that had been
-/// replaced and did not know it yet.
-fn fenced(journal: &[Record]) -> Vec<&Record> {
+/// The records that count. A record of an older term after one of a newer term was written by a leader that
+/// had been replaced and did not know it yet.
+fn current_term_records(journal: &[Record]) -> Vec<&Record> {
     let mut term = 0;
     let counts = journal.iter().filter(|record| {
         let counts = record.term >= term;
@@ -582,14 +590,14 @@
     counts.collect()
 }
 
-/// What `status` tells.
+/// The answer to a status request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     pub term: u64,
     pub version: u64,
     pub change: Option<ChangeStatus>,
     pub members: Vec<MemberStatus>,
-    /// Fetches a second against the archive's stopping point, by what hubs report.
+    /// Fetches a second, as the hubs report them, relative to the rate at which the archive stops.
     pub archive_share: f64,
     #[serde(rename = "given_out")]
     pub allocated: f64,
@@ -599,6 +607,7 @@
     pub last_wait_cycles: Vec<ChangeEvent>,
 }
 
+/// The status of the current change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeStatus {
     pub by: String,
@@ -609,13 +618,14 @@
     pub held: Option<String>,
 }
 
+/// The status of a member, by its last report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     pub name: String,
     pub version: u64,
     pub silent_ms: u64,
     pub slowness: f64,
-    /// Pulls a second that came to it, and how many would push it over at its age.
+    /// Pulls a second that it receives, and how many would overload it at its age.
     pub asked: f64,
     pub allowance: f64,
     pub fetches: f64,
--- a/crates/shape/src/lib.rs
+++ b/crates/shape/src/lib.rs
@@ -1,22 +1,25 @@
-//! The hierarchy above the branches, and how its shape changes in service.
+//! The topology of the cache hierarchy above the branches, and how it changes in service.
 //!
-//! Nothing here does input or output: time is handed in as `Moment`s, chance is not used at all, and whatever is
-//! to be sent comes back as data. docs/shape.md argues for the ways taken.
+//! A *shape* is a versioned topology: the archive, the hubs, the branches, and the upstream links between
+//! them. Each change publishes a new version with its own number.
+//!
+//! Nothing here does input or output. The time is passed in as `Moment`s, no randomness is used, and whatever
+//! has to be sent is returned as data. docs/shape.md explains the design.
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `form` | what a shape file may say |
-//! | `tree` | numbered versions of a shape, and which of them are still in use |
-//! | `check` | whether a version is taken, whole or not at all |
+//! | `config` | what a shape file may contain |
+//! | `topology` | numbered versions of a shape, and which of them are still in use |
+//! | `validation` | whether a version is accepted, as a whole or not at all |
 //! | `route` | where a hub fills an object from |
-//! | `knots` | which fills wait for each other in a circle, and who breaks it |
-//! | `shield` | who may fetch an object from the archive |
-//! | `parts` | how much each hub may ask of the archive |
+//! | `wait_cycles` | which fills wait for each other in a cycle, and which hub breaks it |
+//! | `fetch_rights` | which hub may fetch an object from the archive |
+//! | `archive_share` | how many fetches each hub may send to the archive |
 //! | `plan` | the steps from one version to another |
-//! | `run` | when a step goes out, is held, or is undone, and by whom |
-//! | `feed` | nothing: how a version is worded for a branch's routers |
-//! | `lines` | nothing: what is written between service, members and operators |
-//! | `control` | what the service tells whom, and what it writes down first |
+//! | `rollout` | when a step is published, held back or reverted |
+//! | `control` | what the control service sends to whom, and what it writes to its journal first |
+//! | `feed` | nothing: it encodes a version for the routers of a branch |
+//! | `messages` | nothing: it defines the messages between the service, its members and operators |
 pub mod archive_share;
 pub mod config;
 pub mod control;
--- a/crates/shape/src/messages.rs
+++ b/crates/shape/src/messages.rs
@@ -1,5 +1,6 @@
-//! What members, operators and the control service write to each other: one JSON object a line. A member's first line
-//! is `SUB N NAME`, with the number of the last version that it has; an operator's is a `Call`.
+//! The messages between members, operators and the control service: one JSON object a line. A member's first
+//! line is `SUB N NAME`, with the number of the last version that it has. An operator's first line is a
+//! [`Request`].
 use crate::archive_share::RateShare;
 use crate::config::ShapeConfig;
 use crate::control::{ChangeEvent, HubReport, Status};
@@ -7,7 +8,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The ties of one place while these sites are lost together, worked out beforehand; `harestage_sites` decides on them.
+/// The upstreams of one node while these sites are lost together, computed beforehand. `harestage_sites`
+/// decides on them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FallbackPlan {
     pub lost: BTreeSet<String>,
@@ -15,25 +17,27 @@
     pub upstreams: Vec<String>,
 }
 
-/// To a member. A term that is older than one it has heard comes from a service that was replaced.
+/// To a member. If the term is older than the latest that the member has seen, the message comes from a
+/// service that was replaced.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ToMember {
-    /// A whole version, without branches: hubs need none of them, and a branch's own feed only that one. With it come the
-    /// plans for this member's place, so that it can carry them out with no service reachable.
+    /// A whole version. Hubs get it without branches, a branch's own feed with that branch only. It comes
+    /// with the fallback plans for this member's node, so that the member can apply them while no service is
+    /// reachable.
     Version {
         term: u64,
         shape: Box<ShapeConfig>,
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         plans: Vec<FallbackPlan>,
     },
-    /// The answer to a report of a hub at the top.
+    /// The answer to a report of a top hub.
     #[serde(rename = "part")]
     Share(RateShare),
-    /// The answer to the report of any other: the number of the newest version.
+    /// The answer to a report of any other hub: the number of the newest version.
     #[serde(rename = "beat")]
     Heartbeat { term: u64, last: u64 },
-    /// This member of the service does not speak for it; the one that does is there, if that is known.
+    /// This member of the service is not the leader. `leader` is the leader's address if it is known.
     #[serde(rename = "elsewhere")]
     NotLeader {
         #[serde(rename = "serves")]
@@ -41,18 +45,19 @@
     },
 }
 
+/// From a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FromMember {
     Report(HubReport),
 }
 
-/// What an operator asks for.
+/// What an operator requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Request {
     Status,
-    /// The shape as it is.
+    /// The current shape.
     Shape,
     /// The steps that a change would take, without taking any.
     Plan {
@@ -63,10 +68,11 @@
         expect: Option<u64>,
         by: String,
     },
-    /// Everything that is said of a change from now on.
+    /// All events of changes from now on.
     Watch,
 }
 
+/// The answer to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Response {
@@ -75,9 +81,9 @@
     Plan(Box<Plan>),
     #[serde(rename = "said")]
     Event(ChangeEvent),
-    /// Each line says one thing that is wrong.
+    /// Each line names one thing that is wrong.
     Refused(Vec<String>),
-    /// This member of the service does not speak for it; the one that does is there, if that is known.
+    /// This member of the service is not the leader. `leader` is the leader's address if it is known.
     #[serde(rename = "elsewhere")]
     NotLeader {
         #[serde(rename = "serves")]
@@ -90,18 +96,18 @@
     format!("SUB {last} {name}\n")
 }
 
-/// The number and name of a member's first line; none for anything else.
+/// The version and the name from a member's first line; `None` for any other line.
 pub fn parse_subscribe(line: &str) -> Option<(u64, &str)> {
     let (last, name) = line.strip_prefix("SUB ")?.split_once(' ')?;
     Some((last.parse().ok()?, name)).filter(|_| is_name(name))
 }
 
-/// The first line of a member that is told whole versions, with all branches.
+/// The first line of a member that gets whole versions, with all branches.
 pub fn subscribe_all_line(last: u64, name: &str) -> String {
     format!("ALL {last} {name}\n")
 }
 
-/// The number and name of such a line; none for anything else.
+/// The version and the name from such a line; `None` for any other line.
 pub fn parse_subscribe_all(line: &str) -> Option<(u64, &str)> {
     let (last, name) = line.strip_prefix("ALL ")?.split_once(' ')?;
     Some((last.parse().ok()?, name)).filter(|_| is_name(name))
@@ -112,21 +118,21 @@
     format!("BRANCH {last} {name} {branch}\n")
 }
 
-/// The number, name and branch of such a line; none for anything else.
+/// The version, the name and the branch from such a line; `None` for any other line.
 pub fn parse_subscribe_branch(line: &str) -> Option<(u64, &str, &str)> {
-    let (rest, branch) = line.strip_prefix("BRANCH ")?.rsplit_once(' ')?;
-    let (last, name) = rest.split_once(' ')?;
+    let (head, branch) = line.strip_prefix("BRANCH ")?.rsplit_once(' ')?;
+    let (last, name) = head.split_once(' ')?;
     Some((last.parse().ok()?, name, branch)).filter(|_| is_name(name) && is_name(branch))
 }
 
 fn is_name(name: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    (1..=32).contains(&name.len()) && name.bytes().all(plain)
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+    (1..=32).contains(&name.len()) && name.bytes().all(allowed)
 }
 
-/// One line, with its end.
-pub fn encode_line(what: &impl Serialize) -> Vec<u8> {
-    let mut text = serde_json::to_vec(what).unwrap_or_default();
+/// Encodes a message as one line, including the newline.
+pub fn encode_line(message: &impl Serialize) -> Vec<u8> {
+    let mut text = serde_json::to_vec(message).unwrap_or_default();
     text.push(b'\n');
     text
 }
--- a/crates/shape/src/rollout.rs
+++ b/crates/shape/src/rollout.rs
@@ -1,41 +1,38 @@
-//! Runs a plan: one step after another, each only while what is seen is well. Every move of the runner is a record
-//! first, so that whoever runs on after a death goes on where this one stood; a step that goes out a second time says
-//! the same, since it names the ties that a place has, and not what changes.
+//! Runs a plan: one step after another, each only while the service is healthy. Every transition is journaled
+//! first, so that a successor continues where this one stopped. A step that is published twice has the same
+//! effect, since it names all upstreams of a node rather than the differences.
 use crate::plan::{Plan, SETTLE_TIME, Step};
 use harestage::time::{Moment, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Of the archive's stopping point: past the first no step goes out, past the second one is undone.
-const ARCHIVE_HOLDS: f64 = 0.7;
-const ARCHIVE_UNDOES: f64 = 0.85;
-/// Times a hub's usual time for a fill, and the archive's for a fetch.
-const HUB_HOLDS: f64 = 3.0;
-const HUB_UNDOES: f64 = 8.0;
-/// What is past its mark for as long undoes the step that went out last; shorter peaks only hold the next.
-const BAD_FOR: Span = Span::millis(800);
-/// A member that has heard nothing of a step for as long is passed over; a place of the step itself undoes it.
-const ANSWERS_WITHIN: Span = Span::millis(3_000);
-/// After a step was undone. The next try also waits twice as long after each step.
-const RESTS: Span = Span::millis(2_000);
-/// Times that steps are undone before the change is given up where it stands.
-const MOST_UNDONE: u32 = 3;
+/// Fractions of the rate at which the archive stops: above the first no step is published, above the second
+/// the last step is reverted.
+const ARCHIVE_HOLD_FRACTION: f64 = 0.7;
+const ARCHIVE_REVERT_FRACTION: f64 = 0.85;
+/// Ratios to the usual time of a hub's fills and of fetches at the archive: the same for both.
+const HOLD_SLOWNESS: f64 = 3.0;
+const REVERT_SLOWNESS: f64 = 8.0;
+/// A value above its limit for this long reverts the last step. Shorter peaks only hold back the next one.
+const REVERT_DELAY: Span = Span::millis(800);
+/// A member that does not confirm a step for this long is ignored, but a node of the step itself causes its
+/// revert.
+const REPORT_TIMEOUT: Span = Span::millis(3_000);
+/// The pause after a reverted step. The next attempt also waits twice as long after each step.
+const BACKOFF: Span = Span::millis(2_000);
+/// The number of reverted steps after which the change is abandoned where it stands.
+const MAX_REVERTS: u32 = 3;
 
-/// What is written down before it is done.
+/// A transition that is journaled before it takes effect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Transition {
-    /// Step `step` goes out as `version`.
+    /// Step `step` is published as `version`.
     #[serde(rename = "out")]
-    Published {
-        step: usize,
-        version: u64,
-    },
-    /// It is seen to be well.
-    Settled {
-        step: usize,
-    },
-    /// The shape of the step before goes out as `version`.
+    Published { step: usize, version: u64 },
+    /// The step is confirmed and healthy.
+    Settled { step: usize },
+    /// The shape before the step is published again, as `version`.
     #[serde(rename = "undone")]
     Reverted {
         step: usize,
@@ -43,36 +40,35 @@
         #[serde(rename = "why")]
         reason: String,
     },
-    Ended {
-        complete: bool,
-    },
+    /// The change is over. `complete` is false if it was abandoned.
+    Ended { complete: bool },
 }
 
-/// What a member was last heard to say.
+/// What a member last reported.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberHealth {
     pub version: u64,
     pub last_report: Moment,
-    /// Time to the first byte against its usual one; 1 is usual.
+    /// Ratio of the time to the first byte to its usual value: 1 is usual.
     pub slowness: f64,
-    /// Time of a fetch at the archive against its usual one.
+    /// Ratio of the archive's fetch time to its usual value.
     pub archive_slowness: f64,
-    /// Pulls a second that came to it.
+    /// Pulls a second that it receives.
     pub request_rate: f64,
     /// Fetches a second at the archive.
     pub fetch_rate: f64,
 }
 
-/// What the runner looks at.
+/// The observations that decisions are based on.
 pub struct HealthView<'a> {
     pub members: &'a BTreeMap<String, MemberHealth>,
     /// Fetches a second at which the archive stops.
     pub archive_stop_rate: f64,
-    /// How old each hub is that has started lately; hubs that are not in it are warm.
+    /// The ages of the hubs that have started recently; other hubs are warm.
     pub ages: &'a BTreeMap<String, Span>,
 }
 
-/// Why no step goes out just now.
+/// Why no step is published now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HoldReason {
     Settling,
@@ -97,107 +93,125 @@
             Self::ArchiveSlow { slowness } => {
                 write!(f, "the archive is {slowness:.1} times slower than usual")
             }
-            Self::HubSlow { hub, slowness } => write!(f, "{hub} is {slowness:.1} times slower than usual"),
-            Self::Unconfirmed { node: place } => write!(f, "{place} has not said that it follows"),
+            Self::HubSlow { hub, slowness } => {
+                write!(f, "{hub} is {slowness:.1} times slower than usual")
+            }
+            Self::Unconfirmed { node } => write!(f, "{node} has not said that it follows"),
             Self::NotDue => write!(f, "planned for later"),
         }
     }
 }
 
+/// What to do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// To be written down, and then done.
+    /// To be journaled and then applied.
     Apply(Transition),
     Hold(HoldReason),
 }
 
+/// The phase of the execution.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum At {
-    /// Nothing is out that has not settled.
-    Between {
+enum Phase {
+    /// Every published step has settled.
+    BetweenSteps {
         since: Moment,
-        rest: Span,
+        backoff: Span,
     },
-    Out {
+    StepPublished {
         step: usize,
         version: u64,
         since: Moment,
-        bad_since: Option<Moment>,
+        unhealthy_since: Option<Moment>,
     },
     Ended,
 }
 
-/// The runner of one plan.
+/// The execution of one plan.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     pub plan: Plan,
     started: Moment,
-    /// Steps that have gone out, whether they have settled or not.
+    /// Steps that were published, whether they have settled or not.
     published_steps: usize,
     reverted_count: u32,
-    phase: At,
+    phase: Phase,
     version: u64,
 }
 
 impl Rollout {
+    /// Starts a plan from the given version.
     pub fn start(plan: Plan, version: u64, now: Moment) -> Rollout {
         Rollout {
             plan,
             started: now,
             published_steps: 0,
             reverted_count: 0,
-            phase: At::Between { since: now, rest: Span::ZERO },
+            phase: Phase::BetweenSteps { since: now, backoff: Span::ZERO },
             version,
         }
     }
 
-    /// Takes in a stage: one that was just written down, or all of a forerunner's after its death.
-    pub fn apply(&mut self, stage: &Transition, now: Moment) {
-        match stage {
+    /// Applies a transition: one that was just journaled, or those of a predecessor after its failure.
+    pub fn apply(&mut self, transition: &Transition, now: Moment) {
+        match transition {
             Transition::Published { step, version } => {
                 (self.published_steps, self.version) = (*step, *version);
-                self.phase = At::Out { step: *step, version: *version, since: now, bad_since: None };
+                self.phase = Phase::StepPublished {
+                    step: *step,
+                    version: *version,
+                    since: now,
+                    unhealthy_since: None,
+                };
+            }
+            Transition::Settled { .. } => {
+                self.phase = Phase::BetweenSteps { since: now, backoff: Span::ZERO }
             }
-            Transition::Settled { .. } => self.phase = At::Between { since: now, rest: Span::ZERO },
             Transition::Reverted { step, version, .. } => {
                 (self.published_steps, self.version) = (*step - 1, *version);
                 self.reverted_count += 1;
-                self.phase = At::Between { since: now, rest: RESTS };
+                self.phase = Phase::BetweenSteps { since: now, backoff: BACKOFF };
             }
-            Transition::Ended { .. } => self.phase = At::Ended,
+            Transition::Ended { .. } => self.phase = Phase::Ended,
         }
     }
 
+    /// The number of published steps.
     pub fn published_steps(&self) -> usize {
         self.published_steps
     }
 
+    /// How many times a step was reverted.
     pub fn reverted_count(&self) -> u32 {
         self.reverted_count
     }
 
+    /// Whether the change is over.
     pub fn is_finished(&self) -> bool {
-        self.phase == At::Ended
+        self.phase == Phase::Ended
     }
 
+    /// The version that was published last.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What to do now. Calls for the same moment and view say the same, until the stage is entered.
+    /// What to do now. Calls for the same moment and view give the same result until a transition is applied.
     pub fn decide(&self, view: &HealthView, now: Moment) -> Decision {
         match self.phase {
-            At::Ended => Decision::Hold(HoldReason::NotDue),
-            At::Out { step, version, since, .. } => self.watch_step(step, version, since, view, now),
-            At::Between { since, rest } => self.next_step(since, rest, view, now),
+            Phase::Ended => Decision::Hold(HoldReason::NotDue),
+            Phase::StepPublished { step, version, since, .. } => {
+                self.watch_step(step, version, since, view, now)
+            }
+            Phase::BetweenSteps { since, backoff } => self.next_step(since, backoff, view, now),
         }
     }
 
-    /// A peak has to last before it undoes anything: the runner notes since when it is seen.
+    /// Notes since when a value is above its limit, since a peak has to last before it reverts anything.
     pub fn observe(&mut self, view: &HealthView, now: Moment) {
-        let bad = self.revert_reason(view).is_some();
-        if let At::Out { bad_since, .. } = &mut self.phase {
-            *bad_since = if bad { bad_since.or(Some(now)) } else { None };
+        let unhealthy = self.revert_reason(view).is_some();
+        if let Phase::StepPublished { unhealthy_since, .. } = &mut self.phase {
+            *unhealthy_since = if unhealthy { unhealthy_since.or(Some(now)) } else { None };
         }
     }
 
@@ -213,43 +227,47 @@
         view: &HealthView,
         now: Moment,
     ) -> Decision {
-        let At::Out { bad_since, .. } = self.phase else { return Decision::Hold(HoldReason::Settling) };
-        if let (Some(bad), Some(why)) = (bad_since, self.revert_reason(view))
-            && now.since(bad) >= BAD_FOR
+        let Phase::StepPublished { unhealthy_since, .. } = self.phase else {
+            return Decision::Hold(HoldReason::Settling);
+        };
+        if let (Some(unhealthy), Some(reason)) = (unhealthy_since, self.revert_reason(view))
+            && now.since(unhealthy) >= REVERT_DELAY
         {
-            return self.revert(step, why.to_string());
+            return self.revert(step, reason.to_string());
         }
-        let unheard = self.unconfirmed_node(step, version, view, now);
-        if now.since(since) >= ANSWERS_WITHIN
-            && let Some(place) = &unheard
+        let unconfirmed = self.unconfirmed_node(step, version, view, now);
+        if now.since(since) >= REPORT_TIMEOUT
+            && let Some(node) = &unconfirmed
         {
-            return self.revert(step, HoldReason::Unconfirmed { node: place.clone() }.to_string());
+            return self.revert(step, HoldReason::Unconfirmed { node: node.clone() }.to_string());
         }
-        if let Some(place) = unheard {
-            return Decision::Hold(HoldReason::Unconfirmed { node: place });
+        if let Some(node) = unconfirmed {
+            return Decision::Hold(HoldReason::Unconfirmed { node });
         }
-        if now.since(since) < SETTLE_TIME * self.settle_factor() || bad_since.is_some() {
+        if now.since(since) < SETTLE_TIME * self.settle_factor() || unhealthy_since.is_some() {
             return Decision::Hold(HoldReason::Settling);
         }
         Decision::Apply(Transition::Settled { step })
     }
 
-    fn revert(&self, step: usize, why: String) -> Decision {
-        Decision::Apply(Transition::Reverted { step, version: self.version + 1, reason: why })
+    fn revert(&self, step: usize, reason: String) -> Decision {
+        Decision::Apply(Transition::Reverted { step, version: self.version + 1, reason })
     }
 
-    fn next_step(&self, since: Moment, rest: Span, view: &HealthView, now: Moment) -> Decision {
+    fn next_step(&self, since: Moment, backoff: Span, view: &HealthView, now: Moment) -> Decision {
         if self.published_steps >= self.plan.steps.len() {
             return Decision::Apply(Transition::Ended { complete: true });
         }
-        if self.reverted_count >= MOST_UNDONE {
+        if self.reverted_count >= MAX_REVERTS {
             return Decision::Apply(Transition::Ended { complete: false });
         }
-        if now.since(since) < rest {
+        if now.since(since) < backoff {
             return Decision::Hold(HoldReason::BackingOff);
         }
         let step = &self.plan.steps[self.published_steps];
-        if let Some(hold) = self.too_young_hub(step, view).or_else(|| busy(view, ARCHIVE_HOLDS, HUB_HOLDS)) {
+        if let Some(hold) =
+            self.too_young_hub(step, view).or_else(|| hold_reason(view, ARCHIVE_HOLD_FRACTION, HOLD_SLOWNESS))
+        {
             return Decision::Hold(hold);
         }
         Decision::Apply(Transition::Published { step: self.published_steps + 1, version: self.version + 1 })
@@ -263,41 +281,49 @@
     }
 
     fn revert_reason(&self, view: &HealthView) -> Option<HoldReason> {
-        busy(view, ARCHIVE_UNDOES, HUB_UNDOES)
+        hold_reason(view, ARCHIVE_REVERT_FRACTION, REVERT_SLOWNESS)
     }
 
-    /// A hub of the step, or one that it is tied to, that has not said that it follows. Others that are silent are
-    /// passed over: they serve on by the version that they have.
+    /// A hub of the step, or one that it is linked to, that has not confirmed the version. Other silent
+    /// members are ignored: they go on with the version that they have.
     fn unconfirmed_node(&self, step: usize, version: u64, view: &HealthView, now: Moment) -> Option<String> {
         let moves = self.plan.steps.get(step.checked_sub(1)?)?.moves.iter();
-        let named = moves.flat_map(|one| one.to.iter().chain([&one.node]));
-        let behind = named.filter(|name| {
-            let heard = view.members.get(*name);
-            heard.is_some_and(|heard| {
-                heard.version < version && now.since(heard.last_report) < ANSWERS_WITHIN * 2.0
+        let nodes = moves.flat_map(|change| change.to.iter().chain([&change.node]));
+        let lagging = nodes.filter(|name| {
+            let member = view.members.get(*name);
+            member.is_some_and(|member| {
+                member.version < version && now.since(member.last_report) < REPORT_TIMEOUT * 2.0
             })
         });
-        behind.min().cloned()
+        lagging.min().cloned()
     }
 
+    /// The time since the start.
     pub fn elapsed(&self, now: Moment) -> Span {
         now.since(self.started)
     }
 }
 
-fn busy(view: &HealthView, archive: f64, hub: f64) -> Option<HoldReason> {
-    let fetches: f64 = view.members.values().map(|heard| heard.fetch_rate).sum();
-    let share = fetches / view.archive_stop_rate.max(1e-9);
-    if share > archive {
+fn hold_reason(view: &HealthView, archive_fraction: f64, max_slowness: f64) -> Option<HoldReason> {
+    let fetch_rate: f64 = view.members.values().map(|member| member.fetch_rate).sum();
+    let share = fetch_rate / view.archive_stop_rate.max(1e-9);
+    if share > archive_fraction {
         return Some(HoldReason::ArchiveBusy { share });
     }
-    // One hub that sees a slow archive may have a slow way there: half of those that fetch have to see it.
-    let mut seen: Vec<f64> =
-        view.members.values().filter(|m| m.fetch_rate > 0.0).map(|m| m.archive_slowness).collect();
-    seen.sort_by(f64::total_cmp);
-    if let Some(slowness) = seen.get(seen.len() / 2).copied().filter(|slowness| *slowness > hub) {
+    // A single hub may see a slow archive because of its own network path, so half of the hubs that fetch
+    // have to see it.
+    let mut slownesses: Vec<f64> = view
+        .members
+        .values()
+        .filter(|member| member.fetch_rate > 0.0)
+        .map(|member| member.archive_slowness)
+        .collect();
+    slownesses.sort_by(f64::total_cmp);
+    if let Some(slowness) =
+        slownesses.get(slownesses.len() / 2).copied().filter(|slowness| *slowness > max_slowness)
+    {
         return Some(HoldReason::ArchiveSlow { slowness });
     }
-    let slow = view.members.iter().find(|(_, heard)| heard.slowness > hub);
-    slow.map(|(name, heard)| HoldReason::HubSlow { hub: name.clone(), slowness: heard.slowness })
+    let slow_hub = view.members.iter().find(|(_, member)| member.slowness > max_slowness);
+    slow_hub.map(|(name, member)| HoldReason::HubSlow { hub: name.clone(), slowness: member.slowness })
 }
--- a/crates/shape/src/route.rs
+++ b/crates/shape/src/route.rs
@@ -1,55 +1,58 @@
-//! Where a hub fills an object from. Every hub that knows the same version comes to the same answer.
+//! Where a hub fills an object from. All hubs on the same version come to the same result.
 use crate::topology::{ARCHIVE, NodeIndex, Shape};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The next place on the way of an object.
+/// The next node on the path of an object.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum NextHop {
+    /// Another hub.
     Hub(NodeIndex),
-    /// This hub is the object's home: it fetches for all.
+    /// This hub is the preferred hub of the object, and fetches it for all others.
     Archive,
 }
 
-/// Rendezvous hashing: the same order at every hub, and a place that comes or goes moves only its own objects.
-fn weight(shape: &Shape, place: NodeIndex, object: u64) -> u64 {
+/// Rendezvous hashing: every hub computes the same order, and a node that is added or removed moves only its
+/// own objects.
+fn weight(shape: &Shape, node: NodeIndex, object: u64) -> u64 {
     let mut hasher = DefaultHasher::new();
-    (shape.name(place), object).hash(&mut hasher);
+    (shape.name(node), object).hash(&mut hasher);
     hasher.finish()
 }
 
-/// The first of these in the object's own order.
+/// The candidate with the highest weight for this object.
 pub fn highest_weight(
     shape: &Shape,
-    among: impl Iterator<Item = NodeIndex>,
+    candidates: impl Iterator<Item = NodeIndex>,
     object: u64,
 ) -> Option<NodeIndex> {
-    among.max_by_key(|place| (weight(shape, *place, object), std::cmp::Reverse(*place)))
+    candidates.max_by_key(|node| (weight(shape, *node, object), std::cmp::Reverse(*node)))
 }
 
-/// The hub at which all fills of an object meet: one of those that are tied to the archive.
+/// The hub where all fills of an object meet: one of the top hubs.
 pub fn preferred_hub(shape: &Shape, object: u64) -> Option<NodeIndex> {
     highest_weight(shape, shape.top_hubs().iter().copied(), object)
 }
 
-/// Where `me` fills `object` from, passing by the places of `avoid`. None: there is no way left but to give up.
+/// Where `local` fills `object` from, leaving out the nodes in `excluded`. `None` if there is no path left.
 ///
-/// A hub below the top asks one of its ties, each object its own; a hub at the top asks the object's home, and only
-/// the home asks the archive. Where all ties are to be avoided, the home is asked straight away, and at last the
-/// archive: a branch whose way is cut is better served by a longer one than by none.
-pub fn next_hop(shape: &Shape, me: NodeIndex, object: u64, avoid: &[NodeIndex]) -> Option<NextHop> {
-    let open = |place: &NodeIndex| *place != me && !avoid.contains(place);
-    let ties = shape.upstreams(me);
-    if !ties.contains(&ARCHIVE) {
-        let tie = highest_weight(shape, ties.iter().copied().filter(open), object);
-        if let Some(tie) = tie {
-            return Some(NextHop::Hub(tie));
+/// A hub below the top asks one of its upstreams, chosen by the object. A top hub asks the object's preferred
+/// hub, and only the preferred hub asks the archive. If all upstreams are excluded, the preferred hub is
+/// asked directly, and the archive as the last resort: a longer path is better for a branch than none.
+pub fn next_hop(shape: &Shape, local: NodeIndex, object: u64, excluded: &[NodeIndex]) -> Option<NextHop> {
+    let usable = |node: &NodeIndex| *node != local && !excluded.contains(node);
+    let upstreams = shape.upstreams(local);
+    if !upstreams.contains(&ARCHIVE) {
+        let upstream = highest_weight(shape, upstreams.iter().copied().filter(usable), object);
+        if let Some(upstream) = upstream {
+            return Some(NextHop::Hub(upstream));
         }
     }
-    // Itself may be avoided too: who was found waiting for itself must not be its own home again.
-    let candidates = shape.top_hubs().iter().copied().filter(|place| !avoid.contains(place));
+    // The local hub may be excluded too: one that waited for itself in a cycle must not become its own
+    // preferred hub again.
+    let candidates = shape.top_hubs().iter().copied().filter(|node| !excluded.contains(node));
     match highest_weight(shape, candidates, object) {
-        Some(home) if home != me => Some(NextHop::Hub(home)),
-        _ if avoid.contains(&ARCHIVE) => None,
+        Some(preferred) if preferred != local => Some(NextHop::Hub(preferred)),
+        _ if excluded.contains(&ARCHIVE) => None,
         _ => Some(NextHop::Archive),
     }
 }
--- a/crates/shape/tests/checks.rs
+++ b/crates/shape/tests/checks.rs
@@ -28,17 +28,17 @@
     let mut unknown = two_hubs();
     unknown.branches[1].hubs.push("x".into());
     unknown.branches[2].hubs.push("a".into());
-    assert_eq!(complaints(&unknown), ["e: tied to x, which is unknown", "s: tied to a twice"]);
+    assert_eq!(complaints(&unknown), ["e: upstream x is unknown", "s: upstream a is listed twice"]);
     let mut to_branch = two_hubs();
     to_branch.hubs[0].up = vec!["n".into()];
-    assert_eq!(complaints(&to_branch), ["a: tied to n, which is a branch"]);
+    assert_eq!(complaints(&to_branch), ["a: upstream n is a branch"]);
     let mut cut = two_hubs();
     cut.hubs.push(hub("c", &[]));
     cut.branches.push(branch("far", 1.0, &["c"]));
-    assert_eq!(complaints(&cut), ["far: no way to the archive"]);
+    assert_eq!(complaints(&cut), ["far: no path to the archive"]);
     let mut mixed = two_hubs();
     mixed.hubs[0].up.push("b".into());
-    assert_eq!(complaints(&mixed), ["a: tied to the archive and to hub b"]);
+    assert_eq!(complaints(&mixed), ["a: linked to the archive and to hub b"]);
 }
 
 #[test]
@@ -59,13 +59,18 @@
     assert!(complaints(&over)[0].starts_with("a: asked for "), "{:?}", complaints(&over));
     let mut barely = two_hubs();
     barely.hubs[0].capacity = 79.0;
-    assert_eq!(complaints(&barely), ["a: after the loss of b asked for 80.0 and carries 79.0"]);
+    assert_eq!(
+        complaints(&barely),
+        ["a: after the loss of b asked for 80.0 fills a second, with a limit of 79.0"]
+    );
     let mut weak = two_hubs();
     weak.archive.capacity = 16.0;
     weak.archive.stops_at = 1.2;
     let told = complaints(&weak);
     assert!(
-        told.contains(&"archive: after the loss of a asked for 24.0 and carries 15.4".into()),
+        told.contains(
+            &"archive: after the loss of a asked for 24.0 fills a second, with a limit of 15.4".into()
+        ),
         "{told:?}"
     );
 }
