--- a/crates/sites/src/controller.rs
+++ b/crates/sites/src/controller.rs
@@ -1,6 +1,7 @@
-//! The control service's state machine with its sites: evidence in, and versions that leave a lost site out, at once and by
-//! the plan that was made beforehand, or bring one back in the steps of an ordinary change. Like [`Control`], it does no
-//! input or output: effects come back in their order, a record before all that follows from it.
+//! The control service's state machine with its sites. Evidence comes in. What comes out are versions that
+//! exclude a lost site, at once and by the plan that was made beforehand, or that restore one in the steps of
+//! an ordinary change. Like [`Control`], it does no input or output: effects are returned in order, a record
+//! before everything that follows from it.
 use crate::failure_detector::{FailureDetector, SiteView, WitnessKind};
 use crate::fallback;
 use crate::liveness::SiteObservation;
@@ -17,14 +18,17 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A site whose hubs have not reported for as long counts one question without an answer, at the service.
-const REPORT_MISSED: Span = Span::millis(300);
-/// Beats further apart than this: the service itself did not run, and missed nothing that it could count.
-const ASLEEP: Span = Span::millis(700);
-/// A reported silence of hubs counts only once a site's hubs were heard at all.
-const MOST_SITES: usize = 256;
+/// The service counts one unanswered query for each time of this length without a report from any hub of a
+/// site.
+const REPORT_INTERVAL: Span = Span::millis(300);
+/// If two ticks are further apart than this, the service itself did not run, and cannot count anything as
+/// missed.
+const SUSPENSION_THRESHOLD: Span = Span::millis(700);
+/// Limit on the sites whose reports are tracked. The silence of a site's hubs counts only once they were
+/// heard.
+const MAX_SITES: usize = 256;
 
-/// For `harestage site status`.
+/// The status of a site, for `harestage site status`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SiteStatus {
     pub site: String,
@@ -32,10 +36,10 @@
     #[serde(rename = "standing")]
     pub state: SiteState,
     pub hubs: usize,
-    /// Witnesses at the site that have a word now.
+    /// Witnesses at the site that report now.
     pub witnesses: usize,
     pub losses: usize,
-    /// What its loss would do: whether all is served, and what is not.
+    /// The effect of its loss: whether all requests would be served, and what would be refused.
     pub fits: bool,
     pub refused_share: f64,
     pub fullest: String,
@@ -43,97 +47,102 @@
     pub archive_first: f64,
 }
 
-/// The whole of it.
+/// The control service with its sites.
 pub struct SiteController {
     control: Control,
     detector: FailureDetector,
     states: SiteStates,
     plans: SitePlans,
-    /// The shape that operators want, with no site left out.
+    /// The shape that operators want, without any site excluded.
     wanted: Shape,
-    /// When a hub of each site was last heard, by the service itself.
+    /// When the service itself last heard a hub of each site.
     last_reports: BTreeMap<String, Moment>,
     last_tick: Moment,
-    /// Since when each site's hubs count as started: they come back with nothing.
+    /// The time since when the hubs of each site count as started: they come back without copies.
     restarted_ms: BTreeMap<String, u64>,
-    /// What places are handed with a version: what is done when a site, or a pair, goes beside those that are out.
+    /// The plans that nodes receive with a version: for the loss of a site, or of a pair, in addition to the
+    /// excluded sites.
     fallback_plans: Vec<SitePlan>,
 }
 
 impl SiteController {
-    /// Takes the service up from its journal. What comes back first is the record of the new term.
+    /// Opens the service from its journal. The first effect is the record of the new term.
     pub fn open(
         journal: &[Record],
         first: Option<&ShapeConfig>,
         now: Moment,
     ) -> Result<(SiteController, Vec<Effect>), ChangeError> {
         let (control, effects) = Control::open(journal, first, now)?;
-        let kept = journal.iter().rev().find_map(|record| match &record.entry {
-            Entry::Sites(kept) => Some(kept.as_ref().clone()),
+        let recorded = journal.iter().rev().find_map(|record| match &record.entry {
+            Entry::Sites(recorded) => Some(recorded.as_ref().clone()),
             _ => None,
         });
-        let kept = kept.unwrap_or_default();
-        let losses = kept.losses.clone();
-        let wanted = kept.wanted.as_ref().and_then(|form| control.shape().successor(form).ok());
+        let recorded = recorded.unwrap_or_default();
+        let losses = recorded.losses.clone();
+        let wanted = recorded.wanted.as_ref().and_then(|config| control.shape().successor(config).ok());
         let wanted = wanted.unwrap_or_else(|| control.shape().clone());
-        let names: Vec<String> = sites_of(&wanted);
-        let mut standings = SiteStates::default();
-        standings.set_sites(names.iter().map(String::as_str));
-        for (site, to) in kept.states {
-            // Its steps go on in the change that was under way; if there is none, they have ended where they stood.
+        let names: Vec<String> = site_names(&wanted);
+        let mut states = SiteStates::default();
+        states.set_sites(names.iter().map(String::as_str));
+        for (site, to) in recorded.states {
+            // The steps of a site continue with the change that was under way. Without one, they have ended
+            // where they stood.
             let to = match to {
                 SiteState::Returning if !control.is_changing() => SiteState::Held,
                 SiteState::Leaving if !control.is_changing() => SiteState::InService,
                 other => other,
             };
-            standings.apply(&StateChange { site, to, reason: String::new() }, now);
+            states.apply(&StateChange { site, to, reason: String::new() }, now);
         }
         let plans = SitePlans::build(&wanted, None, true, now);
-        let mut watch = FailureDetector::new(names.iter().map(String::as_str), now);
-        watch.restore_losses(&losses, now);
-        let (heard, since_ms, handed) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-        let mut director = SiteController {
+        let mut detector = FailureDetector::new(names.iter().map(String::as_str), now);
+        detector.restore_losses(&losses, now);
+        let (last_reports, restarted_ms, fallback_plans) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
+        let mut controller = SiteController {
             control,
-            detector: watch,
-            states: standings,
+            detector,
+            states,
             plans,
             wanted,
-            last_reports: heard,
+            last_reports,
             last_tick: now,
-            restarted_ms: since_ms,
-            fallback_plans: handed,
+            restarted_ms,
+            fallback_plans,
         };
-        director.update_fallback_plans(now);
-        Ok((director, effects))
+        controller.update_fallback_plans(now);
+        Ok((controller, effects))
     }
 
+    /// The state machine of the changes.
     pub fn control(&self) -> &Control {
         &self.control
     }
 
+    /// The plans for the wanted shape.
     pub fn plans(&self) -> &SitePlans {
         &self.plans
     }
 
+    /// The state of a site.
     pub fn state(&self, site: &str) -> Option<&SiteState> {
         self.states.get(site)
     }
 
-    /// The plans for a place, to be handed to it with the version in service.
-    pub fn plans_for_node(&self, place: &str) -> Vec<FallbackPlan> {
-        fallback::plans_for_node(place, self.fallback_plans.iter())
+    /// The plans for a node, which it receives with the version in service.
+    pub fn plans_for_node(&self, node: &str) -> Vec<FallbackPlan> {
+        fallback::plans_for_node(node, self.fallback_plans.iter())
     }
 
-    /// A plan that is handed out leaves out also those that are out already, whatever it is that is lost.
+    /// Every fallback plan also excludes the sites that are out already, whatever else is lost.
     fn update_fallback_plans(&mut self, now: Moment) {
-        let out = self.states.excluded();
-        self.fallback_plans = match out.is_empty() {
+        let excluded = self.states.excluded();
+        self.fallback_plans = match excluded.is_empty() {
             true => self.plans.all().cloned().collect(),
-            false => plan::plans_with_sites_out(&self.wanted, &out, now),
+            false => plan::plans_with_sites_out(&self.wanted, &excluded, now),
         };
     }
 
-    /// A hub has reported; it gets its part of the archive.
+    /// Handles the report of a hub and returns its share of the archive.
     pub fn on_report(
         &mut self,
         hub: &str,
@@ -141,7 +150,7 @@
         now: Moment,
     ) -> (Option<RateShare>, Vec<Effect>) {
         if !report.site.is_empty()
-            && (self.last_reports.len() < MOST_SITES || self.last_reports.contains_key(&report.site))
+            && (self.last_reports.len() < MAX_SITES || self.last_reports.contains_key(&report.site))
         {
             self.last_reports.insert(report.site.clone(), now);
             self.detector.on_report(hub, &report.site, WitnessKind::Hub, report.observations.clone(), now);
@@ -149,7 +158,7 @@
         self.control.on_report(hub, report, now)
     }
 
-    /// To be called some times a second; `site` is where the member of the service is that leads.
+    /// Has to be called a few times a second. `site` is the site of the leading member of the service.
     pub fn tick(&mut self, name: &str, site: &str, now: Moment) -> Vec<Effect> {
         self.report_own_observations(name, site, now);
         let mut effects = self.control.tick(now);
@@ -164,68 +173,69 @@
             if change.from == SiteView::Lost {
                 self.restarted_ms.insert(change.site.clone(), now.micros() / 1_000);
             }
-            if let Some((turned, step)) = self.states.on_view_change(&change) {
-                effects.extend(self.change_state(turned, step, now));
+            if let Some((state_change, step)) = self.states.on_view_change(&change) {
+                effects.extend(self.change_state(state_change, step, now));
             }
         }
-        let watch = &self.detector;
+        let detector = &self.detector;
         let next = self.states.next_readmission(
             self.control.is_changing(),
-            |site| watch.is_held_back(site, now),
+            |site| detector.is_held_back(site, now),
             now,
         );
-        if let Some((turned, step)) = next {
-            effects.extend(self.change_state(turned, Some(step), now));
+        if let Some((change, step)) = next {
+            effects.extend(self.change_state(change, Some(step), now));
         }
         effects
     }
 
     /// The service is a witness too: it hears a site when a hub there reports.
     fn report_own_observations(&mut self, name: &str, site: &str, now: Moment) {
-        let asleep = now.since(self.last_tick) > ASLEEP;
+        let suspended = now.since(self.last_tick) > SUSPENSION_THRESHOLD;
         self.last_tick = now;
-        if asleep {
-            // Reports that waited meanwhile are read only now: their silence is the service's own.
-            self.last_reports.values_mut().for_each(|heard| *heard = now);
+        if suspended {
+            // Reports that arrived in the meantime are only handled now, so the silence is the service's own.
+            self.last_reports.values_mut().for_each(|last_report| *last_report = now);
         }
         if site.is_empty() {
             return;
         }
-        let sighting = |(other, heard): (&String, &Moment)| SiteObservation {
+        let observation = |(other, last_report): (&String, &Moment)| SiteObservation {
             site: other.clone(),
-            unanswered: (now.since(*heard) / REPORT_MISSED) as u32,
+            unanswered: (now.since(*last_report) / REPORT_INTERVAL) as u32,
             known: true,
             slowness: 1.0,
             leaving: false,
         };
-        let sightings = self.last_reports.iter().filter(|(other, _)| *other != site).map(sighting).collect();
-        self.detector.on_report(name, site, WitnessKind::Service, sightings, now);
+        let observations =
+            self.last_reports.iter().filter(|(other, _)| *other != site).map(observation).collect();
+        self.detector.on_report(name, site, WitnessKind::Service, observations, now);
     }
 
-    /// A change that has come to its end was some site's steps, perhaps.
-    fn on_change_ended(&mut self, said: &[Effect], now: Moment) -> Vec<Effect> {
-        let ended = said.iter().find_map(|effect| match effect {
+    /// A change that has ended may have been the steps of a site.
+    fn on_change_ended(&mut self, effects: &[Effect], now: Moment) -> Vec<Effect> {
+        let ended = effects.iter().find_map(|effect| match effect {
             Effect::Announce(ChangeEvent::Ended { complete, .. }) => Some(*complete),
             _ => None,
         });
         let Some(complete) = ended else { return Vec::new() };
         match self.states.on_change_ended(complete) {
-            Some(turned) => self.change_state(turned, None, now),
-            // Whatever the shape is now, what stands of the sites has to be behind it in the journal.
+            Some(change) => self.change_state(change, None, now),
+            // Whatever the shape is now, the states of the sites have to follow it in the journal.
             None => vec![self.sites_record()],
         }
     }
 
-    /// Writes a standing down, says it, and does what follows.
-    fn change_state(&mut self, turned: StateChange, step: Option<ShapeStep>, now: Moment) -> Vec<Effect> {
-        self.states.apply(&turned, now);
+    /// Journals and announces a change of state, and does what follows from it.
+    fn change_state(&mut self, change: StateChange, step: Option<ShapeStep>, now: Moment) -> Vec<Effect> {
+        self.states.apply(&change, now);
         self.update_fallback_plans(now);
-        let said =
-            ChangeEvent::Site { site: turned.site.clone(), state: turned.to, reason: turned.reason.clone() };
-        let mut effects = vec![self.sites_record(), Effect::Announce(said)];
+        let event =
+            ChangeEvent::Site { site: change.site.clone(), state: change.to, reason: change.reason.clone() };
+        let mut effects = vec![self.sites_record(), Effect::Announce(event)];
         match step {
             None => {}
-            Some(ShapeStep::Exclude(out)) => effects.extend(self.exclude_sites(&out, now)),
+            Some(ShapeStep::Exclude(excluded)) => effects.extend(self.exclude_sites(&excluded, now)),
             Some(ShapeStep::RollOut { excluded, site }) => {
                 effects.extend(self.roll_out(&excluded, &site, now))
             }
@@ -234,47 +244,49 @@
     }
 
     fn sites_record(&self) -> Effect {
-        let standings = self.states.iter().map(|(site, standing)| (site.to_string(), *standing)).collect();
+        let states = self.states.iter().map(|(site, state)| (site.to_string(), *state)).collect();
         let (wanted, losses) = (Some(self.wanted.to_config()), self.detector.recorded_losses());
-        self.control.journal_entry(Entry::Sites(Box::new(SitesRecord { states: standings, wanted, losses })))
+        self.control.journal_entry(Entry::Sites(Box::new(SitesRecord { states, wanted, losses })))
     }
 
-    /// By the plan that was made beforehand, or one made now for more sites than any was made for.
-    fn plan_for(&self, out: &BTreeSet<String>, now: Moment) -> SitePlan {
-        let known =
-            self.plans.get(out).filter(|plan| self.plans.version == self.wanted.version() && !plan.all_lost);
-        known.cloned().unwrap_or_else(|| plan::plan_loss(&self.wanted, out, now))
+    /// The plan that was made beforehand, or one computed now if more sites are lost than any plan covers.
+    fn plan_for(&self, excluded: &BTreeSet<String>, now: Moment) -> SitePlan {
+        let prepared = self
+            .plans
+            .get(excluded)
+            .filter(|plan| self.plans.version == self.wanted.version() && !plan.all_lost);
+        prepared.cloned().unwrap_or_else(|| plan::plan_loss(&self.wanted, excluded, now))
     }
 
-    /// At once.
-    fn exclude_sites(&mut self, out: &BTreeSet<String>, now: Moment) -> Vec<Effect> {
-        let plan = self.plan_for(out, now);
+    /// Excludes sites at once.
+    fn exclude_sites(&mut self, excluded: &BTreeSet<String>, now: Moment) -> Vec<Effect> {
+        let plan = self.plan_for(excluded, now);
         if plan.all_lost {
-            // To be tied to nobody helps nobody.
+            // A shape without any site serves nobody.
             return Vec::new();
         }
         let shape = plan.shape(&self.wanted, self.control.shape().version() + 1);
-        let cut_short = self.control.is_changing();
+        let was_changing = self.control.is_changing();
         let mut effects = self.control.replace_shape(shape);
-        match self.states.on_change_ended(false).filter(|_| cut_short) {
-            Some(turned) => effects.extend(self.change_state(turned, None, now)),
+        match self.states.on_change_ended(false).filter(|_| was_changing) {
+            Some(change) => effects.extend(self.change_state(change, None, now)),
             None => effects.push(self.sites_record()),
         }
         effects
     }
 
-    /// In steps, as any change; one that does not hold is given up before it begins.
-    fn roll_out(&mut self, out: &BTreeSet<String>, site: &str, now: Moment) -> Vec<Effect> {
-        let mut form = match out.is_empty() {
+    /// Starts a change in steps, like any other; an invalid one is abandoned before it starts.
+    fn roll_out(&mut self, excluded: &BTreeSet<String>, site: &str, now: Moment) -> Vec<Effect> {
+        let mut config = match excluded.is_empty() {
             true => self.wanted.to_config(),
-            false => self.plan_for(out, now).shape(&self.wanted, self.wanted.version()).to_config(),
+            false => self.plan_for(excluded, now).shape(&self.wanted, self.wanted.version()).to_config(),
         };
-        if let Some(since_ms) = self.restarted_ms.get(site) {
-            for hub in form.hubs.iter_mut().filter(|hub| hub.site == site) {
-                hub.since_ms = hub.since_ms.max(*since_ms);
+        if let Some(restarted_ms) = self.restarted_ms.get(site) {
+            for hub in config.hubs.iter_mut().filter(|hub| hub.site == site) {
+                hub.since_ms = hub.since_ms.max(*restarted_ms);
             }
         }
-        match self.control.apply(&form, None, &format!("site {site}"), now) {
+        match self.control.apply(&config, None, &format!("site {site}"), now) {
             Ok(effects) => effects,
             Err(ChangeError::Unchanged { .. }) => self.finish_steps(true, now),
             Err(_) => self.finish_steps(false, now),
@@ -283,28 +295,29 @@
 
     fn finish_steps(&mut self, complete: bool, now: Moment) -> Vec<Effect> {
         match self.states.on_change_ended(complete) {
-            Some(turned) => self.change_state(turned, None, now),
+            Some(change) => self.change_state(change, None, now),
             None => Vec::new(),
         }
     }
 
-    /// Begins a change that an operator wants. Sites that are out stay out: it goes towards the wanted shape without them.
+    /// Starts a change that an operator wants. Excluded sites stay excluded: the target is the wanted shape
+    /// without them.
     pub fn apply(
         &mut self,
-        form: &ShapeConfig,
+        config: &ShapeConfig,
         expect: Option<u64>,
         by: &str,
         now: Moment,
     ) -> Result<Vec<Effect>, ChangeError> {
-        let out = self.states.excluded();
-        let wanted = self.wanted.successor(form).map_err(ChangeError::Invalid)?;
-        let target = match out.is_empty() {
-            true => form.clone(),
-            false => plan::plan_loss(&wanted, &out, now).shape(&wanted, wanted.version()).to_config(),
+        let excluded = self.states.excluded();
+        let wanted = self.wanted.successor(config).map_err(ChangeError::Invalid)?;
+        let target = match excluded.is_empty() {
+            true => config.clone(),
+            false => plan::plan_loss(&wanted, &excluded, now).shape(&wanted, wanted.version()).to_config(),
         };
         let mut effects = self.control.apply(&target, expect, by, now)?;
         self.wanted = wanted;
-        let names = sites_of(&self.wanted);
+        let names = site_names(&self.wanted);
         self.states.set_sites(names.iter().map(String::as_str));
         self.detector.set_sites(names.iter().map(String::as_str), now);
         self.plans = SitePlans::build(&self.wanted, Some(&self.plans), true, now);
@@ -313,31 +326,34 @@
         Ok(effects)
     }
 
-    /// Staff asks for something of a site.
+    /// Handles an operator's command for a site.
     pub fn command(
         &mut self,
         site: &str,
-        ask: SiteCommand,
+        command: SiteCommand,
         by: &str,
         now: Moment,
     ) -> Result<Vec<Effect>, String> {
-        let busy = self.control.is_changing();
-        let (turned, step) = self.states.command(site, ask, by, busy).map_err(|why| why.to_string())?;
-        Ok(self.change_state(turned, step, now))
+        let is_changing = self.control.is_changing();
+        let (change, step) =
+            self.states.command(site, command, by, is_changing).map_err(|reason| reason.to_string())?;
+        Ok(self.change_state(change, step, now))
     }
 
+    /// The status of the service and its members.
     pub fn status(&self, now: Moment) -> Status {
         self.control.status(now)
     }
 
+    /// The status of all sites.
     pub fn sites(&self) -> Vec<SiteStatus> {
         let witnesses = self.detector.witness_counts();
-        let status = |(site, standing): (&str, &SiteState)| {
+        let status = |(site, state): (&str, &SiteState)| {
             let plan = self.plans.get(&BTreeSet::from([site.to_string()])).cloned().unwrap_or_default();
             SiteStatus {
                 site: site.into(),
                 view: self.detector.view(site).clone(),
-                state: *standing,
+                state: *state,
                 hubs: self.wanted.hubs().filter(|(_, hub)| hub.site == site).count(),
                 witnesses: witnesses.get(site).copied().unwrap_or(0),
                 losses: self.detector.loss_count(site),
@@ -352,11 +368,11 @@
     }
 }
 
-fn sites_of(shape: &Shape) -> Vec<String> {
+fn site_names(shape: &Shape) -> Vec<String> {
     shape.sites().into_iter().map(str::to_string).collect()
 }
 
-/// What is held of a site, for lines.
+/// The view for output to people.
 pub fn view_label(view: &SiteView) -> String {
     match view {
         SiteView::Unknown => "unknown".into(),
@@ -369,7 +385,7 @@
     }
 }
 
-/// What staff asks, as lines of JSON that the control service takes beside its own.
+/// Operators' requests, as lines of JSON that the control service accepts beside its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SiteRequest {
@@ -380,12 +396,13 @@
         command: SiteCommand,
         by: String,
     },
-    /// The plan for the loss of these.
+    /// The plan for the loss of these sites.
     SitePlan {
         lost: BTreeSet<String>,
     },
 }
 
+/// The answer to a [`SiteRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SiteResponse {
@@ -397,7 +414,7 @@
     },
     SitePlan(Box<SitePlan>),
     Refused(String),
-    /// This member of the service does not speak for it.
+    /// This member of the service is not the leader.
     #[serde(rename = "elsewhere")]
     NotLeader {
         #[serde(rename = "serves")]
@@ -406,9 +423,9 @@
 }
 
 impl SiteController {
-    /// Answers a call, with what has to be done for it.
-    pub fn handle_request(&mut self, call: SiteRequest, now: Moment) -> (SiteResponse, Vec<Effect>) {
-        match call {
+    /// Answers a request, and returns what has to be done for it.
+    pub fn handle_request(&mut self, request: SiteRequest, now: Moment) -> (SiteResponse, Vec<Effect>) {
+        match request {
             SiteRequest::Sites => (SiteResponse::Sites(self.sites()), Vec::new()),
             SiteRequest::SitePlan { lost } => {
                 let unknown = lost.iter().find(|site| self.states.get(site).is_none());
@@ -419,10 +436,10 @@
             }
             SiteRequest::Site { site, command, by } => match self.command(&site, command, &by, now) {
                 Ok(effects) => {
-                    let standing = self.states.get(&site).copied().unwrap_or_default();
-                    (SiteResponse::SiteBegun { site, state: standing }, effects)
+                    let state = self.states.get(&site).copied().unwrap_or_default();
+                    (SiteResponse::SiteBegun { site, state }, effects)
                 }
-                Err(why) => (SiteResponse::Refused(why), Vec::new()),
+                Err(reason) => (SiteResponse::Refused(reason), Vec::new()),
             },
         }
     }
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -1,13 +1,17 @@
-//! Every decision on the loss of a whole site, without input or output: times and chance are handed in.
+//! Every decision on the loss of a whole site, without input or output: times and random numbers are passed
+//! in.
 //!
-//! - [`sight`]: what one process can say of other sites, by its own questions and their answers.
-//! - [`watch`]: what many such witnesses together prove: lost, slow, cut off from some, cut off from the services, leaving.
-//! - [`plan`]: where the load of each site, and of each pair, goes when it is lost; made beforehand for every version.
-//! - [`ration`]: what is refused first where not all fits, and when those who were refused may come again.
-//! - [`budget`]: how many repeated attempts a process may add to what is asked of it anyway.
-//! - [`standby`]: what a hub or a branch does about a loss while no service speaks.
-//! - [`direct`]: the control service's state machine with all of this.
-//! - [`standing`]: a site's way from its loss back into service, and the steps of an evacuation.
+//! - [`liveness`]: what one process observes of other sites, by its own queries and their answers.
+//! - [`failure_detector`]: what many such witnesses prove together: lost, slow, cut off from some sites or
+//!   from the services, leaving.
+//! - [`plan`]: where the load of each site, and of each pair of sites, goes when it is lost; computed
+//!   beforehand for every version.
+//! - [`quota`]: what is refused first when there is more demand than capacity, and when refused requests may
+//!   be retried.
+//! - [`retry_budget`]: how many retries a process may add to its first attempts.
+//! - [`fallback`]: what a hub or a branch does about a loss while no control service is reachable.
+//! - [`controller`]: the control service's state machine that combines all of this.
+//! - [`site_state`]: the states of a site from its loss to its re-admission, and the steps of an evacuation.
 pub mod controller;
 pub mod failure_detector;
 pub mod fallback;
--- a/crates/sites/src/liveness.rs
+++ b/crates/sites/src/liveness.rs
@@ -1,26 +1,28 @@
-//! What one process sees of other sites. It asks somebody there at each of its beats, and counts what was answered.
+//! What one process observes of other sites. It queries a process there at each of its ticks, and counts the
+//! queries that are not answered.
 //!
-//! Silence is counted in questions without an answer, not in time: a process that was stopped for a minute and wakes up
-//! has asked nothing meanwhile, and so has seen no silence.
+//! Silence is measured in unanswered queries rather than in time: a process that was suspended for a minute
+//! has sent no queries in between, so it has observed no silence.
 use harestage::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// A question that has waited for as long counts as unanswered.
+/// A query without an answer for this long counts as unanswered.
 pub const ANSWER_TIMEOUT: Span = Span::millis(300);
-/// Beats further apart than this: the process itself did not run, and what it counted before says nothing.
-const ASLEEP: Span = Span::millis(700);
-/// Of each new time in the usual one.
-const PACE_WEIGHT: f64 = 0.05;
-/// Answers that come within as much are as good as at once.
-const QUICK: Span = Span::millis(2);
-/// Questions to one site that are remembered.
-const MOST_OPEN: usize = 32;
+/// If two ticks are further apart than this, the process itself did not run, and its earlier counts are void.
+const SUSPENSION_THRESHOLD: Span = Span::millis(700);
+/// The weight of each new answer time in the usual one.
+const USUAL_WEIGHT: f64 = 0.05;
+/// Answer times up to this are not distinguished.
+const FAST_ANSWER: Span = Span::millis(2);
+/// Limit on the pending queries to one site.
+const MAX_PENDING: usize = 32;
 
 pub use harestage_shape::control::SiteObservation;
 
+/// What is known of one site.
 #[derive(Clone, Debug, Default)]
-struct Seen {
-    /// Questions that wait, by their numbers, with the moment at which they were asked.
+struct SiteLiveness {
+    /// Pending queries by their numbers, with the time when they were sent.
     pending: BTreeMap<u64, Moment>,
     unanswered: u32,
     known: bool,
@@ -29,90 +31,99 @@
     leaving: bool,
 }
 
-/// One process's eyes.
+/// The liveness of all other sites as one process observes it.
 #[derive(Clone, Debug, Default)]
 pub struct LivenessView {
-    sites: BTreeMap<String, Seen>,
+    sites: BTreeMap<String, SiteLiveness>,
     last_tick: Option<Moment>,
     last_query: u64,
 }
 
 impl LivenessView {
-    /// The sites to be looked at; those that are no longer named are forgotten.
+    /// Sets the sites to be queried; others are dropped.
     pub fn set_sites<'a>(&mut self, sites: impl Iterator<Item = &'a str>) {
-        let named: Vec<&str> = sites.collect();
-        self.sites.retain(|site, _| named.contains(&site.as_str()));
-        for site in named {
+        let names: Vec<&str> = sites.collect();
+        self.sites.retain(|site, _| names.contains(&site.as_str()));
+        for site in names {
             if !self.sites.contains_key(site) {
-                self.sites.insert(site.into(), Seen::default());
+                self.sites.insert(site.into(), SiteLiveness::default());
             }
         }
     }
 
-    /// To be called at each beat, before questions go out.
+    /// Has to be called at each tick, before queries are sent.
     pub fn tick(&mut self, now: Moment) {
-        let asleep = self.last_tick.is_some_and(|last| now.since(last) > ASLEEP);
+        let suspended = self.last_tick.is_some_and(|last| now.since(last) > SUSPENSION_THRESHOLD);
         self.last_tick = Some(now);
-        for seen in self.sites.values_mut() {
-            if asleep {
-                (seen.unanswered, seen.recent_seconds) = (0, None);
-                seen.pending.clear();
+        for state in self.sites.values_mut() {
+            if suspended {
+                (state.unanswered, state.recent_seconds) = (0, None);
+                state.pending.clear();
                 continue;
             }
-            let late = seen.pending.extract_if(.., |_, asked| now.since(*asked) >= ANSWER_TIMEOUT).count();
-            seen.unanswered = seen.unanswered.saturating_add(late as u32);
+            let expired =
+                state.pending.extract_if(.., |_, sent_at| now.since(*sent_at) >= ANSWER_TIMEOUT).count();
+            state.unanswered = state.unanswered.saturating_add(expired as u32);
         }
     }
 
-    /// A question goes out to somebody at that site; its number comes back with the answer. None: it is not looked at.
+    /// Registers a query to a process at that site and returns its number, which the answer has to repeat.
+    /// `None` if the site is not one to be queried.
     pub fn on_query(&mut self, site: &str, now: Moment) -> Option<u64> {
-        let seen = self.sites.get_mut(site)?;
+        let state = self.sites.get_mut(site)?;
         self.last_query += 1;
-        seen.pending.insert(self.last_query, now);
-        while seen.pending.len() > MOST_OPEN {
-            seen.pending.pop_first();
+        state.pending.insert(self.last_query, now);
+        while state.pending.len() > MAX_PENDING {
+            state.pending.pop_first();
         }
         Some(self.last_query)
     }
 
-    /// Somebody there has answered, in time or late.
+    /// Handles an answer from the site, in time or late.
     pub fn on_answer(&mut self, site: &str, number: u64, leaving: bool, now: Moment) {
-        let Some(seen) = self.sites.get_mut(site) else { return };
-        (seen.known, seen.unanswered, seen.leaving) = (true, 0, leaving);
-        let Some(asked) = seen.pending.remove(&number) else { return };
-        // What was asked before it is not owed any more: the site is there.
-        seen.pending.retain(|_, at| *at > asked);
-        let took = now.since(asked).seconds();
-        seen.recent_seconds = Some(seen.recent_seconds.map_or(took, |recent| recent + (took - recent) * 0.3));
-        let usual = seen.usual_seconds.unwrap_or(took);
-        // A site that has become slow must not become usual so soon: it is learnt the slower, the slower it is.
-        let weight = PACE_WEIGHT * (usual.max(QUICK.seconds()) / took.max(QUICK.seconds())).min(1.0);
-        seen.usual_seconds = Some(usual + (took - usual) * weight);
+        let Some(state) = self.sites.get_mut(site) else { return };
+        (state.known, state.unanswered, state.leaving) = (true, 0, leaving);
+        let Some(sent_at) = state.pending.remove(&number) else { return };
+        // Earlier queries need no answer any more: the site is there.
+        state.pending.retain(|_, other_sent_at| *other_sent_at > sent_at);
+        let answer_seconds = now.since(sent_at).seconds();
+        state.recent_seconds = Some(
+            state.recent_seconds.map_or(answer_seconds, |recent| recent + (answer_seconds - recent) * 0.3),
+        );
+        let usual = state.usual_seconds.unwrap_or(answer_seconds);
+        // A site that has become slow must not count as usual soon, so the weight decreases with the
+        // slowness.
+        let weight = USUAL_WEIGHT
+            * (usual.max(FAST_ANSWER.seconds()) / answer_seconds.max(FAST_ANSWER.seconds())).min(1.0);
+        state.usual_seconds = Some(usual + (answer_seconds - usual) * weight);
     }
 
-    /// Nobody there could be reached at all: as good as a question without an answer.
+    /// No process there could be reached at all, which counts like an unanswered query.
     pub fn on_unreachable(&mut self, site: &str, number: u64) {
-        let Some(seen) = self.sites.get_mut(site) else { return };
-        if seen.pending.remove(&number).is_some() {
-            seen.unanswered = seen.unanswered.saturating_add(1);
+        let Some(state) = self.sites.get_mut(site) else { return };
+        if state.pending.remove(&number).is_some() {
+            state.unanswered = state.unanswered.saturating_add(1);
         }
     }
 
+    /// The observations of all sites, for a report.
     pub fn observations(&self) -> Vec<SiteObservation> {
-        let sighting = |(site, seen): (&String, &Seen)| SiteObservation {
+        let observation = |(site, state): (&String, &SiteLiveness)| SiteObservation {
             site: site.clone(),
-            unanswered: seen.unanswered,
-            known: seen.known,
-            slowness: seen.slowness(),
-            leaving: seen.leaving,
+            unanswered: state.unanswered,
+            known: state.known,
+            slowness: state.slowness(),
+            leaving: state.leaving,
         };
-        self.sites.iter().map(sighting).collect()
+        self.sites.iter().map(observation).collect()
     }
 }
 
-impl Seen {
+impl SiteLiveness {
     fn slowness(&self) -> f64 {
-        let pair = self.recent_seconds.zip(self.usual_seconds);
-        pair.map_or(1.0, |(recent, usual)| recent.max(QUICK.seconds()) / usual.max(QUICK.seconds()))
+        let times = self.recent_seconds.zip(self.usual_seconds);
+        times.map_or(1.0, |(recent, usual)| {
+            recent.max(FAST_ANSWER.seconds()) / usual.max(FAST_ANSWER.seconds())
+        })
     }
 }
--- a/crates/sites/src/quota.rs
+++ b/crates/sites/src/quota.rs
@@ -1,56 +1,60 @@
-//! What is refused first where not all fits. Downloads are ordered by their benefit for each unit of what is scarce, first
-//! tries before second ones; the best are taken until the room is used up, and where the line falls within one rank, each
-//! branch gets a fair part of it. What is under way, and filings, are never asked for here: they pass.
+//! Admission by quota: what is refused first when there is more demand than capacity. Downloads are ranked by
+//! their benefit per unit of the scarce resource, first attempts before retries. The best are admitted until
+//! the capacity is used up. Where the cutoff falls within a rank, each branch gets a fair share of that rank.
+//! Requests under way, and filings of copies, are never subject to it.
 //!
-//! The line moves down at once when more is asked for, and up in small steps only, so that it does not flutter. Those who
-//! are refused are told when to come again, spread over the time in which there will be room for them, so that they don't
-//! come back in a wave.
+//! The cutoff is raised at once when demand grows, and lowered only in small steps, so that it does not
+//! oscillate. Refused requests are told when to retry, spread over the time in which there will be capacity
+//! for them, so that they don't return in a wave.
 use harestage::ring::Ring;
 use harestage::time::{Moment, Span};
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Ranks by benefit for a unit, each twice the one below it; and as many again for second tries, all below the first.
-const STEPS: usize = 24;
-const RANKS: usize = 2 * STEPS;
-/// Benefit for a unit at the lowest rank's top.
-const LEAST_WORTH: f64 = 1.0 / 4_096.0;
-/// Ranks by which the line rises at most in one beat: that much less is refused.
-const RISE: f64 = 0.2;
-/// After the line fell, it does not rise for as long.
-const RESTS: Span = Span::millis(500);
-/// The beat at which the line is laid.
+/// Ranks by benefit per unit, each for twice the value of the one below it. Retries have as many ranks again,
+/// all of them below those of first attempts.
+const VALUE_RANKS: usize = 24;
+const RANKS: usize = 2 * VALUE_RANKS;
+/// The benefit per unit at the top of the lowest rank.
+const MIN_VALUE: f64 = 1.0 / 4_096.0;
+/// The ranks by which the cutoff may drop in one update: so much less is refused.
+const MAX_DROP: f64 = 0.2;
+/// After the cutoff was raised, it does not drop for this long.
+const DROP_DELAY: Span = Span::millis(500);
+/// The interval of the cutoff's updates.
 pub const UPDATE_INTERVAL: Span = Span::millis(100);
-/// Branches that are told apart at most; others share one part.
-const MOST_BRANCHES: usize = 1_024;
-/// Until those who are refused come again, at least and at most.
-const AGAIN: (Span, Span) = (Span::millis(400), Span::millis(10_000));
-/// Past the room by so much nothing is taken, whatever the line says: it is laid by what was asked for before.
-const OVERDRAFT: f64 = 1.15;
-/// Whoever was refused and asks again within as long makes a second try.
-const SECOND_WITHIN: Span = Span::millis(8_000);
-/// Refusals that are remembered in each half of that time.
-const MOST_REFUSALS: usize = 8_192;
+/// Limit on the branches that are distinguished; all others share one entry.
+const MAX_BRANCHES: usize = 1_024;
+/// The minimum and the maximum of the time after which refused requests may retry.
+const RETRY_RANGE: (Span, Span) = (Span::millis(400), Span::millis(10_000));
+/// Beyond the capacity by this factor nothing is admitted, whatever the cutoff is, since that is based on
+/// earlier demand.
+const OVERSHOOT: f64 = 1.15;
+/// A request that comes again within this time after its refusal is a retry.
+const RETRY_WINDOW: Span = Span::millis(8_000);
+/// Limit on the refusals that are kept in each half of that time.
+const MAX_REFUSALS_PER_HALF: usize = 8_192;
 
-/// A download that would like to be taken.
+/// A download that requests admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaRequest {
-    /// Benefit for each unit of what is scarce.
+    /// Benefit per unit of the scarce resource.
     pub value: f64,
-    /// Units that it takes.
+    /// Units that it needs.
     pub units: f64,
     pub is_retry: bool,
     pub branch: u32,
 }
 
+/// The decision on a download.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
     Admitted,
-    /// Refused at once; harmless to repeat, and better not before this has passed.
+    /// Refused at once. A retry is harmless, but should wait for this long.
     RetryAfter(Span),
 }
 
-/// The line: everything above it is taken, `part` of its own rank, nothing below.
+/// The cutoff: ranks above it are admitted, of its own rank this fraction, and none below it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cutoff {
     pub rank: usize,
@@ -60,7 +64,7 @@
 impl Cutoff {
     const ADMIT_ALL: Cutoff = Cutoff { rank: 0, fraction: 1.0 };
 
-    /// As one number that grows with what is refused.
+    /// The cutoff as one number that grows with what is refused.
     fn height(self) -> f64 {
         self.rank as f64 + 1.0 - self.fraction
     }
@@ -71,36 +75,39 @@
     }
 }
 
+/// Limits the admitted units a second to a capacity.
 pub struct Quota {
-    /// Units a second; none: there is room for all.
+    /// Units a second; `None` if there is no limit.
     capacity: Option<f64>,
-    asked: Vec<Ring>,
+    demand: Vec<Ring>,
     admitted: Ring,
     refused: Ring,
     cutoff: Cutoff,
     cutoff_raised: Moment,
-    /// What each branch asked for at the line's rank.
+    /// The demand of each branch at the cutoff's rank.
     branch_demand: BTreeMap<u32, Ring>,
-    /// Units a second that a branch may have at the line's rank.
+    /// Units a second that a branch may have at the cutoff's rank.
     branch_limit: f64,
     next_update: Moment,
-    /// The best rank that was refused for want of room in this beat: nothing below it is taken any more.
+    /// The best rank that was refused for lack of capacity since the last update: nothing below it is
+    /// admitted until the next.
     best_refused: Option<usize>,
     stats: QuotaStats,
 }
 
-/// What was decided since the start.
+/// Decisions since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuotaStats {
     pub admitted: u64,
     pub refused: u64,
     pub retries: u64,
-    /// Taken though something of more worth had been refused for want of room within the same beat.
+    /// Admitted although something of a higher rank had been refused for lack of capacity since the last
+    /// update.
     pub out_of_order: u64,
 }
 
-/// What was refused lately, in two halves of a time: the older half is forgotten at once. Bounded; past the bound a second
-/// try passes for a first one.
+/// Recent refusals, in two halves of the retry window: the older half is dropped as a whole. The memory is
+/// limited; beyond the limit a retry counts as a first attempt.
 #[derive(Clone, Debug)]
 pub struct RecentRefusals {
     halves: [HashSet<u64>; 2],
@@ -113,9 +120,9 @@
     }
 
     fn rotate(&mut self, now: Moment) {
-        let half = Span::micros(SECOND_WITHIN.as_micros() / 2);
+        let half = Span::micros(RETRY_WINDOW.as_micros() / 2);
         if now.since(self.rotated) >= half {
-            let both = now.since(self.rotated) >= SECOND_WITHIN;
+            let both = now.since(self.rotated) >= RETRY_WINDOW;
             self.halves.swap(0, 1);
             self.halves[0].clear();
             if both {
@@ -125,30 +132,32 @@
         }
     }
 
-    fn key(of: &impl Hash) -> u64 {
+    fn key(item: &impl Hash) -> u64 {
         let mut hasher = DefaultHasher::new();
-        of.hash(&mut hasher);
+        item.hash(&mut hasher);
         hasher.finish()
     }
 
-    pub fn record(&mut self, of: &impl Hash, now: Moment) {
+    /// Records a refusal.
+    pub fn record(&mut self, item: &impl Hash, now: Moment) {
         self.rotate(now);
-        if self.halves[0].len() < MOST_REFUSALS {
-            self.halves[0].insert(RecentRefusals::key(of));
+        if self.halves[0].len() < MAX_REFUSALS_PER_HALF {
+            self.halves[0].insert(RecentRefusals::key(item));
         }
     }
 
-    pub fn contains(&mut self, of: &impl Hash, now: Moment) -> bool {
+    /// Whether the item was refused within the retry window.
+    pub fn contains(&mut self, item: &impl Hash, now: Moment) -> bool {
         self.rotate(now);
-        let key = RecentRefusals::key(of);
+        let key = RecentRefusals::key(item);
         self.halves.iter().any(|half| half.contains(&key))
     }
 }
 
-/// The rank of a download, higher is better.
-pub fn rank(want: &QuotaRequest) -> usize {
-    let step = (want.value.max(0.0) / LEAST_WORTH).max(1.0).log2().floor() as usize;
-    step.min(STEPS - 1) + if want.is_retry { 0 } else { STEPS }
+/// The rank of a download; higher is better.
+pub fn rank(request: &QuotaRequest) -> usize {
+    let step = (request.value.max(0.0) / MIN_VALUE).max(1.0).log2().floor() as usize;
+    step.min(VALUE_RANKS - 1) + if request.is_retry { 0 } else { VALUE_RANKS }
 }
 
 impl Quota {
@@ -156,7 +165,7 @@
         let ring = || Ring::new(Span::millis(250), 4);
         Quota {
             capacity: None,
-            asked: (0..RANKS).map(|_| ring()).collect(),
+            demand: (0..RANKS).map(|_| ring()).collect(),
             admitted: ring(),
             refused: ring(),
             cutoff: Cutoff::ADMIT_ALL,
@@ -169,133 +178,141 @@
         }
     }
 
-    /// How many units a second there are; none lifts the line for good.
-    pub fn set_capacity(&mut self, room: Option<f64>) {
-        self.capacity = room.filter(|room| room.is_finite() && *room >= 0.0);
+    /// Sets the units a second that are available. `None` removes the limit.
+    pub fn set_capacity(&mut self, capacity: Option<f64>) {
+        self.capacity = capacity.filter(|capacity| capacity.is_finite() && *capacity >= 0.0);
     }
 
+    /// The current cutoff.
     pub fn cutoff(&self) -> Cutoff {
         self.cutoff
     }
 
+    /// The decisions since the start.
     pub fn stats(&self) -> QuotaStats {
         self.stats
     }
 
-    /// Decides on a download. `chance` is drawn evenly from 0 to 1.
-    pub fn admit(&mut self, want: &QuotaRequest, chance: f64, now: Moment) -> Admission {
-        let rank = rank(want);
-        self.asked[rank].add(now, want.units);
+    /// Decides on a download. `chance` is drawn uniformly from 0 to 1.
+    pub fn admit(&mut self, request: &QuotaRequest, chance: f64, now: Moment) -> Admission {
+        let rank = rank(request);
+        self.demand[rank].add(now, request.units);
         if now >= self.next_update {
             self.next_update = now + UPDATE_INTERVAL;
             self.best_refused = None;
             self.update_cutoff(now);
         }
-        self.stats.retries += u64::from(want.is_retry);
+        self.stats.retries += u64::from(request.is_retry);
         if rank == self.cutoff.rank && self.capacity.is_some() {
-            self.record_branch(want, now);
+            self.record_branch(request, now);
         }
-        let takes = match self.capacity {
+        let admitted = match self.capacity {
             None => true,
-            Some(room) => {
-                let full = self.admitted.sum(now) >= room * OVERDRAFT;
-                if full && rank > self.cutoff.rank {
+            Some(capacity) => {
+                let exhausted = self.admitted.sum(now) >= capacity * OVERSHOOT;
+                if exhausted && rank > self.cutoff.rank {
                     self.best_refused = self.best_refused.max(Some(rank));
                 }
-                let above = self.is_admitted(want, rank, chance, now);
-                // What was taken drops out of the window between two beats: that room is not for lesser ones.
-                above && !full && self.best_refused.is_none_or(|best| rank >= best)
+                let above_cutoff = self.is_above_cutoff(request, rank, chance, now);
+                // What was admitted drops out of the window between two updates. The capacity that this frees
+                // is not for lower ranks.
+                above_cutoff && !exhausted && self.best_refused.is_none_or(|best| rank >= best)
             }
         };
-        if takes {
+        if admitted {
             self.stats.admitted += 1;
             self.stats.out_of_order += u64::from(self.best_refused.is_some_and(|best| rank < best));
-            self.admitted.add(now, want.units);
+            self.admitted.add(now, request.units);
             return Admission::Admitted;
         }
         self.stats.refused += 1;
-        self.refused.add(now, want.units);
+        self.refused.add(now, request.units);
         Admission::RetryAfter(self.retry_after(chance, now))
     }
 
-    fn is_admitted(&self, want: &QuotaRequest, rank: usize, chance: f64, now: Moment) -> bool {
+    fn is_above_cutoff(&self, request: &QuotaRequest, rank: usize, chance: f64, now: Moment) -> bool {
         if rank != self.cutoff.rank {
             return rank > self.cutoff.rank;
         }
-        // Max-min fair: who asks for less than the level gets it all, the others get the level each.
-        let own = self.branch_demand.get(&self.branch_key(want.branch)).map_or(0.0, |ring| ring.sum(now));
-        let fair = if own > 0.0 { (self.branch_limit / own).min(1.0) } else { 1.0 };
-        chance < fair
+        // Max-min fair: a branch that asks for less than the limit gets all of it, and the others get the
+        // limit each.
+        let branch_units =
+            self.branch_demand.get(&self.branch_key(request.branch)).map_or(0.0, |ring| ring.sum(now));
+        let fair_fraction =
+            if branch_units > 0.0 { (self.branch_limit / branch_units).min(1.0) } else { 1.0 };
+        chance < fair_fraction
     }
 
     fn branch_key(&self, branch: u32) -> u32 {
-        let known = self.branch_demand.contains_key(&branch) || self.branch_demand.len() < MOST_BRANCHES;
-        if known { branch } else { u32::MAX }
+        let is_known = self.branch_demand.contains_key(&branch) || self.branch_demand.len() < MAX_BRANCHES;
+        if is_known { branch } else { u32::MAX }
     }
 
-    fn record_branch(&mut self, want: &QuotaRequest, now: Moment) {
-        let key = self.branch_key(want.branch);
+    fn record_branch(&mut self, request: &QuotaRequest, now: Moment) {
+        let key = self.branch_key(request.branch);
         let ring = self.branch_demand.entry(key).or_insert_with(|| Ring::new(Span::millis(250), 4));
-        ring.add(now, want.units);
+        ring.add(now, request.units);
     }
 
-    /// Lays the line where what is above it fills the room.
+    /// Sets the cutoff such that the demand above it uses the capacity.
     fn update_cutoff(&mut self, now: Moment) {
-        let Some(room) = self.capacity else {
+        let Some(capacity) = self.capacity else {
             (self.cutoff, self.branch_limit) = (Cutoff::ADMIT_ALL, f64::INFINITY);
             return self.branch_demand.clear();
         };
-        let (mut above, mut wanted) = (0.0, Cutoff::ADMIT_ALL);
+        let (mut above_cutoff, mut target) = (0.0, Cutoff::ADMIT_ALL);
         for rank in (0..RANKS).rev() {
-            let asked = self.asked[rank].sum(now);
-            if asked > 0.0 && above + asked > room {
-                wanted = Cutoff { rank, fraction: ((room - above) / asked).clamp(0.0, 1.0) };
+            let demand = self.demand[rank].sum(now);
+            if demand > 0.0 && above_cutoff + demand > capacity {
+                target = Cutoff { rank, fraction: ((capacity - above_cutoff) / demand).clamp(0.0, 1.0) };
                 break;
             }
-            above += asked;
+            above_cutoff += demand;
         }
-        let before = self.cutoff;
-        if wanted.height() >= before.height() {
-            self.cutoff_raised = if wanted.height() > before.height() { now } else { self.cutoff_raised };
-            self.cutoff = wanted;
-        } else if now.since(self.cutoff_raised) >= RESTS {
-            self.cutoff =
-                Cutoff::from_height((before.height() - self.max_drop(before, wanted)).max(wanted.height()));
+        let previous = self.cutoff;
+        if target.height() >= previous.height() {
+            self.cutoff_raised = if target.height() > previous.height() { now } else { self.cutoff_raised };
+            self.cutoff = target;
+        } else if now.since(self.cutoff_raised) >= DROP_DELAY {
+            self.cutoff = Cutoff::from_height(
+                (previous.height() - self.max_drop(previous, target)).max(target.height()),
+            );
         }
-        if self.cutoff.rank != before.rank {
+        if self.cutoff.rank != previous.rank {
             self.branch_demand.clear();
         }
         self.branch_demand.retain(|_, ring| ring.sum(now) > 0.0);
         self.branch_limit =
-            self.fair_level(self.asked[self.cutoff.rank].sum(now) * self.cutoff.fraction, now);
+            self.fair_branch_limit(self.demand[self.cutoff.rank].sum(now) * self.cutoff.fraction, now);
     }
 
-    /// Ranks that nobody asks at are passed over at once: there is nothing there that could flutter.
+    /// Ranks without demand are skipped at once: nothing there could oscillate.
     fn max_drop(&self, from: Cutoff, to: Cutoff) -> f64 {
-        let empty = (to.rank..from.rank)
+        let empty_ranks = (to.rank..from.rank)
             .rev()
-            .take_while(|rank| self.asked[*rank].peak_rate(self.next_update) <= 0.0);
-        RISE + empty.count() as f64
+            .take_while(|rank| self.demand[*rank].peak_rate(self.next_update) <= 0.0);
+        MAX_DROP + empty_ranks.count() as f64
     }
 
-    /// The level up to which everyone at the line's rank is served, so that all together get `units`.
-    fn fair_level(&self, units: f64, now: Moment) -> f64 {
-        let mut asks: Vec<f64> = self.branch_demand.values().map(|ring| ring.sum(now)).collect();
-        asks.sort_by(f64::total_cmp);
-        let (mut left, mut heads) = (units, asks.len());
-        for ask in asks {
-            if ask * heads as f64 >= left {
-                return left / heads as f64;
+    /// The limit for each branch at the cutoff's rank, so that all branches together get `units`.
+    fn fair_branch_limit(&self, units: f64, now: Moment) -> f64 {
+        let mut demands: Vec<f64> = self.branch_demand.values().map(|ring| ring.sum(now)).collect();
+        demands.sort_by(f64::total_cmp);
+        let (mut remaining, mut branches_left) = (units, demands.len());
+        for demand in demands {
+            if demand * branches_left as f64 >= remaining {
+                return remaining / branches_left as f64;
             }
-            (left, heads) = (left - ask, heads - 1);
+            (remaining, branches_left) = (remaining - demand, branches_left - 1);
         }
         f64::INFINITY
     }
 
-    /// Spread over the time in which those who were refused within the last second can be served beside the others.
+    /// Spread over the time that it takes to serve what was refused within the last second, beside other
+    /// requests.
     fn retry_after(&self, chance: f64, now: Moment) -> Span {
-        let (refused, taken) = (self.refused.sum(now), self.admitted.sum(now).max(1.0));
-        let over = AGAIN.0 * (1.0 + 4.0 * refused / taken);
-        AGAIN.0 + (over * chance).min(AGAIN.1)
+        let (refused, admitted) = (self.refused.sum(now), self.admitted.sum(now).max(1.0));
+        let spread = RETRY_RANGE.0 * (1.0 + 4.0 * refused / admitted);
+        RETRY_RANGE.0 + (spread * chance).min(RETRY_RANGE.1)
     }
 }
--- a/crates/sites/src/retry_budget.rs
+++ b/crates/sites/src/retry_budget.rs
@@ -1,51 +1,53 @@
-//! How many repeated attempts a process may add to what it is asked for. Each first attempt pays a part of a repeat in, and
-//! a repeat is made only where a whole one was paid. Tiers that each repeat three times would make twenty-seven of one;
-//! with a budget of a tenth at each, three tiers add a third at most, however much fails.
+//! A limit on the retries that a process may add to its first attempts. Each first attempt adds a fraction of
+//! a token, and each retry takes a whole one. Tiers that retry three times each would turn one request into
+//! twenty-seven. With a budget of a tenth at each, three tiers add a third at most, however much fails.
 use harestage::time::{Moment, Span};
 
-/// Repeats that a first attempt pays for.
+/// Retries that one first attempt pays for.
 pub const RETRIES_PER_ATTEMPT: f64 = 0.1;
-/// Repeats a second that are always there, so that a quiet process can repeat at all.
-const LEAST: f64 = 1.0;
-/// What was paid in is forgotten after it: a quiet hour must not pay for a storm.
-const KEPT: Span = Span::millis(5_000);
+/// Retries a second that are always available, so that a process with little traffic can retry at all.
+const MIN_RATE: f64 = 1.0;
+/// Tokens are kept no longer than this: a quiet hour must not pay for a storm of retries.
+const RETENTION: Span = Span::millis(5_000);
 
+/// A token bucket for retries.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     share: f64,
-    /// Repeats that may be made now.
+    /// Retries that are available now.
     tokens: f64,
     refilled_at: Moment,
-    /// First attempts a second, lately.
+    /// Recent first attempts a second.
     first_attempt_rate: f64,
+    /// Retries that were refused since the start.
     pub refused: u64,
 }
 
 impl RetryBudget {
     pub fn new(share: f64, now: Moment) -> RetryBudget {
-        RetryBudget { share, tokens: LEAST, refilled_at: now, first_attempt_rate: 0.0, refused: 0 }
+        RetryBudget { share, tokens: MIN_RATE, refilled_at: now, first_attempt_rate: 0.0, refused: 0 }
     }
 
-    /// What may be saved up: the payments of a few seconds.
+    /// The most that can be saved up: what a few seconds pay in.
     fn max_tokens(&self) -> f64 {
-        LEAST + self.first_attempt_rate * self.share * KEPT.seconds()
+        MIN_RATE + self.first_attempt_rate * self.share * RETENTION.seconds()
     }
 
     fn refill(&mut self, now: Moment) {
-        let passed = now.since(self.refilled_at).seconds();
+        let elapsed = now.since(self.refilled_at).seconds();
         self.refilled_at = now;
-        self.first_attempt_rate *= (-passed / KEPT.seconds()).exp();
-        self.tokens = (self.tokens + LEAST * passed).min(self.max_tokens());
+        self.first_attempt_rate *= (-elapsed / RETENTION.seconds()).exp();
+        self.tokens = (self.tokens + MIN_RATE * elapsed).min(self.max_tokens());
     }
 
-    /// A first attempt goes out.
+    /// Records a first attempt.
     pub fn on_first_attempt(&mut self, now: Moment) {
         self.refill(now);
-        self.first_attempt_rate += 1.0 / KEPT.seconds();
+        self.first_attempt_rate += 1.0 / RETENTION.seconds();
         self.tokens = (self.tokens + self.share).min(self.max_tokens());
     }
 
-    /// Whether another attempt may go out.
+    /// Whether a retry may be sent. If so, takes a token.
     pub fn allow_retry(&mut self, now: Moment) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
--- a/crates/sites/src/site_state.rs
+++ b/crates/sites/src/site_state.rs
@@ -1,51 +1,52 @@
-//! A site's way out of service and back into it.
+//! The states of a site on its way out of service and back into it.
 //!
-//! A loss is answered at once, by the plan that was made beforehand: one version in which nobody is tied to the site. The
-//! way back is slow: the site has to be heard without a break for as long as it is held, its hubs start cold, and their
-//! ties come back in the steps of an ordinary change, each only while hubs and archive are well. A second loss, of this
-//! site or of one that carried it, ends those steps where they stand and is answered like any other. An evacuation is the
-//! same steps the other way, begun by staff.
+//! A loss is answered at once, by the plan that was made beforehand: one version in which no node is linked
+//! to the site. The recovery is slow: the site has to be heard without interruption for its hold time, its
+//! hubs start cold, and their links return in the steps of an ordinary change, each only while hubs and
+//! archive are healthy. A second loss, of this site or of one that carried its load, ends those steps where
+//! they stand and is handled like any other. An evacuation is the same steps in the other direction, started
+//! by an operator.
 use crate::failure_detector::{SiteView, ViewChange};
 use harestage::time::{Moment, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After a change that was given up, before the way back is tried again; twice as long each time.
-const AGAIN_FIRST: Span = Span::millis(5_000);
-const AGAIN_MOST: Span = Span::millis(300_000);
+/// The delay after an abandoned recovery before the next attempt; it doubles each time, up to the maximum.
+const FIRST_RETRY_DELAY: Span = Span::millis(5_000);
+const MAX_RETRY_DELAY: Span = Span::millis(300_000);
 
 pub use harestage_shape::control::SiteState;
 
-/// What staff may ask for.
+/// What an operator may request for a site.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SiteCommand {
     /// Evacuate it, in steps.
     Leave,
-    /// Let it come back, in steps, though it was kept out.
+    /// Let it return, in steps, although it was kept out.
     Return,
-    /// Keep it out until it is let back.
+    /// Keep it out until it is told to return.
     Hold,
 }
 
-/// Why an ask is not followed.
+/// Why a command was refused.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandError {
     Unknown {
         site: String,
     },
-    /// It is on that way, or at its end, already.
+    /// It is already in that state, or on its way there.
     Already {
         site: String,
         state: SiteState,
     },
-    /// Nobody hears it.
+    /// No witness hears it.
     IsLost {
         site: String,
     },
     /// Another change is under way.
     Busy,
-    /// Nobody would be left.
+    /// No other site would be in service.
     LastSite {
         site: String,
     },
@@ -55,19 +56,19 @@
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
             Self::Unknown { site } => write!(f, "site {site:?} is unknown"),
-            Self::Already { site, state: standing } => {
-                write!(f, "site {site} is {} already", state_label(standing))
+            Self::Already { site, state } => {
+                write!(f, "site {site} is already {}", state_label(state))
             }
-            Self::IsLost { site } => write!(f, "site {site} is lost: nobody hears it"),
+            Self::IsLost { site } => write!(f, "site {site} is lost: no witness hears it"),
             Self::Busy => write!(f, "another change is under way"),
             Self::LastSite { site } => write!(f, "site {site} is the last one in service"),
         }
     }
 }
 
-/// For lines and tables.
-pub fn state_label(standing: &SiteState) -> &'static str {
-    match standing {
+/// The state for output to people.
+pub fn state_label(state: &SiteState) -> &'static str {
+    match state {
         SiteState::InService => "in service",
         SiteState::Lost => "lost",
         SiteState::Held => "held",
@@ -77,7 +78,7 @@
     }
 }
 
-/// What is to be done with the shape in service.
+/// What has to be done with the shape in service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShapeStep {
     /// At once: the shape without these sites, by the plan for them.
@@ -86,21 +87,23 @@
     RollOut { excluded: BTreeSet<String>, site: String },
 }
 
+/// The state of one site.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Site {
-    standing: SiteState,
-    /// Ways back that were given up.
-    given_up: u32,
-    not_before: Moment,
+    state: SiteState,
+    /// The number of recoveries that were abandoned.
+    abandoned_returns: u32,
+    retry_at: Moment,
 }
 
-/// All sites' standings. What was decided comes back to be written down; `enter` takes it in, also after a restart.
+/// The states of all sites. Decisions are returned so that they can be journaled; `apply` then makes them
+/// effective, also after a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct SiteStates {
     sites: BTreeMap<String, Site>,
 }
 
-/// A line of the journal: this site stands so from now on.
+/// A change of a site's state, to be journaled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StateChange {
     pub site: String,
@@ -110,160 +113,172 @@
 }
 
 impl SiteStates {
+    /// Sets the sites of a new version; others are dropped.
     pub fn set_sites<'a>(&mut self, sites: impl Iterator<Item = &'a str>) {
-        let named: BTreeSet<&str> = sites.filter(|site| !site.is_empty()).collect();
-        self.sites.retain(|site, _| named.contains(site.as_str()));
-        for site in named {
+        let names: BTreeSet<&str> = sites.filter(|site| !site.is_empty()).collect();
+        self.sites.retain(|site, _| names.contains(site.as_str()));
+        for site in names {
             if !self.sites.contains_key(site) {
                 self.sites.insert(site.into(), Site::default());
             }
         }
     }
 
+    /// The state of a site.
     pub fn get(&self, site: &str) -> Option<&SiteState> {
-        self.sites.get(site).map(|site| &site.standing)
+        self.sites.get(site).map(|site| &site.state)
     }
 
+    /// All sites with their states.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &SiteState)> {
-        self.sites.iter().map(|(name, site)| (name.as_str(), &site.standing))
+        self.sites.iter().map(|(name, site)| (name.as_str(), &site.state))
     }
 
-    /// Sites that nobody is to be tied to.
+    /// Sites that no node is to be linked to.
     pub fn excluded(&self) -> BTreeSet<String> {
-        let is_out = |site: &Site| !matches!(site.standing, SiteState::InService | SiteState::Returning);
-        self.sites.iter().filter(|(_, site)| is_out(site)).map(|(name, _)| name.clone()).collect()
+        let is_excluded = |site: &Site| !matches!(site.state, SiteState::InService | SiteState::Returning);
+        self.sites.iter().filter(|(_, site)| is_excluded(site)).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Who is left out at once when a site is lost. Steps that are under way end where they stand: a site that was leaving
-    /// stays, and one that was returning goes out again, unless nobody else is left.
+    /// The sites to exclude at once when a site is lost. Steps under way end where they stand: a site that
+    /// was leaving stays, and one that was returning is excluded again, unless no other site is left.
     fn excluded_after_loss(&self, lost: &str) -> BTreeSet<String> {
-        let is_out = |(name, site): &(&String, &Site), returning: bool| {
-            let gone = matches!(site.standing, SiteState::Lost | SiteState::Held | SiteState::Out);
-            name.as_str() == lost || gone || returning && site.standing == SiteState::Returning
+        let is_excluded = |(name, site): &(&String, &Site), returning: bool| {
+            let is_out = matches!(site.state, SiteState::Lost | SiteState::Held | SiteState::Out);
+            name.as_str() == lost || is_out || returning && site.state == SiteState::Returning
         };
-        let out = |returning| -> BTreeSet<String> {
-            self.sites.iter().filter(|site| is_out(site, returning)).map(|(name, _)| name.clone()).collect()
+        let excluded_with = |returning| -> BTreeSet<String> {
+            self.sites
+                .iter()
+                .filter(|site| is_excluded(site, returning))
+                .map(|(name, _)| name.clone())
+                .collect()
         };
-        let all = out(true);
-        if all.len() < self.sites.len() { all } else { out(false) }
+        let all = excluded_with(true);
+        if all.len() < self.sites.len() { all } else { excluded_with(false) }
     }
 
-    /// What was written down, now or by a forerunner.
-    pub fn apply(&mut self, turned: &StateChange, now: Moment) {
-        let Some(site) = self.sites.get_mut(&turned.site) else { return };
-        if site.standing == SiteState::Returning && matches!(turned.to, SiteState::Held | SiteState::Lost) {
-            site.given_up += 1;
-            let longer = 2f64.powi(site.given_up.saturating_sub(1).min(16) as i32);
-            site.not_before = now + (AGAIN_FIRST * longer).min(AGAIN_MOST);
+    /// Applies a change that was journaled, now or by a predecessor.
+    pub fn apply(&mut self, change: &StateChange, now: Moment) {
+        let Some(site) = self.sites.get_mut(&change.site) else { return };
+        if site.state == SiteState::Returning && matches!(change.to, SiteState::Held | SiteState::Lost) {
+            site.abandoned_returns += 1;
+            let factor = 2f64.powi(site.abandoned_returns.saturating_sub(1).min(16) as i32);
+            site.retry_at = now + (FIRST_RETRY_DELAY * factor).min(MAX_RETRY_DELAY);
         }
-        if turned.to == SiteState::InService {
-            site.given_up = 0;
+        if change.to == SiteState::InService {
+            site.abandoned_returns = 0;
         }
-        site.standing = turned.to;
+        site.state = change.to;
     }
 
-    /// The watch holds something else of a site than before.
+    /// The failure detector's view of a site has changed.
     pub fn on_view_change(&self, change: &ViewChange) -> Option<(StateChange, Option<ShapeStep>)> {
-        let standing = self.get(&change.site)?;
-        let turned =
-            |to: SiteState, why: &str| StateChange { site: change.site.clone(), to, reason: why.into() };
-        match (&change.to, standing) {
+        let state = self.get(&change.site)?;
+        let state_change = |to: SiteState, reason: &str| StateChange {
+            site: change.site.clone(),
+            to,
+            reason: reason.into(),
+        };
+        match (&change.to, state) {
             (SiteView::Lost, SiteState::Lost | SiteState::Out) => None,
             (SiteView::Lost, _) => {
-                let out = self.excluded_after_loss(&change.site);
-                let why = format!("not heard by any other site for {:.1} s", change.seen_for.seconds());
-                Some((turned(SiteState::Lost, &why), Some(ShapeStep::Exclude(out))))
+                let excluded = self.excluded_after_loss(&change.site);
+                let reason = format!("not heard by any other site for {:.1} s", change.seen_for.seconds());
+                Some((state_change(SiteState::Lost, &reason), Some(ShapeStep::Exclude(excluded))))
             }
-            (_, SiteState::Lost) => Some((turned(SiteState::Held, "heard again"), None)),
+            (_, SiteState::Lost) => Some((state_change(SiteState::Held, "heard again"), None)),
             _ => None,
         }
     }
 
-    /// A site that may start its way back now: one at a time, while nothing else changes.
+    /// A site that may start to return now: one at a time, while nothing else changes.
     pub fn next_readmission(
         &self,
-        busy: bool,
+        is_changing: bool,
         is_held: impl Fn(&str) -> bool,
         now: Moment,
     ) -> Option<(StateChange, ShapeStep)> {
-        if busy
-            || self.sites.values().any(|s| matches!(s.standing, SiteState::Returning | SiteState::Leaving))
+        if is_changing
+            || self.sites.values().any(|s| matches!(s.state, SiteState::Returning | SiteState::Leaving))
         {
             return None;
         }
-        let ready = |(name, site): &(&String, &Site)| {
-            site.standing == SiteState::Held && now >= site.not_before && !is_held(name)
+        let can_return = |(name, site): &(&String, &Site)| {
+            site.state == SiteState::Held && now >= site.retry_at && !is_held(name)
         };
-        let (name, _) = self.sites.iter().find(ready)?;
-        Some(self.roll_out(name, SiteState::Returning, "it has stayed for as long as it was held"))
+        let (name, _) = self.sites.iter().find(can_return)?;
+        Some(self.roll_out(name, SiteState::Returning, "it was heard without interruption for its hold time"))
     }
 
-    fn roll_out(&self, site: &str, to: SiteState, why: &str) -> (StateChange, ShapeStep) {
-        let mut out = self.excluded();
+    fn roll_out(&self, site: &str, to: SiteState, reason: &str) -> (StateChange, ShapeStep) {
+        let mut excluded = self.excluded();
         match to {
-            SiteState::Returning => out.remove(site),
-            _ => out.insert(site.into()),
+            SiteState::Returning => excluded.remove(site),
+            _ => excluded.insert(site.into()),
         };
-        let turned = StateChange { site: site.into(), to, reason: why.into() };
-        (turned, ShapeStep::RollOut { excluded: out, site: site.into() })
+        let change = StateChange { site: site.into(), to, reason: reason.into() };
+        (change, ShapeStep::RollOut { excluded, site: site.into() })
     }
 
-    /// Staff asks for something.
+    /// Handles an operator's command.
     pub fn command(
         &self,
         site: &str,
-        ask: SiteCommand,
+        command: SiteCommand,
         by: &str,
-        busy: bool,
+        is_changing: bool,
     ) -> Result<(StateChange, Option<ShapeStep>), CommandError> {
-        let standing = self.get(site).ok_or_else(|| CommandError::Unknown { site: site.into() })?;
-        let already = || CommandError::Already { site: site.into(), state: *standing };
-        let turned = |to| StateChange { site: site.into(), to, reason: format!("asked for by {by}") };
-        match (ask, standing) {
+        let state = self.get(site).ok_or_else(|| CommandError::Unknown { site: site.into() })?;
+        let already = || CommandError::Already { site: site.into(), state: *state };
+        let state_change = |to| StateChange { site: site.into(), to, reason: format!("requested by {by}") };
+        match (command, state) {
             (SiteCommand::Hold, SiteState::Out) => Err(already()),
-            (SiteCommand::Hold, SiteState::Lost | SiteState::Held) => Ok((turned(SiteState::Out), None)),
+            (SiteCommand::Hold, SiteState::Lost | SiteState::Held) => {
+                Ok((state_change(SiteState::Out), None))
+            }
             (SiteCommand::Hold | SiteCommand::Leave, SiteState::InService)
                 if self.is_last_in_service(site) =>
             {
                 Err(CommandError::LastSite { site: site.into() })
             }
             (SiteCommand::Leave, SiteState::InService) | (SiteCommand::Hold, SiteState::InService)
-                if busy =>
+                if is_changing =>
             {
                 Err(CommandError::Busy)
             }
             (SiteCommand::Hold | SiteCommand::Leave, SiteState::InService) => {
-                let (turned, step) = self.roll_out(site, SiteState::Leaving, &format!("asked for by {by}"));
-                Ok((turned, Some(step)))
+                let (change, step) = self.roll_out(site, SiteState::Leaving, &format!("requested by {by}"));
+                Ok((change, Some(step)))
             }
-            // Its steps end where they stand, and it is out at once.
+            // The steps end where they stand, and the site is out at once.
             (SiteCommand::Hold, SiteState::Returning) => {
-                let mut out = self.excluded();
-                out.insert(site.into());
-                Ok((turned(SiteState::Out), Some(ShapeStep::Exclude(out))))
+                let mut excluded = self.excluded();
+                excluded.insert(site.into());
+                Ok((state_change(SiteState::Out), Some(ShapeStep::Exclude(excluded))))
             }
-            (SiteCommand::Return, SiteState::Out) => Ok((turned(SiteState::Held), None)),
+            (SiteCommand::Return, SiteState::Out) => Ok((state_change(SiteState::Held), None)),
             (SiteCommand::Return, SiteState::Lost) => Err(CommandError::IsLost { site: site.into() }),
             _ => Err(already()),
         }
     }
 
     fn is_last_in_service(&self, site: &str) -> bool {
-        let out = self.excluded();
-        self.sites.keys().all(|other| other == site || out.contains(other))
+        let excluded = self.excluded();
+        self.sites.keys().all(|other| other == site || excluded.contains(other))
     }
 
-    /// The steps of a change have come to their end, or were given up.
+    /// The steps of a change have ended, or the change was abandoned.
     pub fn on_change_ended(&self, complete: bool) -> Option<StateChange> {
-        let moving =
-            |(_, site): &(&String, &Site)| matches!(site.standing, SiteState::Returning | SiteState::Leaving);
-        let (name, site) = self.sites.iter().find(moving)?;
-        let (to, why) = match (&site.standing, complete) {
-            (SiteState::Returning, true) => (SiteState::InService, "its ties are back"),
-            (SiteState::Returning, false) => (SiteState::Held, "its way back was given up"),
-            (SiteState::Leaving, true) => (SiteState::Out, "nobody is tied to it any more"),
-            _ => (SiteState::InService, "its evacuation was given up"),
+        let in_steps =
+            |(_, site): &(&String, &Site)| matches!(site.state, SiteState::Returning | SiteState::Leaving);
+        let (name, site) = self.sites.iter().find(in_steps)?;
+        let (to, reason) = match (&site.state, complete) {
+            (SiteState::Returning, true) => (SiteState::InService, "its upstream links are restored"),
+            (SiteState::Returning, false) => (SiteState::Held, "its return was abandoned"),
+            (SiteState::Leaving, true) => (SiteState::Out, "no node is linked to it any more"),
+            _ => (SiteState::InService, "its evacuation was abandoned"),
         };
-        Some(StateChange { site: name.clone(), to, reason: why.into() })
+        Some(StateChange { site: name.clone(), to, reason: reason.into() })
     }
 }
