--- a/crates/shape/tests/checks.rs
+++ b/crates/shape/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Shapes are taken whole or refused whole, and each complaint names the place.
+//! Shapes are accepted or refused as a whole, and each violation names the node.
 mod common;
 use common::*;
 use harestage_shape::config;
@@ -6,16 +6,16 @@
 use harestage_shape::topology::{self, ARCHIVE, Node, NodeIndex, Shape, Versions};
 use harestage_shape::validation::{Violation, validate};
 
-fn complaints(form: &config::ShapeConfig) -> Vec<String> {
-    topology::validated_shape(form).err().unwrap_or_default().iter().map(Violation::to_string).collect()
+fn violations(config: &config::ShapeConfig) -> Vec<String> {
+    topology::validated_shape(config).err().unwrap_or_default().iter().map(Violation::to_string).collect()
 }
 
 #[test]
-fn a_sound_shape_is_taken_with_its_loads() {
+fn a_valid_shape_is_accepted_with_its_loads() {
     let shape = topology::validated_shape(&two_hubs()).unwrap();
     let loads = validate(&shape).unwrap();
     let a = shape.find("a").unwrap();
-    // 80 fills over two hubs; each passes 12, half of it to the other.
+    // 80 fills over two hubs. Each passes 12 on, half of them to the other.
     assert_eq!(loads.of(a), 46.0);
     assert!((loads.of(ARCHIVE) - (12.0 + 2.0 * 6.0 * 0.3)).abs() < 1e-9);
 }
@@ -24,75 +24,76 @@
 fn each_wrong_shape_is_refused_by_what_is_wrong() {
     let mut doubled = two_hubs();
     doubled.hubs.push(hub("a", &["archive"]));
-    assert_eq!(complaints(&doubled), ["a: named twice"]);
+    assert_eq!(violations(&doubled), ["a: named twice"]);
     let mut unknown = two_hubs();
     unknown.branches[1].hubs.push("x".into());
     unknown.branches[2].hubs.push("a".into());
-    assert_eq!(complaints(&unknown), ["e: upstream x is unknown", "s: upstream a is listed twice"]);
+    assert_eq!(violations(&unknown), ["e: upstream x is unknown", "s: upstream a is listed twice"]);
     let mut to_branch = two_hubs();
     to_branch.hubs[0].up = vec!["n".into()];
-    assert_eq!(complaints(&to_branch), ["a: upstream n is a branch"]);
+    assert_eq!(violations(&to_branch), ["a: upstream n is a branch"]);
     let mut cut = two_hubs();
     cut.hubs.push(hub("c", &[]));
     cut.branches.push(branch("far", 1.0, &["c"]));
-    assert_eq!(complaints(&cut), ["far: no path to the archive"]);
+    assert_eq!(violations(&cut), ["far: no path to the archive"]);
     let mut mixed = two_hubs();
     mixed.hubs[0].up.push("b".into());
-    assert_eq!(complaints(&mixed), ["a: linked to the archive and to hub b"]);
+    assert_eq!(violations(&mixed), ["a: linked to the archive and to hub b"]);
 }
 
 #[test]
-fn a_loop_is_told_with_its_whole_path() {
+fn a_cycle_is_reported_with_its_whole_path() {
     let mut looped = two_hubs();
     looped.hubs.extend([hub("c", &["d"]), hub("d", &["e1"]), hub("e1", &["c", "a"])]);
     looped.branches.push(branch("far", 1.0, &["c"]));
-    assert_eq!(complaints(&looped), ["loop: c -> d -> e1 -> c"]);
-    let mut selfish = two_hubs();
-    selfish.hubs.push(hub("c", &["c"]));
-    assert_eq!(complaints(&selfish), ["loop: c -> c"]);
+    assert_eq!(violations(&looped), ["loop: c -> d -> e1 -> c"]);
+    let mut self_loop = two_hubs();
+    self_loop.hubs.push(hub("c", &["c"]));
+    assert_eq!(violations(&self_loop), ["loop: c -> c"]);
 }
 
 #[test]
-fn overload_is_told_also_after_the_loss_of_one_hub() {
+fn overload_is_reported_also_after_the_loss_of_one_hub() {
     let mut over = two_hubs();
     over.branches[0].load = 200.0;
-    assert!(complaints(&over)[0].starts_with("a: asked for "), "{:?}", complaints(&over));
-    let mut barely = two_hubs();
-    barely.hubs[0].capacity = 79.0;
+    assert!(violations(&over)[0].starts_with("a: asked for "), "{:?}", violations(&over));
+    let mut tight = two_hubs();
+    tight.hubs[0].capacity = 79.0;
     assert_eq!(
-        complaints(&barely),
+        violations(&tight),
         ["a: after the loss of b asked for 80.0 fills a second, with a limit of 79.0"]
     );
-    let mut weak = two_hubs();
-    weak.archive.capacity = 16.0;
-    weak.archive.stops_at = 1.2;
-    let told = complaints(&weak);
+    let mut weak_archive = two_hubs();
+    weak_archive.archive.capacity = 16.0;
+    weak_archive.archive.stops_at = 1.2;
+    let reported = violations(&weak_archive);
     assert!(
-        told.contains(
+        reported.contains(
             &"archive: after the loss of a asked for 24.0 fills a second, with a limit of 15.4".into()
         ),
-        "{told:?}"
+        "{reported:?}"
     );
 }
 
-/// Losses are worked out by what they change; here against the whole shape without the lost hub.
+/// Loads after a loss are computed from what the loss changes. Compares them with the whole shape without the
+/// lost hub.
 #[test]
-fn a_loss_by_its_change_is_the_loss_by_a_full_search() {
-    let mut form = two_hubs();
-    form.hubs[0].capacity = 1.0;
-    form.hubs[1].capacity = 1.0;
+fn loads_after_a_loss_equal_those_of_the_shape_without_the_hub() {
+    let mut config = two_hubs();
+    config.hubs[0].capacity = 1.0;
+    config.hubs[1].capacity = 1.0;
     for n in 0..6 {
         let up = [["a", "b"], ["b", "a"], ["a", "b"]][n % 3];
-        form.hubs.push(config::HubConfig { capacity: 1.0, ..hub(&format!("m{n}"), &up[..1 + n % 2]) });
+        config.hubs.push(config::HubConfig { capacity: 1.0, ..hub(&format!("m{n}"), &up[..1 + n % 2]) });
     }
     for n in 0..9 {
         let (one, two) = (format!("m{}", n % 6), format!("m{}", (n * 5 + 1) % 6));
-        let ties = if one == two { vec![one.as_str()] } else { vec![one.as_str(), two.as_str()] };
-        form.branches.push(branch(&format!("br{n}"), 3.0 + n as f64, &ties));
+        let upstreams = if one == two { vec![one.as_str()] } else { vec![one.as_str(), two.as_str()] };
+        config.branches.push(branch(&format!("br{n}"), 3.0 + n as f64, &upstreams));
     }
-    let told = topology::validated_shape(&form).unwrap_err();
-    for lost in form.hubs.iter().map(|hub| hub.name.clone()) {
-        let mut without = form.clone();
+    let reported = topology::validated_shape(&config).unwrap_err();
+    for lost in config.hubs.iter().map(|hub| hub.name.clone()) {
+        let mut without = config.clone();
         without.hubs.retain(|hub| hub.name != lost);
         without.hubs.iter_mut().for_each(|hub| hub.up.retain(|up| *up != lost));
         let mut cut_off = 0.0;
@@ -101,28 +102,30 @@
             cut_off += if branch.hubs.is_empty() { branch.load } else { 0.0 };
             !branch.hubs.is_empty()
         });
-        // A hub whose ties are all gone asks the archive straight, as a branch does.
+        // A hub without any upstream left asks the archive directly, as a branch does.
         let orphans: Vec<_> =
             without.hubs.iter().filter(|h| h.up.is_empty()).map(|h| h.name.clone()).collect();
         if !orphans.is_empty() || cut_off > 0.0 {
             continue;
         }
         let Err(alone) = topology::validated_shape(&without) else { panic!("all are overloaded") };
-        for complaint in alone {
-            let Violation::Overload { node: place, asked, .. } = complaint else { continue };
-            let same = told.iter().find_map(|c| match c {
-                Violation::OverloadAfterLoss { node: p, lost: l, asked, .. } if *p == place && *l == lost => {
+        for violation in alone {
+            let Violation::Overload { node, asked, .. } = violation else { continue };
+            let same = reported.iter().find_map(|violation| match violation {
+                Violation::OverloadAfterLoss { node: other_node, lost: other_lost, asked, .. }
+                    if *other_node == node && *other_lost == lost =>
+                {
                     Some(*asked)
                 }
                 _ => None,
             });
-            // A place whose load does not differ is told of without a loss only.
-            let usual = told.iter().find_map(|c| match c {
-                Violation::Overload { node: p, asked, .. } if *p == place => Some(*asked),
+            // If the load of a node does not change, it is reported without a loss only.
+            let usual = reported.iter().find_map(|violation| match violation {
+                Violation::Overload { node: other_node, asked, .. } if *other_node == node => Some(*asked),
                 _ => None,
             });
             let found = same.or(usual).unwrap();
-            assert!((found - asked).abs() < 1e-6, "{place} without {lost}: {found}, {asked}");
+            assert!((found - asked).abs() < 1e-6, "{node} without {lost}: {found}, {asked}");
         }
     }
 }
@@ -155,7 +158,7 @@
     let pinned = versions.pin().unwrap();
     for n in 2..9 {
         assert!(versions.insert(numbered(n), at_ms(n)));
-        assert!(!versions.insert(numbered(n), at_ms(n)), "told twice");
+        assert!(!versions.insert(numbered(n), at_ms(n)), "received twice");
         assert!(!versions.insert(numbered(n - 1), at_ms(n)), "out of order");
     }
     assert_eq!((versions.retained(), versions.get(pinned).unwrap().version()), (2, 1));
@@ -163,28 +166,29 @@
     assert_eq!((versions.retained(), versions.get(pinned).unwrap().version()), (1, 8));
 }
 
-/// An object moves only to a hub that came or from one that went, and all hubs agree on its home.
+/// An object moves only to a hub that was added, and all hubs agree on its preferred hub.
 #[test]
-fn homes_move_no_more_than_they_have_to() {
+fn preferred_hubs_move_no_more_than_necessary() {
     let before = Shape::from_config(&two_hubs()).unwrap();
-    let mut form = two_hubs();
-    form.hubs.push(hub("c", &["archive"]));
-    let after = before.successor(&config::ShapeConfig { version: 2, ..form }).unwrap();
-    let c = after.find("c").unwrap();
+    let mut config = two_hubs();
+    config.hubs.push(hub("c", &["archive"]));
+    let after = before.successor(&config::ShapeConfig { version: 2, ..config }).unwrap();
+    let violation = after.find("c").unwrap();
     let mut moved = 0;
     for object in 0..3_000 {
         let (old, new) =
             (route::preferred_hub(&before, object).unwrap(), route::preferred_hub(&after, object).unwrap());
         moved += u32::from(old != new);
-        assert!(old == new || new == c);
-        for me in ["a", "b", "c"].map(|name| after.find(name).unwrap()) {
-            let expected = if me == new { NextHop::Archive } else { NextHop::Hub(new) };
-            assert_eq!(route::next_hop(&after, me, object, &[]), Some(expected));
-            let other: Vec<NodeIndex> = after.top_hubs().iter().copied().filter(|top| *top != me).collect();
-            assert_eq!(route::next_hop(&after, me, object, &other), Some(NextHop::Archive));
+        assert!(old == new || new == violation);
+        for local in ["a", "b", "c"].map(|name| after.find(name).unwrap()) {
+            let expected = if local == new { NextHop::Archive } else { NextHop::Hub(new) };
+            assert_eq!(route::next_hop(&after, local, object, &[]), Some(expected));
+            let other: Vec<NodeIndex> =
+                after.top_hubs().iter().copied().filter(|top| *top != local).collect();
+            assert_eq!(route::next_hop(&after, local, object, &other), Some(NextHop::Archive));
         }
     }
     assert!((900..1_100).contains(&moved), "a third: {moved}");
     assert_eq!(before.find("a"), after.find("a"), "indices stay from version to version");
-    assert!(matches!(after.node(c), Some(Node::Hub(_))));
+    assert!(matches!(after.node(violation), Some(Node::Hub(_))));
 }
--- a/crates/shape/tests/common/mod.rs
+++ b/crates/shape/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shapes to try things on.
+//! Shapes for the tests.
 #![allow(dead_code)]
 use harestage::time::Moment;
 use harestage_shape::config::{ArchiveConfig, BranchConfig, HubConfig, ShapeConfig};
@@ -47,17 +47,17 @@
     ShapeConfig { version: 1, archive, hubs, branches, links: Vec::new() }
 }
 
-/// Two hubs at the top that four branches share.
+/// Two top hubs that four branches share.
 pub fn two_hubs() -> ShapeConfig {
     let hubs = vec![hub("a", &["archive"]), hub("b", &["archive"])];
     let branches = ["n", "e", "s", "w"].map(|name| branch(name, 20.0, &["a", "b"]));
     shape(hubs, branches.into())
 }
 
-/// The same with a third that has just started, and every branch tied to it instead of `b`.
+/// The same with a third hub that has just started, and every branch linked to it instead of `b`.
 pub fn third_hub(since_ms: u64) -> ShapeConfig {
-    let mut form = two_hubs();
-    form.hubs.push(HubConfig { since_ms, ..hub("c", &["archive"]) });
-    form.branches.iter_mut().for_each(|branch| branch.hubs = vec!["a".into(), "c".into()]);
-    form
+    let mut config = two_hubs();
+    config.hubs.push(HubConfig { since_ms, ..hub("c", &["archive"]) });
+    config.branches.iter_mut().for_each(|branch| branch.hubs = vec!["a".into(), "c".into()]);
+    config
 }
--- a/crates/shape/tests/wait_cycles.rs
+++ b/crates/shape/tests/wait_cycles.rs
@@ -1,5 +1,5 @@
-//! Fills that wait for each other, in a network without sockets: hubs that disagree, messages that are late or come
-//! twice, and every circle found once and broken by one.
+//! Cycles of waiting fills, in a network without sockets: hubs on different versions, messages that are late
+//! or duplicated. Each cycle is detected, and broken once by one hub.
 use harestage::time::{Moment, Span};
 use harestage_shape::wait_cycles::{Action, Chase, Key, WaitCycle, WaitTracker};
 use std::collections::{BTreeMap, HashMap};
@@ -8,41 +8,41 @@
 const KEY: Key = (7, 0);
 
 enum Message {
-    /// A pull: who waits, and the path that it came by.
+    /// A pull, with the path that it came by.
     Pull(Key, Vec<String>),
     Chase(Chase),
 }
 
 /// Hubs that each fill a key from the one that the test names, or from the archive.
-struct Net {
+struct Network {
     seed: u64,
     drawn: u64,
     now: u64,
-    knots: BTreeMap<String, WaitTracker>,
+    trackers: BTreeMap<String, WaitTracker>,
     filling: HashMap<(String, Key), String>,
-    ups: HashMap<(String, Key), String>,
-    /// Per pair of hubs in order, as a connection delivers.
-    wires: BTreeMap<(u64, u64), (String, String, Message)>,
+    upstreams: HashMap<(String, Key), String>,
+    /// Messages in order for each pair of hubs, as a connection delivers them.
+    in_transit: BTreeMap<(u64, u64), (String, String, Message)>,
     free_at: HashMap<(String, String), u64>,
     broken: Vec<(u64, WaitCycle)>,
     messages: usize,
-    doubled: bool,
+    duplicate_messages: bool,
 }
 
-impl Net {
-    fn new(names: &[&str], seed: u64) -> Net {
-        Net {
+impl Network {
+    fn new(names: &[&str], seed: u64) -> Network {
+        Network {
             seed,
             drawn: 0,
             now: 0,
-            knots: names.iter().map(|name| (name.to_string(), WaitTracker::new(name))).collect(),
+            trackers: names.iter().map(|name| (name.to_string(), WaitTracker::new(name))).collect(),
             filling: HashMap::new(),
-            ups: HashMap::new(),
-            wires: BTreeMap::new(),
+            upstreams: HashMap::new(),
+            in_transit: BTreeMap::new(),
             free_at: HashMap::new(),
             broken: Vec::new(),
             messages: 0,
-            doubled: false,
+            duplicate_messages: false,
         }
     }
 
@@ -57,44 +57,44 @@
         let late = self.now + 1 + self.chance(40);
         let free = self.free_at.entry((from.into(), to.into())).or_insert(0);
         *free = late.max(*free + 1);
-        let (at, n) = (*free, self.messages as u64);
+        let (at, number) = (*free, self.messages as u64);
         self.messages += 1;
-        self.wires.insert((at, n), (from.into(), to.into(), message));
+        self.in_transit.insert((at, number), (from.into(), to.into(), message));
     }
 
-    /// A client asks a hub, or a hub that has got a pull looks after it.
-    fn asked(&mut self, hub: &str, key: Key, path: Vec<String>) {
+    /// A client or another hub pulls from a hub.
+    fn pull(&mut self, hub: &str, key: Key, path: Vec<String>) {
         let now = Moment::at_micros(self.now * 1_000);
         let at = (hub.to_string(), key);
         if self.filling.contains_key(&at) {
-            let act = self.knots.get_mut(hub).unwrap().on_join(key, &path, now);
-            return self.act(hub, act);
+            let action = self.trackers.get_mut(hub).unwrap().on_join(key, &path, now);
+            return self.apply(hub, action);
         }
-        let up = self.ups.get(&at).cloned().unwrap_or("archive".into());
-        self.fill(hub, key, &up, path);
+        let upstream = self.upstreams.get(&at).cloned().unwrap_or("archive".into());
+        self.fill(hub, key, &upstream, path);
     }
 
-    fn fill(&mut self, hub: &str, key: Key, up: &str, path: Vec<String>) {
+    fn fill(&mut self, hub: &str, key: Key, upstream: &str, path: Vec<String>) {
         let now = Moment::at_micros(self.now * 1_000);
-        let on = (up != "archive").then_some(up);
-        self.filling.insert((hub.into(), key), up.into());
-        let knots = self.knots.get_mut(hub).unwrap();
-        knots.wait_started(key, on, now);
-        let act = knots.on_join(key, &path, now);
-        if let Some(up) = on {
+        let target = (upstream != "archive").then_some(upstream);
+        self.filling.insert((hub.into(), key), upstream.into());
+        let tracker = self.trackers.get_mut(hub).unwrap();
+        tracker.wait_started(key, target, now);
+        let action = tracker.on_join(key, &path, now);
+        if let Some(upstream) = target {
             let own = path.iter().cloned().chain([hub.to_string()]).collect();
-            self.send(hub, up, Message::Pull(key, own));
+            self.send(hub, upstream, Message::Pull(key, own));
         }
-        // The pull itself carries the path on, so that only what the path closes has to be acted on here.
-        if matches!(act, Some(Action::Leave { .. })) {
-            self.act(hub, act);
+        // The pull itself carries the path on, so only a cycle that the path closes has to be acted on here.
+        if matches!(action, Some(Action::Leave { .. })) {
+            self.apply(hub, action);
         }
     }
 
-    fn act(&mut self, hub: &str, act: Option<Action>) {
-        match act {
+    fn apply(&mut self, hub: &str, action: Option<Action>) {
+        match action {
             Some(Action::Send { to, chase }) => {
-                if self.doubled {
+                if self.duplicate_messages {
                     self.send(hub, &to, Message::Chase(chase.clone()));
                 }
                 self.send(hub, &to, Message::Chase(chase));
@@ -104,7 +104,7 @@
                 self.broken.push((self.now, cycle));
                 self.fill(hub, key, "archive", Vec::new());
             }
-            Some(Action::TooLong { .. }) => panic!("no path here is long"),
+            Some(Action::TooLong { .. }) => panic!("no path in this test is too long"),
             None => {}
         }
     }
@@ -112,29 +112,29 @@
     fn run(&mut self, until: u64) {
         while self.now < until {
             self.now += 1;
-            while let Some(entry) = self.wires.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            while let Some(entry) = self.in_transit.first_entry().filter(|entry| entry.key().0 <= self.now) {
                 let (_, to, message) = entry.remove();
                 match message {
-                    Message::Pull(key, path) => self.asked(&to, key, path),
+                    Message::Pull(key, path) => self.pull(&to, key, path),
                     Message::Chase(chase) => {
                         let now = Moment::at_micros(self.now * 1_000);
-                        let act = self.knots.get_mut(&to).unwrap().on_chase(chase, now);
-                        self.act(&to, act);
+                        let action = self.trackers.get_mut(&to).unwrap().on_chase(chase, now);
+                        self.apply(&to, action);
                     }
                 }
             }
             if self.now.is_multiple_of(50) {
                 let now = Moment::at_micros(self.now * 1_000);
-                for hub in self.knots.keys().cloned().collect::<Vec<_>>() {
-                    for act in self.knots.get_mut(&hub).unwrap().tick(now) {
-                        self.act(&hub, Some(act));
+                for hub in self.trackers.keys().cloned().collect::<Vec<_>>() {
+                    for action in self.trackers.get_mut(&hub).unwrap().tick(now) {
+                        self.apply(&hub, Some(action));
                     }
                 }
             }
         }
     }
 
-    /// Everyone's wait ends at the archive.
+    /// Whether every wait ends at the archive.
     fn all_end(&self) -> bool {
         self.filling.keys().all(|(hub, key)| {
             let (mut at, mut steps) = (hub.clone(), 0);
@@ -147,88 +147,88 @@
     }
 }
 
-fn ring(names: &[&str], seed: u64) -> Net {
-    let mut net = Net::new(names, seed);
-    for (n, name) in names.iter().enumerate() {
-        let next = names[(n + 1) % names.len()];
-        net.ups.insert((name.to_string(), KEY), next.to_string());
+fn ring(names: &[&str], seed: u64) -> Network {
+    let mut network = Network::new(names, seed);
+    for (number, name) in names.iter().enumerate() {
+        let next = names[(number + 1) % names.len()];
+        network.upstreams.insert((name.to_string(), KEY), next.to_string());
     }
-    net
+    network
 }
 
 #[test]
-fn circles_of_two_three_and_five_are_broken_once_by_one() {
+fn cycles_of_two_three_and_five_are_broken_once_by_one_hub() {
     for names in [&["a", "b"][..], &["c", "a", "b"], &["d", "b", "e", "a", "c"]] {
         for seed in 0..200 {
-            let mut net = ring(names, seed);
-            // All begin within the time that a message takes, so that every hub joins a fill under way.
+            let mut network = ring(names, seed);
+            // All start within the time that a message takes, so that every hub joins a fill under way.
             for name in names {
-                let wait = net.chance(30);
-                net.run(net.now + wait);
-                net.asked(name, KEY, Vec::new());
+                let wait = network.chance(30);
+                network.run(network.now + wait);
+                network.pull(name, KEY, Vec::new());
             }
-            net.run(net.now + 1_000);
-            assert_eq!(net.broken.len(), 1, "{names:?} {seed}: {:?}", net.broken);
-            let (at, knot) = &net.broken[0];
-            assert_eq!(knot.path.iter().max(), knot.path.first());
-            assert_eq!(knot.path.len(), names.len());
-            assert!(net.all_end() && *at < 600, "{names:?} {seed} at {at}");
+            network.run(network.now + 1_000);
+            assert_eq!(network.broken.len(), 1, "{names:?} {seed}: {:?}", network.broken);
+            let (at, cycle) = &network.broken[0];
+            assert_eq!(cycle.path.iter().max(), cycle.path.first());
+            assert_eq!(cycle.path.len(), names.len());
+            assert!(network.all_end() && *at < 600, "{names:?} {seed} at {at}");
         }
     }
 }
 
 #[test]
-fn messages_that_come_twice_break_nothing_twice() {
+fn duplicate_messages_break_no_cycle_twice() {
     for seed in 0..100 {
-        let mut net = ring(&["a", "b", "c"], seed);
-        net.doubled = true;
-        ["a", "b", "c"].into_iter().for_each(|name| net.asked(name, KEY, Vec::new()));
-        net.run(1_000);
-        assert!(net.broken.len() == 1 && net.all_end(), "{seed}: {:?}", net.broken);
+        let mut network = ring(&["a", "b", "c"], seed);
+        network.duplicate_messages = true;
+        ["a", "b", "c"].into_iter().for_each(|name| network.pull(name, KEY, Vec::new()));
+        network.run(1_000);
+        assert!(network.broken.len() == 1 && network.all_end(), "{seed}: {:?}", network.broken);
     }
 }
 
-/// Only some objects go round; those that do not are left alone, also at the same hubs.
+/// Only some objects are part of the cycle. Others are left alone, even at the same hubs.
 #[test]
-fn other_objects_and_hubs_outside_keep_their_waits() {
-    let mut net = ring(&["a", "b", "c"], 3);
+fn other_objects_and_hubs_outside_the_cycle_keep_their_waits() {
+    let mut network = ring(&["a", "b", "c"], 3);
     for key in [(8, 0), (7, 1)] {
-        net.ups.insert(("a".into(), key), "b".into());
-        net.ups.insert(("b".into(), key), "c".into());
+        network.upstreams.insert(("a".into(), key), "b".into());
+        network.upstreams.insert(("b".into(), key), "c".into());
     }
-    net.knots.insert("far".into(), WaitTracker::new("far"));
-    net.ups.insert(("far".into(), KEY), "a".into());
+    network.trackers.insert("far".into(), WaitTracker::new("far"));
+    network.upstreams.insert(("far".into(), KEY), "a".into());
     for key in [KEY, (8, 0), (7, 1)] {
-        ["far", "a", "b", "c"].into_iter().for_each(|name| net.asked(name, key, Vec::new()));
+        ["far", "a", "b", "c"].into_iter().for_each(|name| network.pull(name, key, Vec::new()));
     }
-    net.run(1_000);
-    assert_eq!(net.broken.len(), 1);
+    network.run(1_000);
+    assert_eq!(network.broken.len(), 1);
     assert_eq!(
-        (net.broken[0].1.key, &net.broken[0].1.path),
+        (network.broken[0].1.key, &network.broken[0].1.path),
         (KEY, &vec!["c".into(), "a".into(), "b".into()])
     );
-    assert_eq!(net.filling[&("far".to_string(), KEY)], "a", "who waits outside the circle is not touched");
-    assert_eq!(net.filling[&("a".to_string(), (8, 0))], "b");
+    assert_eq!(network.filling[&("far".to_string(), KEY)], "a", "a wait outside the cycle is not affected");
+    assert_eq!(network.filling[&("a".to_string(), (8, 0))], "b");
 }
 
-/// The same circle again, for the next object: found again, and told as one that has come back.
+/// The same cycle for the next object is detected again, and reported with the number of earlier times.
 #[test]
-fn a_circle_that_comes_back_is_broken_again_and_known() {
-    let mut net = ring(&["a", "b"], 5);
+fn a_recurring_cycle_is_broken_again_and_counted() {
+    let mut network = ring(&["a", "b"], 5);
     for object in 20..24 {
-        net.ups.insert(("a".into(), (object, 0)), "b".into());
-        net.ups.insert(("b".into(), (object, 0)), "a".into());
-        net.asked("a", (object, 0), Vec::new());
-        net.asked("b", (object, 0), Vec::new());
-        net.run(net.now + 500);
+        network.upstreams.insert(("a".into(), (object, 0)), "b".into());
+        network.upstreams.insert(("b".into(), (object, 0)), "a".into());
+        network.pull("a", (object, 0), Vec::new());
+        network.pull("b", (object, 0), Vec::new());
+        network.run(network.now + 500);
     }
-    assert_eq!(net.broken.iter().map(|(_, knot)| knot.seen_before).collect::<Vec<_>>(), [0, 1, 2, 3]);
-    assert!(net.all_end());
+    assert_eq!(network.broken.iter().map(|(_, cycle)| cycle.seen_before).collect::<Vec<_>>(), [0, 1, 2, 3]);
+    assert!(network.all_end());
 }
 
-/// `b` is listed as `x` as well, and `a` fills from it under that name.
+/// `b` is also known as `x`, and `a` fills from it under that name.
 #[test]
-fn a_hub_behind_two_names_is_one_hub() {
+fn a_hub_with_two_names_is_one_hub() {
     let (now, key) = (Moment::at_micros(0), KEY);
     let mut a = WaitTracker::new("a");
     a.add_alias("x", "b");
@@ -247,9 +247,9 @@
     assert_eq!(cycle.path, ["b"]);
 }
 
-/// A chase that was under way while the fill went elsewhere must not break what is sound now.
+/// A chase that was on its way while the fill moved elsewhere must not break anything.
 #[test]
-fn a_circle_that_is_over_breaks_nothing() {
+fn a_cycle_that_no_longer_exists_breaks_nothing() {
     let (now, key) = (Moment::at_micros(0), KEY);
     let mut c = WaitTracker::new("c");
     c.wait_started(key, Some("a"), now);
@@ -262,12 +262,12 @@
     assert_eq!((c.on_chase(late, now), c.waiting_count()), (None, 0));
 }
 
-/// A chase lost with its connection is sent again.
+/// A chase that was lost with its connection is sent again.
 #[test]
-fn what_still_waits_is_chased_again() {
+fn a_fill_that_still_waits_is_chased_again() {
     let mut a = WaitTracker::new("a");
     a.wait_started(KEY, Some("b"), Moment::at_micros(0));
-    assert!(a.tick(Moment::at_micros(900_000)).is_empty(), "nobody waits for it");
+    assert!(a.tick(Moment::at_micros(900_000)).is_empty(), "no hub waits for it");
     a.on_join(KEY, &["c".into()], Moment::at_micros(0));
     assert_eq!(a.tick(Moment::at_micros(900_000)).len(), 1);
     assert!(a.tick(Moment::at_micros(950_000)).is_empty());
--- a/crates/sites/tests/model.rs
+++ b/crates/sites/tests/model.rs
@@ -1,5 +1,5 @@
-//! All ways that three sites can take through losses, returns, staff and changes that end or are given up, up to a depth,
-//! on the state machine that runs.
+//! Explores all sequences of losses, recoveries, operators' commands and changes for three sites, up to a
+//! depth, on the state machine that the service runs.
 use harestage::time::{Moment, Span};
 use harestage_sites::failure_detector::{SiteView, ViewChange};
 use harestage_sites::site_state::{ShapeStep, SiteCommand, SiteState, SiteStates};
@@ -11,27 +11,27 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    standings: SiteStates,
-    /// Sites that nobody hears.
-    dead: BTreeSet<&'static str>,
-    /// Sites that the shape in service ties nobody to, and those that a change under way leads to.
-    out: BTreeSet<String>,
-    towards: Option<BTreeSet<String>>,
+    states: SiteStates,
+    /// Sites that no witness hears.
+    failed: BTreeSet<&'static str>,
+    /// Sites that the shape in service excludes, and those that the current change will exclude.
+    excluded: BTreeSet<String>,
+    target: Option<BTreeSet<String>>,
     ms: u64,
-    left: u8,
+    steps_left: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Act {
-    Dies(&'static str),
-    IsHeard(&'static str),
-    Staff(&'static str, Staff),
-    Passes,
-    Ends(bool),
+enum Event {
+    Fails(&'static str),
+    Recovers(&'static str),
+    Command(&'static str, Command),
+    TimePasses,
+    ChangeEnds(bool),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Staff {
+enum Command {
     Leave,
     Return,
     Hold,
@@ -39,9 +39,9 @@
 
 struct Sites;
 
-/// Then whatever is tied to anyone is tied to a site that is out.
-fn all_are_out(world: &World) -> bool {
-    SITES.into_iter().all(|site| world.standings.get(site) != Some(&SiteState::InService))
+/// Then every upstream link leads to a site that is out.
+fn none_is_in_service(world: &World) -> bool {
+    SITES.into_iter().all(|site| world.states.get(site) != Some(&SiteState::InService))
 }
 
 impl World {
@@ -49,11 +49,11 @@
         Moment::at_micros(self.ms * 1_000)
     }
 
-    fn seen(&mut self, site: &str, to: SiteView) {
+    fn on_view(&mut self, site: &str, to: SiteView) {
         let change =
             ViewChange { site: site.into(), from: SiteView::Unknown, to, seen_for: Span::millis(200) };
-        if let Some((turned, step)) = self.standings.on_view_change(&change) {
-            self.standings.apply(&turned, self.now());
+        if let Some((change, step)) = self.states.on_view_change(&change) {
+            self.states.apply(&change, self.now());
             self.step(step);
         }
     }
@@ -61,85 +61,88 @@
     fn step(&mut self, step: Option<ShapeStep>) {
         match step {
             None => {}
-            // A version at once ends whatever was under way, and nobody is tied to nobody.
-            Some(ShapeStep::Exclude(out)) if out.len() < SITES.len() => {
-                if self.towards.take().is_some()
-                    && let Some(turned) = self.standings.on_change_ended(false)
+            // An immediate version ends any change under way. A shape without any site is never published.
+            Some(ShapeStep::Exclude(excluded)) if excluded.len() < SITES.len() => {
+                if self.target.take().is_some()
+                    && let Some(change) = self.states.on_change_ended(false)
                 {
-                    self.standings.apply(&turned, self.now());
+                    self.states.apply(&change, self.now());
                 }
-                self.out = out;
+                self.excluded = excluded;
             }
             Some(ShapeStep::Exclude(_)) => {}
-            Some(ShapeStep::RollOut { excluded: out, .. }) => self.towards = Some(out),
+            Some(ShapeStep::RollOut { excluded, .. }) => self.target = Some(excluded),
         }
     }
 }
 
 impl Model for Sites {
     type State = World;
-    type Action = Act;
+    type Action = Event;
 
     fn init_states(&self) -> Vec<World> {
-        let mut standings = SiteStates::default();
-        standings.set_sites(SITES.into_iter());
-        let (dead, out) = (BTreeSet::new(), BTreeSet::new());
-        vec![World { standings, dead, out, towards: None, ms: 1_000, left: DEPTH }]
+        let mut states = SiteStates::default();
+        states.set_sites(SITES.into_iter());
+        let (failed, excluded) = (BTreeSet::new(), BTreeSet::new());
+        vec![World { states, failed, excluded, target: None, ms: 1_000, steps_left: DEPTH }]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        if world.left == 0 {
+    fn actions(&self, world: &World, events: &mut Vec<Event>) {
+        if world.steps_left == 0 {
             return;
         }
         for site in SITES {
-            acts.push(if world.dead.contains(site) { Act::IsHeard(site) } else { Act::Dies(site) });
-            acts.extend([Staff::Leave, Staff::Return, Staff::Hold].map(|staff| Act::Staff(site, staff)));
+            events.push(if world.failed.contains(site) { Event::Recovers(site) } else { Event::Fails(site) });
+            events.extend(
+                [Command::Leave, Command::Return, Command::Hold].map(|command| Event::Command(site, command)),
+            );
         }
-        acts.push(Act::Passes);
-        if world.towards.is_some() {
-            acts.extend([Act::Ends(true), Act::Ends(false)]);
+        events.push(Event::TimePasses);
+        if world.target.is_some() {
+            events.extend([Event::ChangeEnds(true), Event::ChangeEnds(false)]);
         }
     }
 
-    fn next_state(&self, last: &World, act: Act) -> Option<World> {
-        let mut world = World { left: last.left - 1, ..last.clone() };
-        match act {
-            Act::Dies(site) => {
-                world.dead.insert(site);
-                world.seen(site, SiteView::Lost);
+    fn next_state(&self, previous: &World, event: Event) -> Option<World> {
+        let mut world = World { steps_left: previous.steps_left - 1, ..previous.clone() };
+        match event {
+            Event::Fails(site) => {
+                world.failed.insert(site);
+                world.on_view(site, SiteView::Lost);
             }
-            Act::IsHeard(site) => {
-                world.dead.remove(site);
-                world.seen(site, SiteView::Up);
+            Event::Recovers(site) => {
+                world.failed.remove(site);
+                world.on_view(site, SiteView::Up);
             }
-            Act::Staff(site, staff) => {
-                let ask = match staff {
-                    Staff::Leave => SiteCommand::Leave,
-                    Staff::Return => SiteCommand::Return,
-                    Staff::Hold => SiteCommand::Hold,
+            Event::Command(site, command) => {
+                let site_command = match command {
+                    Command::Leave => SiteCommand::Leave,
+                    Command::Return => SiteCommand::Return,
+                    Command::Hold => SiteCommand::Hold,
                 };
-                let (turned, step) =
-                    world.standings.command(site, ask, "anna", world.towards.is_some()).ok()?;
-                world.standings.apply(&turned, world.now());
+                let (change, step) =
+                    world.states.command(site, site_command, "anna", world.target.is_some()).ok()?;
+                world.states.apply(&change, world.now());
                 world.step(step);
             }
-            Act::Passes => {
+            Event::TimePasses => {
                 world.ms += 20_000;
-                let dead = world.dead.clone();
-                let busy = world.towards.is_some();
-                let next = world.standings.next_readmission(busy, |site| dead.contains(site), world.now());
-                if let Some((turned, step)) = next {
-                    world.standings.apply(&turned, world.now());
+                let failed = world.failed.clone();
+                let is_changing = world.target.is_some();
+                let next =
+                    world.states.next_readmission(is_changing, |site| failed.contains(site), world.now());
+                if let Some((change, step)) = next {
+                    world.states.apply(&change, world.now());
                     world.step(Some(step));
                 }
             }
-            Act::Ends(complete) => {
-                let towards = world.towards.take()?;
+            Event::ChangeEnds(complete) => {
+                let target = world.target.take()?;
                 if complete {
-                    world.out = towards;
+                    world.excluded = target;
                 }
-                if let Some(turned) = world.standings.on_change_ended(complete) {
-                    world.standings.apply(&turned, world.now());
+                if let Some(change) = world.states.on_change_ended(complete) {
+                    world.states.apply(&change, world.now());
                 }
             }
         }
@@ -148,32 +151,33 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one site moves at a time", |_, world: &World| {
-                let moves =
-                    |(_, is): &(&str, &SiteState)| matches!(is, SiteState::Returning | SiteState::Leaving);
-                world.standings.iter().filter(moves).count() <= 1
+            Property::always("one site is in steps at a time", |_, world: &World| {
+                let in_steps = |(_, state): &(&str, &SiteState)| {
+                    matches!(state, SiteState::Returning | SiteState::Leaving)
+                };
+                world.states.iter().filter(in_steps).count() <= 1
             }),
-            Property::always("nobody is tied to a lost site", |_, world: &World| {
-                let lost = |(_, is): &(&str, &SiteState)| matches!(is, SiteState::Lost);
-                let tied = |(site, _): (&str, &SiteState)| !world.out.contains(site);
-                all_are_out(world) || !world.standings.iter().filter(lost).any(tied)
+            Property::always("no node is linked to a lost site", |_, world: &World| {
+                let lost = |(_, state): &(&str, &SiteState)| matches!(state, SiteState::Lost);
+                let linked = |(site, _): (&str, &SiteState)| !world.excluded.contains(site);
+                none_is_in_service(world) || !world.states.iter().filter(lost).any(linked)
             }),
             Property::always("a site in service is in the shape", |_, world: &World| {
-                let serves = |(_, is): &(&str, &SiteState)| matches!(is, SiteState::InService);
-                world.standings.iter().filter(serves).all(|(site, _)| !world.out.contains(site))
+                let in_service = |(_, state): &(&str, &SiteState)| matches!(state, SiteState::InService);
+                world.states.iter().filter(in_service).all(|(site, _)| !world.excluded.contains(site))
             }),
-            Property::always("a dead site is never in service", |_, world: &World| {
-                world.dead.iter().all(|site| world.standings.get(site) != Some(&SiteState::InService))
+            Property::always("a failed site is never in service", |_, world: &World| {
+                world.failed.iter().all(|site| world.states.get(site) != Some(&SiteState::InService))
             }),
             Property::sometimes("a site goes out and comes back", |_, world: &World| {
-                world.ms > 1_000 && world.out.is_empty() && world.left < DEPTH - 4
+                world.ms > 1_000 && world.excluded.is_empty() && world.steps_left < DEPTH - 4
             }),
         ]
     }
 }
 
 #[test]
-fn all_ways_of_three_sites_hold() {
+fn all_sequences_of_events_for_three_sites_hold() {
     let checker = Sites.checker().threads(4).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000, "{} states", checker.unique_state_count());
--- a/crates/sites/tests/plans.rs
+++ b/crates/sites/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans for the loss of sites, against a plain reading of what they have to keep.
+//! Plans for the loss of sites, checked against a direct computation of what they have to guarantee.
 use harestage::time::Moment;
 use harestage_shape::config::{ArchiveConfig, BranchConfig, HubConfig, LinkConfig, ShapeConfig};
 use harestage_shape::topology::Shape;
@@ -45,27 +45,28 @@
     }
 }
 
-/// Sites with so many hubs each, and branches tied to two hubs of different sites.
-fn drawn(sites: usize, hubs: usize, branches: usize, load: f64, seed: u64) -> ShapeConfig {
-    let mut dice = StdRng::seed_from_u64(seed);
+/// Sites with a number of hubs each, and branches linked to two hubs of different sites.
+fn random_shape(sites: usize, hubs: usize, branches: usize, load: f64, seed: u64) -> ShapeConfig {
+    let mut rng = StdRng::seed_from_u64(seed);
     let site = |n: usize| format!("site-{n}");
     let name = |s: usize, h: usize| format!("h-{s}-{h}");
-    let all = (0..sites).flat_map(|s| (0..hubs).map(move |h| (s, h)));
-    let hub_forms = all.map(|(s, h)| hub(name(s, h), &site(s), dice.random_range(80.0..120.0))).collect();
-    let mut dice = StdRng::seed_from_u64(seed + 1);
+    let total_load = (0..sites).flat_map(|s| (0..hubs).map(move |h| (s, h)));
+    let hub_configs =
+        total_load.map(|(s, h)| hub(name(s, h), &site(s), rng.random_range(80.0..120.0))).collect();
+    let mut rng = StdRng::seed_from_u64(seed + 1);
     let capacity = (sites * hubs) as f64 * 100.0;
-    let branch_forms = (0..branches).map(|n| {
-        let first = dice.random_range(0..sites);
-        let second = (first + dice.random_range(1..sites)) % sites;
-        let ties = vec![name(first, dice.random_range(0..hubs)), name(second, dice.random_range(0..hubs))];
-        let own = capacity * load / branches as f64 * dice.random_range(0.5..1.5);
-        branch(format!("br-{n}"), &site(first), own, ties)
+    let branch_configs = (0..branches).map(|n| {
+        let first = rng.random_range(0..sites);
+        let second = (first + rng.random_range(1..sites)) % sites;
+        let upstreams = vec![name(first, rng.random_range(0..hubs)), name(second, rng.random_range(0..hubs))];
+        let load = capacity * load / branches as f64 * rng.random_range(0.5..1.5);
+        branch(format!("br-{n}"), &site(first), load, upstreams)
     });
     ShapeConfig {
         version: 1,
         archive: archive(capacity),
-        hubs: hub_forms,
-        branches: branch_forms.collect(),
+        hubs: hub_configs,
+        branches: branch_configs.collect(),
         links: Vec::new(),
     }
 }
@@ -78,54 +79,61 @@
     sites.iter().map(|s| s.to_string()).collect()
 }
 
-/// What each hub is asked for by branches while a plan is in force.
-fn asked(form: &ShapeConfig, plan: &SitePlan) -> BTreeMap<String, f64> {
-    let mut asked = BTreeMap::new();
-    for branch in &form.branches {
-        let ties = plan.upstreams.get(&branch.name).unwrap_or(&branch.hubs);
-        for tie in ties {
-            *asked.entry(tie.clone()).or_insert(0.0) += branch.load / ties.len() as f64;
+/// The load of each hub from branches while a plan is applied.
+fn loads(config: &ShapeConfig, plan: &SitePlan) -> BTreeMap<String, f64> {
+    let mut loads = BTreeMap::new();
+    for branch in &config.branches {
+        let upstreams = plan.upstreams.get(&branch.name).unwrap_or(&branch.hubs);
+        for upstream in upstreams {
+            *loads.entry(upstream.clone()).or_insert(0.0) += branch.load / upstreams.len() as f64;
         }
     }
-    asked
+    loads
 }
 
 #[test]
-fn plans_by_chance_keep_everyone_below_the_mark_or_say_what_is_refused() {
+fn random_plans_keep_every_hub_within_its_limit_or_report_what_is_refused() {
     for seed in 0..40 {
         let load = 0.2 + 0.02 * seed as f64;
-        let form = drawn(4, 5, 120, load, seed);
-        let shape = Shape::from_config(&form).unwrap();
+        let config = random_shape(4, 5, 120, load, seed);
+        let shape = Shape::from_config(&config).unwrap();
         let plans = SitePlans::build(&shape, None, true, now());
         assert_eq!(plans.all().count(), 4 + 6);
         for plan in plans.all() {
-            let asked = asked(&form, plan);
-            for hub in form.hubs.iter().filter(|hub| plan.lost.contains(&hub.site)) {
-                assert!(!asked.contains_key(&hub.name), "seed {seed}: {} is lost and asked", hub.name);
+            let loads = loads(&config, plan);
+            for hub in config.hubs.iter().filter(|hub| plan.lost.contains(&hub.site)) {
+                assert!(!loads.contains_key(&hub.name), "seed {seed}: {} is lost but has load", hub.name);
             }
-            for hub in form.hubs.iter().filter(|hub| !plan.lost.contains(&hub.site)) {
-                let over = asked.get(&hub.name).copied().unwrap_or(0.0) - hub.capacity * HUB_SHARE;
-                let said = plan.refused.get(&hub.name).copied().unwrap_or(0.0);
-                assert!(over <= said + 1e-6, "seed {seed}: {} over by {over}, said {said}", hub.name);
+            for hub in config.hubs.iter().filter(|hub| !plan.lost.contains(&hub.site)) {
+                let excess = loads.get(&hub.name).copied().unwrap_or(0.0) - hub.capacity * HUB_SHARE;
+                let reported = plan.refused.get(&hub.name).copied().unwrap_or(0.0);
+                assert!(
+                    excess <= reported + 1e-6,
+                    "seed {seed}: {} over by {excess}, reported {reported}",
+                    hub.name
+                );
             }
-            for (branch, ties) in &plan.upstreams {
-                let before = &form.branches.iter().find(|b| b.name == *branch).unwrap().hubs;
-                let site = |hub: &String| &form.hubs.iter().find(|h| h.name == *hub).unwrap().site;
-                assert!(before.iter().any(|tie| plan.lost.contains(site(tie))), "{branch} lost nothing");
-                assert!(!ties.is_empty(), "seed {seed}: {branch} is tied to nobody");
+            for (branch, upstreams) in &plan.upstreams {
+                let before = &config.branches.iter().find(|b| b.name == *branch).unwrap().hubs;
+                let site = |hub: &String| &config.hubs.iter().find(|h| h.name == *hub).unwrap().site;
+                assert!(
+                    before.iter().any(|upstream| plan.lost.contains(site(upstream))),
+                    "{branch} lost nothing"
+                );
+                assert!(!upstreams.is_empty(), "seed {seed}: {branch} has no upstream");
             }
-            // Room for all is used for all: refusing while half of the room lies idle would be no plan.
-            let room: f64 = form
+            // Available capacity is used: a plan must not refuse requests while half of the capacity is idle.
+            let capacity: f64 = config
                 .hubs
                 .iter()
                 .filter(|h| !plan.lost.contains(&h.site))
                 .map(|h| h.capacity * HUB_SHARE)
                 .sum();
-            let all: f64 = form.branches.iter().map(|b| b.load).sum();
+            let total_load: f64 = config.branches.iter().map(|b| b.load).sum();
             assert!(
-                all > room * 0.5 || plan.refused.is_empty(),
-                "seed {seed}: {:?} of {room} refused {:?}",
-                all,
+                total_load > capacity * 0.5 || plan.refused.is_empty(),
+                "seed {seed}: {:?} of {capacity} refused {:?}",
+                total_load,
                 plan.refused
             );
         }
@@ -133,77 +141,84 @@
 }
 
 #[test]
-fn ties_that_are_left_are_kept_where_they_bear_it() {
-    let form = drawn(4, 6, 200, 0.25, 3);
-    let plan = plan::plan_loss(&Shape::from_config(&form).unwrap(), &lost(&["site-1"]), now());
+fn remaining_upstreams_are_kept_where_they_can_carry_the_load() {
+    let config = random_shape(4, 6, 200, 0.25, 3);
+    let plan = plan::plan_loss(&Shape::from_config(&config).unwrap(), &lost(&["site-1"]), now());
     assert!(plan.fits(), "{plan:?}");
-    let site = |hub: &String| form.hubs.iter().find(|h| h.name == *hub).unwrap().site.clone();
-    let kept = plan.upstreams.iter().filter(|(branch, ties)| {
-        let before = &form.branches.iter().find(|b| b.name == **branch).unwrap().hubs;
-        before.iter().filter(|tie| site(tie) != "site-1").all(|tie| ties.contains(tie))
+    let site = |hub: &String| config.hubs.iter().find(|h| h.name == *hub).unwrap().site.clone();
+    let unchanged = plan.upstreams.iter().filter(|(branch, upstreams)| {
+        let before = &config.branches.iter().find(|b| b.name == **branch).unwrap().hubs;
+        before
+            .iter()
+            .filter(|upstream| site(upstream) != "site-1")
+            .all(|upstream| upstreams.contains(upstream))
     });
     assert!(
-        kept.count() * 10 >= plan.upstreams.len() * 9,
+        unchanged.count() * 10 >= plan.upstreams.len() * 9,
         "most branches keep the hub that has their copies"
     );
 }
 
 #[test]
-fn a_fleet_that_is_full_says_beforehand_what_would_be_refused() {
-    let form = drawn(3, 4, 60, 0.8, 5);
-    let shape = Shape::from_config(&form).unwrap();
+fn a_fully_loaded_fleet_reports_beforehand_what_would_be_refused() {
+    let config = random_shape(3, 4, 60, 0.8, 5);
+    let shape = Shape::from_config(&config).unwrap();
     let plan = plan::plan_loss(&shape, &lost(&["site-0"]), now());
     assert!(!plan.fits() && plan.refused_share > 0.1, "{}", plan.refused_share);
-    let all = plan::plan_loss(&shape, &lost(&["site-0", "site-1", "site-2"]), now());
-    assert!(all.all_lost && !all.fits());
-    assert!((all.refused_share - 1.0).abs() < 1e-6 || all.refused.contains_key("-"), "{all:?}");
+    let all_sites = plan::plan_loss(&shape, &lost(&["site-0", "site-1", "site-2"]), now());
+    assert!(all_sites.all_lost && !all_sites.fits());
+    assert!(
+        (all_sites.refused_share - 1.0).abs() < 1e-6 || all_sites.refused.contains_key("-"),
+        "{all_sites:?}"
+    );
 }
 
 #[test]
-fn cold_hubs_and_narrow_links_bear_less() {
+fn cold_hubs_and_narrow_links_get_less_load() {
     let ms = now().micros() / 1_000;
-    let mut form = drawn(3, 3, 30, 0.3, 6);
-    let warm = plan::plan_loss(&Shape::from_config(&form).unwrap(), &lost(&["site-0"]), now());
-    form.hubs.iter_mut().filter(|h| h.site == "site-1").for_each(|h| h.since_ms = ms - 100);
-    let cold = plan::plan_loss(&Shape::from_config(&form).unwrap(), &lost(&["site-0"]), now());
-    let at = |plan: &SitePlan, site: &str| -> f64 {
-        asked(&form, plan)
+    let mut config = random_shape(3, 3, 30, 0.3, 6);
+    let warm = plan::plan_loss(&Shape::from_config(&config).unwrap(), &lost(&["site-0"]), now());
+    config.hubs.iter_mut().filter(|h| h.site == "site-1").for_each(|h| h.since_ms = ms - 100);
+    let cold = plan::plan_loss(&Shape::from_config(&config).unwrap(), &lost(&["site-0"]), now());
+    let load_at = |plan: &SitePlan, site: &str| -> f64 {
+        loads(&config, plan)
             .iter()
             .filter(|(hub, _)| hub.starts_with(&site.replace("site", "h")))
-            .map(|(_, a)| a)
+            .map(|(_, load)| load)
             .sum()
     };
-    assert!(at(&cold, "site-2") > at(&warm, "site-2"), "what is cold is spared");
-    form.hubs.iter_mut().for_each(|h| h.since_ms = 0);
-    form.links = vec![LinkConfig { between: ["site-0".into(), "site-1".into()], fills: 1.0 }];
-    let narrow = plan::plan_loss(&Shape::from_config(&form).unwrap(), &lost(&["site-0"]), now());
+    assert!(load_at(&cold, "site-2") > load_at(&warm, "site-2"), "cold hubs get less load");
+    config.hubs.iter_mut().for_each(|h| h.since_ms = 0);
+    config.links = vec![LinkConfig { between: ["site-0".into(), "site-1".into()], fills: 1.0 }];
+    let narrow = plan::plan_loss(&Shape::from_config(&config).unwrap(), &lost(&["site-0"]), now());
     let over_link = |plan: &SitePlan| -> f64 {
-        let own = form.branches.iter().filter(|b| b.site == "site-0");
-        let part = |b: &BranchConfig| {
-            let ties = plan.upstreams.get(&b.name).unwrap_or(&b.hubs).clone();
-            ties.iter().filter(|t| t.starts_with("h-1")).count() as f64 * b.load / ties.len() as f64
+        let branches = config.branches.iter().filter(|b| b.site == "site-0");
+        let share = |b: &BranchConfig| {
+            let upstreams = plan.upstreams.get(&b.name).unwrap_or(&b.hubs).clone();
+            upstreams.iter().filter(|upstream| upstream.starts_with("h-1")).count() as f64 * b.load
+                / upstreams.len() as f64
         };
-        own.map(part).sum()
+        branches.map(share).sum()
     };
     assert!(over_link(&narrow) < over_link(&warm), "{} and {}", over_link(&narrow), over_link(&warm));
 }
 
 #[test]
-fn plans_that_still_hold_are_kept_and_others_are_made_anew() {
-    let form = drawn(4, 5, 120, 0.15, 8);
-    let first = SitePlans::build(&Shape::from_config(&form).unwrap(), None, true, now());
+fn plans_that_still_hold_are_kept_and_others_are_recomputed() {
+    let config = random_shape(4, 5, 120, 0.15, 8);
+    let first = SitePlans::build(&Shape::from_config(&config).unwrap(), None, true, now());
     assert_eq!(first.recomputed, 10);
     let same = SitePlans::build(
-        &Shape::from_config(&ShapeConfig { version: 2, ..form.clone() }).unwrap(),
+        &Shape::from_config(&ShapeConfig { version: 2, ..config.clone() }).unwrap(),
         Some(&first),
         true,
         now(),
     );
     assert_eq!(same.recomputed, 0);
-    for (a, b) in first.all().zip(same.all()) {
-        assert_eq!((&a.upstreams, &a.lost), (&b.upstreams, &b.lost));
+    for (before, after) in first.all().zip(same.all()) {
+        assert_eq!((&before.upstreams, &before.lost), (&after.upstreams, &after.lost));
     }
-    let mut moved = form.clone();
+    let mut moved = config.clone();
     moved.version = 3;
     moved.branches[0].hubs = vec!["h-2-0".into(), "h-3-0".into()];
     let moved = SitePlans::build(&Shape::from_config(&moved).unwrap(), Some(&same), true, now());
@@ -211,17 +226,17 @@
 }
 
 #[test]
-fn the_shape_of_a_plan_has_no_tie_to_a_lost_site_and_holds() {
-    let form = drawn(3, 4, 50, 0.3, 9);
-    let shape = Shape::from_config(&form).unwrap();
+fn the_shape_of_a_plan_has_no_link_to_a_lost_site_and_is_valid() {
+    let config = random_shape(3, 4, 50, 0.3, 9);
+    let shape = Shape::from_config(&config).unwrap();
     let plan = plan::plan_loss(&shape, &lost(&["site-1"]), now());
     let without = plan.shape(&shape, 7);
     assert_eq!(without.version(), 7);
     assert!(without.top_hubs().iter().all(|top| !without.name(*top).starts_with("h-1")));
     assert!(harestage_shape::validation::cycles(&without).is_empty());
-    let tied = without
+    let linked = without
         .nodes()
-        .flat_map(|(at, _)| without.upstreams(at))
-        .filter(|t| without.name(**t).starts_with("h-1"));
-    assert_eq!(tied.count(), 0);
+        .flat_map(|(index, _)| without.upstreams(index))
+        .filter(|upstream| without.name(**upstream).starts_with("h-1"));
+    assert_eq!(linked.count(), 0);
 }
