--- a/crates/shape/src/archive_share.rs
+++ b/crates/shape/src/archive_share.rs
@@ -63,6 +63,7 @@
 }
 
 impl ShareAllocator {
+    /// An allocator without members, for an archive that stops at this rate.
     pub fn new(stop_rate: f64) -> ShareAllocator {
         ShareAllocator { stop_rate, members: BTreeMap::new(), number: 0, predecessor: None }
     }
@@ -189,6 +190,7 @@
 }
 
 impl ShareLimiter {
+    /// A limiter without a share: it allows a low default rate until it is configured.
     pub fn new(now: Moment) -> ShareLimiter {
         let share = RateShare { rate: 0.0, floor: DEFAULT_RATE, number: 0 };
         ShareLimiter { share, until: now, tokens: 1.0, refilled_at: now, wanted: 0.0, requested_at: now }
--- a/crates/shape/src/config.rs
+++ b/crates/shape/src/config.rs
@@ -169,11 +169,11 @@
 pub fn parse(file: &str, text: &[u8]) -> Result<ShapeConfig, ConfigError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let malformed = |key: String, reason: String| ConfigError::Malformed { file: file.into(), key, reason };
-    let form: ShapeConfig = serde_path_to_error::deserialize(&mut json)
+    let config: ShapeConfig = serde_path_to_error::deserialize(&mut json)
         .map_err(|reason| malformed(reason.path().to_string(), reason.inner().to_string()))?;
     json.end().map_err(|reason| malformed(".".into(), reason.to_string()))?;
-    form.check_values().map_err(|(key, reason)| malformed(key, reason))?;
-    Ok(form)
+    config.check_values().map_err(|(key, reason)| malformed(key, reason))?;
+    Ok(config)
 }
 
 /// Reads and parses a shape file.
--- a/crates/shape/src/feed.rs
+++ b/crates/shape/src/feed.rs
@@ -66,7 +66,7 @@
 fn endpoints(shape: &Shape, branch: &str) -> Vec<Value> {
     let Some(at) = shape.find(branch) else { return Vec::new() };
     let caches = match shape.node(at) {
-        Some(Node::Branch(form)) => form.caches.as_slice(),
+        Some(Node::Branch(config)) => config.caches.as_slice(),
         _ => &[],
     };
     let hubs = shape.upstreams(at).iter().filter_map(|upstream| shape.node(*upstream).and_then(Node::as_hub));
@@ -96,8 +96,8 @@
     changes
 }
 
-fn cache(form: &CacheConfig) -> Value {
-    entry(&form.name, &form.address, "here", "std", "Ready", form.since_ms)
+fn cache(cache: &CacheConfig) -> Value {
+    entry(&cache.name, &cache.address, "here", "std", "Ready", cache.since_ms)
 }
 
 fn parent(hub: &HubConfig, status: &str) -> Value {
@@ -111,22 +111,22 @@
 
 /// The version that hubs get: without branches.
 pub fn config_for_hubs(shape: &Shape) -> ShapeConfig {
-    let mut form = shape.to_config();
-    form.branches.clear();
-    form
+    let mut config = shape.to_config();
+    config.branches.clear();
+    config
 }
 
 /// The version that a branch's own feed gets: without the other branches. `None` if no branch has that name.
 pub fn config_for_branch(shape: &Shape, branch: &str) -> Option<ShapeConfig> {
     let Node::Branch(own) = shape.node(shape.find(branch)?)? else { return None };
-    let mut form = config_for_hubs(shape);
-    form.branches.push(own.clone());
-    Some(form)
+    let mut config = config_for_hubs(shape);
+    config.branches.push(own.clone());
+    Some(config)
 }
 
 /// The branches that this member of the service has a feed for, with the address that it listens on.
 pub fn feed_addresses(shape: &Shape, member: &str) -> Vec<(String, String)> {
-    let feed = |(_, place): (NodeIndex, &Node)| match place {
+    let feed = |(_, node): (NodeIndex, &Node)| match node {
         Node::Branch(branch) => {
             let at = branch.feeds.get(member).or(branch.feed.as_ref());
             at.map(|feed| (branch.name.clone(), feed.clone()))
--- a/crates/shape/src/plan.rs
+++ b/crates/shape/src/plan.rs
@@ -200,24 +200,23 @@
 fn cycle_hubs(extended: &Shape, target: &Shape) -> BTreeSet<NodeIndex> {
     let mut cycle_hubs: BTreeSet<NodeIndex> = BTreeSet::new();
     loop {
-        let combined =
-            extended.hubs().map(|(at, hub)| {
-                let after = target_upstreams(extended, target, &hub.name);
-                let before = extended
-                    .upstreams(at)
-                    .iter()
-                    .copied()
-                    .filter(|_| !cycle_hubs.contains(&at) || after.is_empty());
-                let mut upstreams: Vec<NodeIndex> = before.collect();
-                upstreams.extend(after.iter().filter(|upstream| {
-                    !extended.upstreams(at).contains(upstream) || cycle_hubs.contains(&at)
-                }));
-                (at, upstreams)
-            });
+        let combined = extended.hubs().map(|(index, hub)| {
+            let after = target_upstreams(extended, target, &hub.name);
+            let before = extended
+                .upstreams(index)
+                .iter()
+                .copied()
+                .filter(|_| !cycle_hubs.contains(&index) || after.is_empty());
+            let mut upstreams: Vec<NodeIndex> = before.collect();
+            upstreams.extend(after.iter().filter(|upstream| {
+                !extended.upstreams(index).contains(upstream) || cycle_hubs.contains(&index)
+            }));
+            (index, upstreams)
+        });
         let combined: Vec<_> = combined.collect();
         let combined_shape = extended.with_upstreams(
             extended.version(),
-            combined.iter().map(|(at, upstreams)| (*at, upstreams.as_slice())),
+            combined.iter().map(|(index, upstreams)| (*index, upstreams.as_slice())),
         );
         let known_count = cycle_hubs.len();
         for violation in validation::cycles(&combined_shape) {
@@ -240,17 +239,23 @@
 fn distances_to_archive(target: &Shape, extended: &Shape) -> BTreeMap<NodeIndex, usize> {
     let mut distance: BTreeMap<NodeIndex, usize> = BTreeMap::new();
     let mut downstreams: BTreeMap<NodeIndex, Vec<NodeIndex>> = BTreeMap::new();
-    for (at, _) in target.hubs() {
-        target.upstreams(at).iter().for_each(|upstream| downstreams.entry(*upstream).or_default().push(at));
+    for (index, _) in target.hubs() {
+        target
+            .upstreams(index)
+            .iter()
+            .for_each(|upstream| downstreams.entry(*upstream).or_default().push(index));
     }
     let (mut frontier, mut level) = (vec![ARCHIVE], 0);
     while !frontier.is_empty() && level <= target.nodes().count() {
-        distance.extend(frontier.iter().map(|at| (*at, level)));
+        distance.extend(frontier.iter().map(|index| (*index, level)));
         let next: BTreeSet<_> =
-            frontier.iter().flat_map(|at| downstreams.get(at).into_iter().flatten()).copied().collect();
+            frontier.iter().flat_map(|index| downstreams.get(index).into_iter().flatten()).copied().collect();
         (frontier, level) = (next.into_iter().collect(), level + 1);
     }
-    distance.into_iter().filter_map(|(at, level)| Some((extended.find(target.name(at))?, level))).collect()
+    distance
+        .into_iter()
+        .filter_map(|(index, level)| Some((extended.find(target.name(index))?, level)))
+        .collect()
 }
 
 /// A plan that is being computed, with the simulated state after its last step.
@@ -260,7 +265,7 @@
     total_load: f64,
     start: Moment,
     /// The time since the start.
-    at: Span,
+    elapsed: Span,
     steps: Vec<Step>,
 }
 
@@ -269,7 +274,7 @@
         let load_of = |node: &Node| if let Node::Branch(branch) = node { branch.load } else { 0.0 };
         let total_load: f64 = shape.nodes().map(|(_, node)| load_of(node)).sum();
         let loads = validation::loads(&shape).unwrap_or_default();
-        Planner { shape, loads, total_load, start, at: Span::ZERO, steps: Vec::new() }
+        Planner { shape, loads, total_load, start, elapsed: Span::ZERO, steps: Vec::new() }
     }
 
     /// Arranges the operations of one batch into steps, as many into each as fit.
@@ -343,19 +348,19 @@
     /// stops. A hub has to request everything that it did not hold before the step.
     fn overload(&self, next: &Shape) -> Option<PlanError> {
         let after = validation::loads(next)?;
-        let now = self.start + self.at;
-        for (at, hub) in next.hubs() {
+        let now = self.start + self.elapsed;
+        for (index, hub) in next.hubs() {
             let (asked, limit) =
-                (after.of(at), hub.capacity * self.warm_fraction(next, at, now) * HUB_LOAD_FRACTION);
-            let increased = asked > self.loads.of(at) * (1.0 + 1e-9);
-            let warm = self.warm_fraction(next, at, now) >= 1.0;
+                (after.of(index), hub.capacity * self.warm_fraction(next, index, now) * HUB_LOAD_FRACTION);
+            let increased = asked > self.loads.of(index) * (1.0 + 1e-9);
+            let warm = self.warm_fraction(next, index, now) >= 1.0;
             let limit = if warm { hub.capacity } else { limit };
             if increased && asked > limit * (1.0 + 1e-9) {
                 return Some(PlanError::Overload { node: hub.name.clone(), asked, limit });
             }
         }
         let moved_to_top_hubs: f64 =
-            next.top_hubs().iter().map(|at| (after.of(*at) - self.loads.of(*at)).max(0.0)).sum();
+            next.top_hubs().iter().map(|index| (after.of(*index) - self.loads.of(*index)).max(0.0)).sum();
         let loses_top_hub = self.shape.top_hubs().iter().any(|top| !next.top_hubs().contains(top));
         let refetched = if loses_top_hub { moved_to_top_hubs } else { 0.0 };
         let archive = next.archive();
@@ -364,8 +369,8 @@
         (asked > limit).then(|| PlanError::Overload { node: archive.name.clone(), asked, limit })
     }
 
-    fn warm_fraction(&self, shape: &Shape, at: NodeIndex, now: Moment) -> f64 {
-        let Some(hub) = shape.node(at).and_then(Node::as_hub) else { return 1.0 };
+    fn warm_fraction(&self, shape: &Shape, index: NodeIndex, now: Moment) -> f64 {
+        let Some(hub) = shape.node(index).and_then(Node::as_hub) else { return 1.0 };
         if hub.since_ms == 0 {
             return 1.0;
         }
@@ -374,12 +379,12 @@
 
     /// Lets simulated time pass, as long as a hub is still warming up.
     fn wait_for(&mut self, next: &Shape, overload: PlanError) -> Result<(), PlanError> {
-        let now = self.start + self.at;
-        let warming = next.hubs().any(|(at, _)| self.warm_fraction(next, at, now) < 1.0);
+        let now = self.start + self.elapsed;
+        let warming = next.hubs().any(|(index, _)| self.warm_fraction(next, index, now) < 1.0);
         if !warming {
             return Err(overload);
         }
-        self.at = self.at + WAIT_INCREMENT;
+        self.elapsed = self.elapsed + WAIT_INCREMENT;
         Ok(())
     }
 
@@ -387,32 +392,34 @@
         if self.steps.len() >= MAX_STEPS {
             return Err(PlanError::TooManySteps { steps: MAX_STEPS });
         }
-        let names = |shape: &Shape, at| {
-            shape.upstreams(at).iter().map(|upstream| shape.name(*upstream).to_string()).collect()
+        let names = |shape: &Shape, index| {
+            shape.upstreams(index).iter().map(|upstream| shape.name(*upstream).to_string()).collect()
         };
         let nodes: BTreeSet<NodeIndex> = operations.iter().map(|operation| operation.node).collect();
         let moves: Vec<UpstreamChange> = nodes
             .iter()
-            .map(|at| UpstreamChange {
-                node: next.name(*at).into(),
-                from: names(&self.shape, *at),
-                to: names(&next, *at),
+            .map(|index| UpstreamChange {
+                node: next.name(*index).into(),
+                from: names(&self.shape, *index),
+                to: names(&next, *index),
             })
             .filter(|step| step.from != step.to)
             .collect();
         let after = validation::loads(&next).unwrap_or_default();
-        let now = self.start + self.at;
+        let now = self.start + self.elapsed;
         let needs = next
             .hubs()
-            .filter(|(at, hub)| hub.since_ms > 0 && after.of(*at) > self.loads.of(*at))
-            .filter_map(|(at, hub)| age_requirement(hub, after.of(at), self.warm_fraction(&next, at, now)));
+            .filter(|(index, hub)| hub.since_ms > 0 && after.of(*index) > self.loads.of(*index))
+            .filter_map(|(index, hub)| {
+                age_requirement(hub, after.of(index), self.warm_fraction(&next, index, now))
+            });
         let needs: Vec<AgeRequirement> = needs.collect();
         (self.shape, self.loads) = (next, after);
         if !moves.is_empty() {
             let number = self.steps.len() + 1;
-            let not_before_ms = self.at.as_micros() / 1_000;
+            let not_before_ms = self.elapsed.as_micros() / 1_000;
             self.steps.push(Step { number, moves, needs, moved, not_before_ms });
-            self.at = self.at + SETTLE_TIME;
+            self.elapsed = self.elapsed + SETTLE_TIME;
         }
         Ok(())
     }
--- a/crates/shape/src/wait_cycles.rs
+++ b/crates/shape/src/wait_cycles.rs
@@ -79,6 +79,7 @@
 }
 
 impl WaitTracker {
+    /// A tracker without waits, for the hub of this name.
     pub fn new(local_name: &str) -> WaitTracker {
         WaitTracker {
             local_name: local_name.into(),
--- a/crates/sites/src/failure_detector.rs
+++ b/crates/sites/src/failure_detector.rs
@@ -106,6 +106,7 @@
 }
 
 impl FailureDetector {
+    /// A detector without evidence on these sites.
     pub fn new<'a>(sites: impl Iterator<Item = &'a str>, now: Moment) -> FailureDetector {
         let site = |name: &str| (name.to_string(), Site { since: now, ..Site::default() });
         FailureDetector { sites: sites.map(site).collect(), witnesses: BTreeMap::new() }
--- a/crates/sites/src/fallback.rs
+++ b/crates/sites/src/fallback.rs
@@ -53,6 +53,7 @@
 }
 
 impl FallbackMode {
+    /// A node without plans, at a time when a service was last heard.
     pub fn new(now: Moment) -> FallbackMode {
         FallbackMode {
             detector: FailureDetector::new(std::iter::empty(), now),
--- a/crates/sites/src/quota.rs
+++ b/crates/sites/src/quota.rs
@@ -115,6 +115,7 @@
 }
 
 impl RecentRefusals {
+    /// A record without refusals.
     pub fn new(now: Moment) -> RecentRefusals {
         RecentRefusals { halves: Default::default(), rotated: now }
     }
@@ -161,6 +162,7 @@
 }
 
 impl Quota {
+    /// A quota without a limit.
     pub fn new(now: Moment) -> Quota {
         let ring = || Ring::new(Span::millis(250), 4);
         Quota {
--- a/crates/sites/src/retry_budget.rs
+++ b/crates/sites/src/retry_budget.rs
@@ -24,6 +24,7 @@
 }
 
 impl RetryBudget {
+    /// A budget in which each first attempt pays for `share` of a retry.
     pub fn new(share: f64, now: Moment) -> RetryBudget {
         RetryBudget { share, tokens: MIN_RATE, refilled_at: now, first_attempt_rate: 0.0, refused: 0 }
     }
