--- a/crates/shape/src/control.rs
+++ b/crates/shape/src/control.rs
@@ -65,6 +65,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SiteState {
+    /// Nodes may be linked to it.
     #[default]
     InService,
     /// No node is linked to it any more.
@@ -108,22 +109,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum ChangeEvent {
+    /// A change has started.
     #[serde(rename = "begun")]
-    Started {
-        from: u64,
-        steps: usize,
-        by: String,
-    },
+    Started { from: u64, steps: usize, by: String },
+    /// Step `step` of `of` was published as `version`.
     #[serde(rename = "step_out")]
-    StepPublished {
-        step: usize,
-        of: usize,
-        version: u64,
-    },
-    StepSettled {
-        step: usize,
-        of: usize,
-    },
+    StepPublished { step: usize, of: usize, version: u64 },
+    /// A published step is confirmed and healthy.
+    StepSettled { step: usize, of: usize },
+    /// The shape before the step was published again.
     #[serde(rename = "step_undone")]
     StepReverted {
         step: usize,
@@ -131,16 +125,15 @@
         #[serde(rename = "why")]
         reason: String,
     },
+    /// No step is published for now.
     Held {
         step: usize,
         of: usize,
         #[serde(rename = "why")]
         reason: String,
     },
-    Ended {
-        complete: bool,
-        version: u64,
-    },
+    /// The change is over. `complete` is false if it was abandoned.
+    Ended { complete: bool, version: u64 },
     /// A site has changed its state.
     Site {
         site: String,
@@ -151,11 +144,8 @@
     },
     /// The witnesses' view of a site has changed, before anything is done about it.
     #[serde(rename = "seen")]
-    ViewChanged {
-        site: String,
-        view: String,
-        seen_ms: u64,
-    },
+    ViewChanged { site: String, view: String, seen_ms: u64 },
+    /// A hub has broken a cycle of fills that waited for each other.
     #[serde(rename = "loop")]
     WaitCycle {
         hub: String,
--- a/crates/shape/src/messages.rs
+++ b/crates/shape/src/messages.rs
@@ -49,6 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FromMember {
+    /// The regular report of a hub or a branch.
     Report(HubReport),
 }
 
@@ -56,18 +57,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Request {
+    /// The status of the service.
     Status,
     /// The current shape.
     Shape,
     /// The steps that a change would take, without taking any.
-    Plan {
-        form: Box<ShapeConfig>,
-    },
-    Apply {
-        form: Box<ShapeConfig>,
-        expect: Option<u64>,
-        by: String,
-    },
+    Plan { form: Box<ShapeConfig> },
+    /// Start a change, if the current version is the expected one.
+    Apply { form: Box<ShapeConfig>, expect: Option<u64>, by: String },
     /// All events of changes from now on.
     Watch,
 }
@@ -79,6 +76,7 @@
     Status(Box<Status>),
     Shape(Box<ShapeConfig>),
     Plan(Box<Plan>),
+    /// An event of a change.
     #[serde(rename = "said")]
     Event(ChangeEvent),
     /// Each line names one thing that is wrong.
--- a/crates/shape/src/rollout.rs
+++ b/crates/shape/src/rollout.rs
@@ -71,13 +71,21 @@
 /// Why no step is published now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HoldReason {
+    /// The last step has not settled yet.
     Settling,
+    /// A step was reverted a moment ago.
     BackingOff,
+    /// A hub of the next step has not reached the age that the step needs.
     HubTooYoung { hub: String, age: Span, needed: Span },
+    /// The archive is asked for too large a share of the rate at which it stops.
     ArchiveBusy { share: f64 },
+    /// Fetches at the archive take too long compared with the usual time.
     ArchiveSlow { slowness: f64 },
+    /// Fills of a hub take too long compared with the usual time.
     HubSlow { hub: String, slowness: f64 },
+    /// A node of the step has not confirmed the version.
     Unconfirmed { node: String },
+    /// Nothing is due.
     NotDue,
 }
 
--- a/crates/shape/src/validation.rs
+++ b/crates/shape/src/validation.rs
@@ -8,44 +8,24 @@
 /// What is wrong with a version.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    DuplicateName {
-        node: String,
-    },
-    UnknownUpstream {
-        node: String,
-        upstream: String,
-    },
-    DuplicateUpstream {
-        node: String,
-        upstream: String,
-    },
-    BranchUpstream {
-        node: String,
-        upstream: String,
-    },
+    /// Two nodes have the same name.
+    DuplicateName { node: String },
+    /// An upstream does not exist.
+    UnknownUpstream { node: String, upstream: String },
+    /// An upstream is listed more than once.
+    DuplicateUpstream { node: String, upstream: String },
+    /// A branch cannot be an upstream.
+    BranchUpstream { node: String, upstream: String },
     /// The whole cycle: each node is linked to the next, and the last to the first.
-    Cycle {
-        path: Vec<String>,
-    },
-    ArchiveUnreachable {
-        node: String,
-    },
+    Cycle { path: Vec<String> },
+    /// No path leads from the node to the archive.
+    ArchiveUnreachable { node: String },
     /// Linked to the archive and to a hub: the objects of this hub would have two preferred hubs.
-    MixedUpstreams {
-        node: String,
-        upstream: String,
-    },
-    Overload {
-        node: String,
-        asked: f64,
-        limit: f64,
-    },
-    OverloadAfterLoss {
-        node: String,
-        lost: String,
-        asked: f64,
-        limit: f64,
-    },
+    MixedUpstreams { node: String, upstream: String },
+    /// The node is asked for more than it can carry.
+    Overload { node: String, asked: f64, limit: f64 },
+    /// The node would be asked for more than it can carry after the loss of `lost`.
+    OverloadAfterLoss { node: String, lost: String, asked: f64, limit: f64 },
 }
 
 impl fmt::Display for Violation {
--- a/crates/sites/src/failure_detector.rs
+++ b/crates/sites/src/failure_detector.rs
@@ -36,19 +36,17 @@
     /// No witness has reported on it yet.
     #[default]
     Unknown,
+    /// Other sites reach it at its usual pace.
     Up,
     /// Half of the sites that reach it find it slower than usual by at least this factor.
-    Slow {
-        times: f64,
-    },
+    Slow { times: f64 },
     /// These sites do not reach it, but others do.
-    CutFromSome {
-        by: Vec<String>,
-    },
+    CutFromSome { by: Vec<String> },
     /// Hubs of other sites reach it, but no member of the service does.
     CutFromServices,
     /// It is shutting down in order.
     Leaving,
+    /// No witness hears it, and the evidence suffices.
     Lost,
 }
 
