--- a/crates/shape/src/plan.rs
+++ b/crates/shape/src/plan.rs
@@ -132,8 +132,8 @@
         planner.add_batch(batch)?;
     }
     let removes_nodes = from.nodes().any(|(_, node)| target.find(node.name()).is_none());
-    let adds_nodes = planner.shape.to_config().hubs.len() != from.to_config().hubs.len();
-    if planner.steps.is_empty() && (removes_nodes || adds_nodes || *from.archive() != *target.archive()) {
+    let adds_hubs = planner.shape.to_config().hubs.len() != from.to_config().hubs.len();
+    if planner.steps.is_empty() && (removes_nodes || adds_hubs || *from.archive() != *target.archive()) {
         planner.steps.push(Step {
             number: 1,
             moves: Vec::new(),
--- a/crates/sites/src/plan.rs
+++ b/crates/sites/src/plan.rs
@@ -250,11 +250,11 @@
             hubs,
             downstreams,
         };
-        topology.fill();
+        topology.add_loads();
         topology
     }
 
-    fn fill(&mut self) {
+    fn add_loads(&mut self) {
         for index in 0..self.downstreams.len() {
             let (upstreams, load) = (self.downstreams[index].upstreams.clone(), self.downstreams[index].load);
             let share = load / upstreams.len() as f64;
