--- a/crates/branch/src/board.rs
+++ b/crates/branch/src/board.rs
@@ -7,7 +7,7 @@
 //! Purges have numbers of their own, those of the service's one order. By them a router that calls again says what it has
 //! ([`Had`]), whichever feed of the service told it.
 use harestage::time::{Moment, Span};
-use harestage_purge::scope::Checked;
+use harestage_purge::scope::CompiledScope;
 use harestage_shape::config::ShapeConfig;
 use harestage_shape::feed;
 use harestage_shape::messages::FallbackPlan;
@@ -15,7 +15,7 @@
 use harestage_sites::failure_detector::SILENCE_THRESHOLD;
 use harestage_sites::fallback::{FallbackChange, FallbackMode};
 use harestage_sites::liveness::SiteObservation;
-use harestage_wire::feed::Had;
+use harestage_wire::feed::AppliedPurges;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
 
@@ -277,7 +277,7 @@
     }
 
     /// Purges of the service in their order; `has` is the number up to which there is none beside them and those before.
-    pub fn take(&mut self, purges: &[(Checked, Moment)], has: u64) -> Took {
+    pub fn take(&mut self, purges: &[(CompiledScope, Moment)], has: u64) -> Took {
         // Each has a number of its own, and the last has this one at most.
         let behind = purges.len() as u64;
         // Told again, as all that lives is: what is known stays as it is.
@@ -299,7 +299,7 @@
             // Told late, or of another order: whoever has less than all of this is told it.
             let number = has.saturating_sub(behind);
             let number = if before > 0 && number <= before { has } else { number };
-            unknown |= !matches!(scope, Checked::Everything);
+            unknown |= !matches!(scope, CompiledScope::Everything);
             self.purge(scope, self.last_at_ms, number);
         }
         if has != before {
@@ -310,20 +310,24 @@
         if has < before || has == before && unknown { Took::Anew } else { Took::OnTop }
     }
 
-    fn has_taken(&self, scope: &Checked, at_ms: u64, known: &HashSet<(u64, u64)>) -> bool {
+    fn has_taken(&self, scope: &CompiledScope, at_ms: u64, known: &HashSet<(u64, u64)>) -> bool {
         let has_group = |group| self.purged_groups.get(&group).is_some_and(|known| known.at_ms >= at_ms);
         match scope {
-            Checked::Object(object) | Checked::Part(object, _) => known.contains(&(*object, at_ms)),
-            Checked::Group(group) => has_group(*group),
+            CompiledScope::Object(object) | CompiledScope::Part(object, _) => {
+                known.contains(&(*object, at_ms))
+            }
+            CompiledScope::Group(group) => has_group(*group),
             _ => (0..self.groups).all(has_group),
         }
     }
 
     /// Routers know objects and groups; anything wider is told of every group.
-    fn purge(&mut self, scope: &Checked, at_ms: u64, number: u64) {
+    fn purge(&mut self, scope: &CompiledScope, at_ms: u64, number: u64) {
         match scope {
-            Checked::Object(object) | Checked::Part(object, _) => self.purge_object(*object, at_ms, number),
-            Checked::Group(group) => self.purge_group(*group, at_ms, number),
+            CompiledScope::Object(object) | CompiledScope::Part(object, _) => {
+                self.purge_object(*object, at_ms, number)
+            }
+            CompiledScope::Group(group) => self.purge_group(*group, at_ms, number),
             _ => (0..self.groups).for_each(|group| self.purge_group(group, at_ms, number)),
         }
     }
@@ -389,14 +393,14 @@
     }
 
     /// The same for one that says what it has: without the purges that it was told, and those that no longer matter to it.
-    pub fn lacking(&self, had: &Had, now: Moment) -> Option<(Vec<Saying>, u64)> {
+    pub fn lacking(&self, had: &AppliedPurges, now: Moment) -> Option<(Vec<Saying>, u64)> {
         // Nothing is kept here for longer, whatever it says.
-        let matters = Span::millis(had.keeps_ms.min(LIVES.as_micros() / 1_000)) + CLOCKS_DIFFER;
+        let matters = Span::millis(had.retention_ms.min(LIVES.as_micros() / 1_000)) + CLOCKS_DIFFER;
         self.list(self.knows(had).then_some(had.number), now.before(matters).micros() / 1_000)
     }
 
     /// The number is one of this order: the purge that is the last up to it here was asked for at the same moment there.
-    fn knows(&self, had: &Had) -> bool {
+    fn knows(&self, had: &AppliedPurges) -> bool {
         let before = self.live.partition_point(|live| live.number <= had.number);
         let of_objects = before.checked_sub(1).and_then(|at| self.live.get(at));
         let of_objects = of_objects.map(|live| (live.number, live.at_ms));
--- a/crates/branch/src/net.rs
+++ b/crates/branch/src/net.rs
@@ -7,23 +7,23 @@
 use event_listener::Event;
 use futures_lite::future::or;
 use harestage::time::Moment;
-use harestage_audit::acting::{Acting, Wanted, Who};
-use harestage_audit::lines::{Bring, Role, ToAudited};
-use harestage_audit::stamp::Goes;
+use harestage_audit::messages::{KeeperMessage, Role, Update};
+use harestage_audit::process::{AuditedProcess, KeeperRequest, ProcessIdentity};
+use harestage_audit::stamp::Versions;
 use harestage_following::audit::Audited;
 use harestage_following::control::{Heard, Member};
 use harestage_following::{Line, control, looks, purges};
-use harestage_purge::follow::Act;
-use harestage_purge::lines::Past;
+use harestage_purge::follower::Action;
+use harestage_purge::messages::Past;
 use harestage_shape::control::HubReport;
 use harestage_shape::feed;
 use harestage_shape::messages;
 use harestage_sites::fallback::FallbackChange;
-use harestage_sockets::accept::{Open, accept};
+use harestage_sockets::accept::{ConnectionLimit, accept};
 use harestage_sockets::clock::Clock;
-use harestage_sockets::lines::{Lines, within, write_text};
+use harestage_sockets::lines::{LineReader, with_timeout, write_text};
 use harestage_sockets::{Spawner, Stream};
-use harestage_wire::feed::{Had, LONGEST_WORD, Word};
+use harestage_wire::feed::{Ack, AppliedPurges, MAX_ACK_BYTES};
 use slog::{Logger, info, warn};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -77,7 +77,7 @@
     log: Logger,
     name: String,
     /// What it went by, where there is a keeper.
-    acting: Option<RefCell<Acting>>,
+    acting: Option<RefCell<AuditedProcess>>,
     callers: RefCell<BTreeMap<u64, Rc<Calling>>>,
     called: Cell<u64>,
     /// Connections that were ended for a word that can't be.
@@ -113,7 +113,7 @@
         let clock = Clock::start();
         let board = Board::new(&start.branch, start.groups, !start.purges.is_empty(), clock.now());
         let acting = (!start.keepers.is_empty()).then(|| {
-            let who = Who {
+            let who = ProcessIdentity {
                 member: start.name.clone(),
                 start: clock.now().micros(),
                 role: Role::Feed,
@@ -121,8 +121,8 @@
                 place: start.branch.clone(),
             };
             let (build, settings) = (start.build.clone(), start.settings);
-            let goes = Goes { build, settings, ..Goes::default() };
-            RefCell::new(Acting::begin(who, Vec::new(), goes, clock.now()))
+            let goes = Versions { build, settings, ..Versions::default() };
+            RefCell::new(AuditedProcess::new(who, Vec::new(), goes, clock.now()))
         });
         let shared = Rc::new(Shared {
             board: RefCell::new(board),
@@ -152,7 +152,7 @@
         }
         spawner.spawn(beats(shared.clone()));
         spawner.spawn(look(shared.clone(), spawner.clone()));
-        let (open, serving, failing) = (Open::new(start.routers), shared.clone(), log.clone());
+        let (open, serving, failing) = (ConnectionLimit::new(start.routers), shared.clone(), log.clone());
         let one = move |stream| {
             let shared = serving.clone();
             async move {
@@ -191,9 +191,9 @@
     /// What was recorded last is told, if that takes no longer than a moment.
     async fn last_word(&self) {
         let Some(acting) = &self.acting else { return };
-        acting.borrow_mut().recorder().end(self.clock.now());
+        acting.borrow_mut().recorder().finish(self.clock.now());
         for _ in 0..20 {
-            if acting.borrow_mut().recorder().is_told() {
+            if acting.borrow_mut().recorder().is_fully_acknowledged() {
                 return;
             }
             Timer::after(BEAT / 2).await;
@@ -206,9 +206,9 @@
         let (shape, purge) = self.board.borrow().goes();
         let plan = self.board.borrow().plan();
         let mut acting = acting.borrow_mut();
-        let goes = Goes { shape, purge, plan, ..acting.goes().clone() };
-        acting.goes_by(goes, now);
-        acting.beat(now);
+        let goes = Versions { shape, purge, plan, ..acting.versions().clone() };
+        acting.set_versions(goes, now);
+        acting.tick(now);
     }
 
     async fn until_news(&self, at_most: Duration) {
@@ -263,7 +263,7 @@
 struct Reports(Rc<Shared>);
 
 impl Reports {
-    fn with<T>(&self, look: impl FnOnce(&mut Acting) -> T) -> Option<T> {
+    fn with<T>(&self, look: impl FnOnce(&mut AuditedProcess) -> T) -> Option<T> {
         self.0.acting.as_ref().map(|acting| look(&mut acting.borrow_mut()))
     }
 }
@@ -273,7 +273,7 @@
         self.0.clock.now()
     }
 
-    fn report(&self) -> harestage_audit::lines::Report {
+    fn report(&self) -> harestage_audit::messages::Report {
         let now = self.now();
         let report = self.with(|acting| acting.report(now));
         report.unwrap_or_else(|| unreachable!("only a feed that is audited reports"))
@@ -283,10 +283,10 @@
         self.with(|acting| acting.recorder().has_more()).unwrap_or(false)
     }
 
-    async fn answered(&self, answer: ToAudited, asked: Moment) -> bool {
+    async fn answered(&self, answer: KeeperMessage, asked: Moment) -> bool {
         // A feed that starts anew would leave its branch without one: it is brought up, and never ended.
-        if let Some(Wanted::Take(Bring::Whole { shape, plans })) =
-            self.with(|acting| acting.answered(answer, asked)).flatten()
+        if let Some(KeeperRequest::Apply(Update::Full { shape, plans })) =
+            self.with(|acting| acting.on_answer(answer, asked)).flatten()
         {
             info!(self.0.log, "brought up by the keeper"; "version" => shape.version);
             let now = self.now();
@@ -300,14 +300,14 @@
 struct Purges(Rc<Shared>);
 
 impl purges::Hands for Purges {
-    async fn apply(&mut self, acts: Vec<Act>, has: u64, ready: bool) {
+    async fn apply(&mut self, acts: Vec<Action>, has: u64, ready: bool) {
         if !acts.is_empty() {
             info!(self.0.log, "purges told"; "has" => has, "many" => acts.len());
         }
         // Routers name no hub as a source that the shape does not name; hubs pass fenced ones by.
         let purges = acts.into_iter().filter_map(|act| match act {
-            Act::Purge { scope, at } => Some((scope, at)),
-            Act::Fences(_) => None,
+            Action::Purge { scope, at } => Some((scope, at)),
+            Action::SetFenced(_) => None,
         });
         let (took, folds, place) = {
             let mut board = self.0.board.borrow_mut();
@@ -365,7 +365,7 @@
         for (name, at) in wanted {
             asked.entry((name.clone(), at)).or_insert_with(|| {
                 let shared = shared.clone();
-                spawner.spawn_held(looks::ask(at, line(), move |seen| {
+                spawner.spawn_with_handle(looks::ask(at, line(), move |seen| {
                     let now = shared.clock.now();
                     shared.board.borrow_mut().seen(&name, &seen.unseen, seen.leaving, now);
                 }))
@@ -390,12 +390,12 @@
 
 /// The platform's control feed to one router. What it says of what it has is heard beside.
 async fn serve(shared: &Shared, stream: &Stream) -> Result<(), String> {
-    let mut lines = Lines::new(stream, LONGEST_SUBSCRIPTION);
-    let line = within(STALL, "silent", lines.next()).await?;
+    let mut lines = LineReader::new(stream, LONGEST_SUBSCRIPTION);
+    let line = with_timeout(STALL, "silent", lines.next_line()).await?;
     let first = std::str::from_utf8(&line).ok().and_then(|line| line.trim_end().strip_prefix("SUB "));
     let number = first.and_then(|n| n.parse().ok()).filter(|n| *n <= MOST_EVENTS);
     let mut last: u64 = number.ok_or("no subscription")?;
-    lines.most = LONGEST_WORD;
+    lines.max_line_bytes = MAX_ACK_BYTES;
     while shared.board.borrow().waits_for().is_some() {
         // A router that waits hears that the feed is there.
         write_text(stream, &feed::heartbeat(last), STALL).await?;
@@ -434,16 +434,16 @@
 }
 
 /// What it says that it had. None: it says nothing, as programs do that don't know the word.
-async fn had(shared: &Shared, lines: &mut Lines<'_>) -> Result<Option<Had>, String> {
+async fn had(shared: &Shared, lines: &mut LineReader<'_>) -> Result<Option<AppliedPurges>, String> {
     let silent = async {
         after(ANSWERS_WITHIN).await;
         Ok(None)
     };
-    let line = or(async { lines.next().await.map(Some) }, silent).await;
-    match line.map_err(|why| ended_itself(shared, why))?.map(|line| Word::read(&line)) {
+    let line = or(async { lines.next_line().await.map(Some) }, silent).await;
+    match line.map_err(|why| ended_itself(shared, why))?.map(|line| Ack::decode(&line)) {
         None => Ok(None),
-        Some(Some(Word::Had(had))) => Ok(Some(had)),
-        Some(Some(Word::Has(_))) => Err(refused(shared, Ended::OutOfTurn)),
+        Some(Some(Ack::Initial(had))) => Ok(Some(had)),
+        Some(Some(Ack::Applied(_))) => Err(refused(shared, Ended::OutOfTurn)),
         Some(None) => Err(refused(shared, Ended::NoWord)),
     }
 }
@@ -459,9 +459,9 @@
 }
 
 /// Takes its words in for as long as it says what can be.
-async fn hear(shared: &Shared, calling: &Calling, lines: &mut Lines<'_>) -> Result<(), String> {
+async fn hear(shared: &Shared, calling: &Calling, lines: &mut LineReader<'_>) -> Result<(), String> {
     loop {
-        let line = lines.next().await.map_err(|why| ended_itself(shared, why))?;
+        let line = lines.next_line().await.map_err(|why| ended_itself(shared, why))?;
         let said = calling.caller.borrow_mut().says(&line, shared.clock.now());
         said.map_err(|why| refused(shared, why))?;
         shared.taken.notify(usize::MAX);
--- a/crates/cli/src/witness.rs
+++ b/crates/cli/src/witness.rs
@@ -2,19 +2,19 @@
 use async_channel::Sender;
 use async_io::Timer;
 use futures_lite::future::or;
-use harestage::state::ContentIx;
+use harestage::state::ContentIndex;
 use harestage::time::Moment;
-use harestage_audit::acting::{Acting, Wanted, Who};
 use harestage_audit::chain::Outcome;
-use harestage_audit::lines::{Bring, Report, Role, ToAudited};
-use harestage_audit::stamp::Goes;
+use harestage_audit::messages::{KeeperMessage, Report, Role, Update};
+use harestage_audit::process::{AuditedProcess, KeeperRequest, ProcessIdentity};
+use harestage_audit::stamp::Versions;
 use harestage_following::audit::{Audited, follow};
-use harestage_router::program::{Attach, Attached, Beside};
-use harestage_router::routing::News;
-use harestage_router::routing::witness::{Became, Witness};
+use harestage_router::program::{AttachObserver, BackgroundTask, ObserverContext};
+use harestage_router::routing::Input;
+use harestage_router::routing::observer::{DownloadOutcome, Observer};
 use harestage_sockets::clock::Clock;
-use harestage_wire::feed::{self, Line, Marks};
-use harestage_wire::peer::Mark;
+use harestage_wire::feed::{self, FeedMessage, ServiceState};
+use harestage_wire::peer::AuditMark;
 use slog::{Logger, info, warn};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -46,11 +46,11 @@
 const COME_AGAIN_MS: u64 = 500;
 
 struct Watching {
-    acting: RefCell<Acting>,
+    acting: RefCell<AuditedProcess>,
     clock: Clock,
     marked: Vec<String>,
     drawn: Cell<u64>,
-    inbox: Sender<News>,
+    inbox: Sender<Input>,
     log: Logger,
     /// It was said that this router may not act.
     said: Cell<bool>,
@@ -69,21 +69,21 @@
 }
 
 /// None: there is no keeper.
-pub fn attach(watch: &Watch, file: &str) -> Option<Attach> {
+pub fn attach(watch: &Watch, file: &str) -> Option<AttachObserver> {
     if watch.keepers.is_empty() {
         return None;
     }
     let (watch, settings) = (watch.clone(), std::fs::read(file).unwrap_or_default());
-    Some(Box::new(move |to: Attached| {
-        let Attached { name, contents, clock, inbox, log } = to;
+    Some(Box::new(move |to: ObserverContext| {
+        let ObserverContext { name, contents, clock, inbox, log } = to;
         let place = if watch.branch.is_empty() { name.clone() } else { watch.branch.clone() };
         let start = clock.now().micros();
-        let who = Who { member: name, start, role: Role::Router, site: place.clone(), place };
-        let settings = harestage_audit::stamp::settings_of(&settings);
-        let goes = Goes { build: watch.build.clone(), settings, ..Goes::default() };
-        let mut acting = Acting::begin(who, contents, goes, clock.now());
+        let who = ProcessIdentity { member: name, start, role: Role::Router, site: place.clone(), place };
+        let settings = harestage_audit::stamp::settings_digest(&settings);
+        let goes = Versions { build: watch.build.clone(), settings, ..Versions::default() };
+        let mut acting = AuditedProcess::new(who, contents, goes, clock.now());
         if watch.plain {
-            acting.is_plain();
+            acting.disable_lease();
         }
         let acting = RefCell::new(acting);
         let (marked, drawn, said) = (watch.marked.clone(), Cell::new(0), Cell::new(false));
@@ -91,8 +91,8 @@
         let watching =
             Rc::new(Watching { acting, clock, marked, drawn, inbox, log: log.clone(), said, ends });
         let reporting = follow(Reporting(watching.clone()), watch.keepers.clone(), line(), log);
-        let beside: Beside = Box::pin(or(reporting, beats(watching.clone())));
-        (watching as Rc<dyn Witness>, beside)
+        let beside: BackgroundTask = Box::pin(or(reporting, beats(watching.clone())));
+        (watching as Rc<dyn Observer>, beside)
     }))
 }
 
@@ -100,8 +100,8 @@
     loop {
         Timer::after(BEAT).await;
         let now = watching.clock.now();
-        watching.acting.borrow_mut().beat(now);
-        let why = watching.acting.borrow().why_shut(now);
+        watching.acting.borrow_mut().tick(now);
+        let why = watching.acting.borrow().exclusion_reason(now);
         if watching.said.replace(why.is_some()) != why.is_some() {
             match why {
                 Some(why) => warn!(watching.log, "acts no more"; "why" => why),
@@ -112,65 +112,72 @@
 }
 
 impl Watching {
-    fn take_up(&self, marks: &Marks, now: Moment) {
+    fn take_up(&self, marks: &ServiceState, now: Moment) {
         let mut acting = self.acting.borrow_mut();
-        let own = acting.goes().clone();
+        let own = acting.versions().clone();
         // Numbers never go back: a feed that starts anew tells what it has, which may be less than was told before it.
-        let shape = marks.version.unwrap_or(own.shape).max(own.shape);
-        let purge = marks.purges.unwrap_or(own.purge).max(own.purge);
+        let shape = marks.shape_version.unwrap_or(own.shape).max(own.shape);
+        let purge = marks.purge_number.unwrap_or(own.purge).max(own.purge);
         let plan = marks.plan.clone().unwrap_or(own.plan.clone());
         if (shape, purge, &plan) != (own.shape, own.purge, &own.plan) {
             info!(self.log, "goes by"; "shape" => shape, "purge" => purge, "plan" => &plan);
         }
-        acting.goes_by(Goes { shape, purge, plan, ..own }, now);
+        acting.set_versions(Versions { shape, purge, plan, ..own }, now);
     }
 }
 
-impl Witness for Watching {
-    fn goes_by(&self, marks: &Marks, now: Moment) {
+impl Observer for Watching {
+    fn on_service_state(&self, marks: &ServiceState, now: Moment) {
         self.take_up(marks, now);
     }
 
-    fn may_act(&self) -> bool {
+    fn may_send(&self) -> bool {
         self.acting.borrow().may_act(self.clock.now())
     }
 
-    fn come_again_ms(&self) -> u64 {
+    fn retry_after_ms(&self) -> u64 {
         self.drawn.set(self.drawn.get() + 1);
         COME_AGAIN_MS + self.drawn.get().wrapping_mul(0x9e37_79b9_7f4a_7c15) % COME_AGAIN_MS
     }
 
-    fn acts_by(&self) -> u64 {
-        self.acting.borrow_mut().recorder().stamp_no()
+    fn state_number(&self) -> u64 {
+        self.acting.borrow_mut().recorder().stamp_sequence()
     }
 
-    fn ended(&self, content: ContentIx, became: Became, id: u64, acted: Option<u64>, now: Moment) {
+    fn on_download_end(
+        &self,
+        content: ContentIndex,
+        became: DownloadOutcome,
+        id: u64,
+        acted: Option<u64>,
+        now: Moment,
+    ) {
         let outcome = match became {
-            Became::Fulfilled => Outcome::Fulfilled,
-            Became::Throttled => Outcome::Throttled,
-            Became::Abandoned => Outcome::Abandoned,
-            Became::Left => Outcome::Left,
+            DownloadOutcome::Fulfilled => Outcome::Fulfilled,
+            DownloadOutcome::Throttled => Outcome::Throttled,
+            DownloadOutcome::Abandoned => Outcome::Abandoned,
+            DownloadOutcome::Left => Outcome::ClientLeft,
         };
         let (mut acting, content) = (self.acting.borrow_mut(), content.0 as usize);
         match acted {
-            Some(acted) => acting.ended_under(acted, content, outcome, id, now),
-            None => acting.ended(content, outcome, id, now),
+            Some(acted) => acting.download_ended_under(acted, content, outcome, id, now),
+            None => acting.download_ended(content, outcome, id, now),
         }
     }
 
-    fn ends(&self) {
+    fn on_shutdown(&self) {
         self.ends.set(true);
         let now = self.clock.now();
-        self.acting.borrow_mut().recorder().end(now);
+        self.acting.borrow_mut().recorder().finish(now);
     }
 
-    fn pulled(&self, node: &str, now: Moment) -> Option<Mark> {
+    fn on_pull(&self, node: &str, now: Moment) -> Option<AuditMark> {
         let mut acting = self.acting.borrow_mut();
-        acting.recorder().pulled(node, now);
+        acting.recorder().pull_sent(node, now);
         let ours = self.marked.iter().any(|prefix| node.starts_with(prefix.as_str()));
         ours.then(|| {
-            let (by, place) = (acting.who().member.clone(), acting.who().place.clone());
-            Mark { by, place, stamp: acting.stamp().to_string() }
+            let (by, place) = (acting.identity().member.clone(), acting.identity().place.clone());
+            AuditMark { by, place, stamp: acting.stamp().to_string() }
         })
     }
 }
@@ -190,25 +197,25 @@
         self.0.acting.borrow_mut().recorder().has_more()
     }
 
-    async fn answered(&self, answer: ToAudited, asked: Moment) -> bool {
-        let wanted = self.0.acting.borrow_mut().answered(answer, asked);
+    async fn answered(&self, answer: KeeperMessage, asked: Moment) -> bool {
+        let wanted = self.0.acting.borrow_mut().on_answer(answer, asked);
         match wanted {
-            Some(Wanted::Restart(why)) => {
+            Some(KeeperRequest::Restart(why)) => {
                 warn!(self.0.log, "starts anew: the keeper asks for it"; "why" => why);
                 return false;
             }
             // Through the same door as the feed, under no number of its own.
-            Some(Wanted::Take(Bring::Listing { event })) => {
+            Some(KeeperRequest::Apply(Update::Membership { event })) => {
                 info!(self.0.log, "brought up by the keeper");
-                if let Ok(Line::Event(_, told)) = feed::read_line(event.as_bytes()) {
-                    let _ = self.0.inbox.send(News::Told(told)).await;
-                    if let Some(marks) = feed::read_marks(event.as_bytes()) {
-                        let _ = self.0.inbox.send(News::GoesBy(marks)).await;
+                if let Ok(FeedMessage::Event(_, told)) = feed::decode_line(event.as_bytes()) {
+                    let _ = self.0.inbox.send(Input::Feed(told)).await;
+                    if let Some(marks) = feed::decode_service_state(event.as_bytes()) {
+                        let _ = self.0.inbox.send(Input::ServiceState(marks)).await;
                     }
                 }
             }
             _ => {}
         }
-        !(self.0.ends.get() && self.0.acting.borrow_mut().recorder().is_told())
+        !(self.0.ends.get() && self.0.acting.borrow_mut().recorder().is_fully_acknowledged())
     }
 }
--- a/crates/hub/src/desk/ways.rs
+++ b/crates/hub/src/desk/ways.rs
@@ -1,13 +1,13 @@
 //! Where a fill goes: by the shape, past those from whom nothing is to be taken now, to the archive last.
 use super::fills::{Fill, Stage};
 use super::{Ask, Desk, Order, Peer, PullNo};
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_shape::fetch_rights::REPLY_TIMEOUT;
 use harestage_shape::route::{self, NextHop};
 use harestage_shape::topology::{Node, NodeIndex, Shape};
 use harestage_shape::wait_cycles::{Action, Key};
-use harestage_wire::peer::Way;
+use harestage_wire::peer::HubRoute;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A fill that its source leaves without an answer for as long goes to the next, while there is time for that.
@@ -76,7 +76,7 @@
         if self.sites.is_nowhere() || self.rationing.lets_repeat(now) {
             self.advance(key, now);
         } else {
-            self.fail(key, Remark::SourceLost);
+            self.fail(key, CacheStatus::SourceLost);
         }
     }
 
@@ -95,7 +95,7 @@
         let Some(fill) = self.fills.get(key) else { return };
         let shape = self.sites.planned(fill.version).or_else(|| self.versions.get(fill.version));
         let Some(shape) = shape.cloned() else {
-            return self.fail(key, Remark::SourceLost);
+            return self.fail(key, CacheStatus::SourceLost);
         };
         let me = self.me(&shape);
         let mut avoid = fill.avoid.clone();
@@ -107,10 +107,10 @@
         // The home has refused it for want of room: past it, the archive would be asked for what is worth least.
         let refused = self.fills.get(key).and_then(|fill| fill.come).is_some_and(|come| come > now);
         match next {
-            Some(NextHop::Archive) if refused => self.fail(key, Remark::SourceLost),
+            Some(NextHop::Archive) if refused => self.fail(key, CacheStatus::SourceLost),
             Some(NextHop::Hub(hub)) => self.wait_on(key, hub, path, &shape, now),
             Some(NextHop::Archive) => self.reach_archive(key, me, &shape, now),
-            None => self.fail(key, Remark::SourceLost),
+            None => self.fail(key, CacheStatus::SourceLost),
         }
     }
 
@@ -127,13 +127,13 @@
         }
     }
 
-    pub(super) fn way(&self, path: &[String], version: u64, hand_over: bool) -> Way {
+    pub(super) fn way(&self, path: &[String], version: u64, hand_over: bool) -> HubRoute {
         let mut path = path.to_vec();
         path.push(self.name.clone());
         // What came by more hubs than a path may name keeps its last ones: a circle still shows by them.
-        let over = path.len().saturating_sub(harestage_wire::peer::LONGEST_PATH);
+        let over = path.len().saturating_sub(harestage_wire::peer::MAX_PATH_HUBS);
         path.drain(..over);
-        Way { path, version, hand_over }
+        HubRoute { path, shape_version: version, hand_over }
     }
 
     pub(super) fn pull(
@@ -142,7 +142,7 @@
         place: NodeIndex,
         shape: &Shape,
         only_held: bool,
-        way: Option<Way>,
+        way: Option<HubRoute>,
         now: Moment,
     ) -> PullNo {
         let pull = self.next_pull();
--- a/crates/hub/tests/audited.rs
+++ b/crates/hub/tests/audited.rs
@@ -1,18 +1,18 @@
 //! A hub that is audited: what it refuses for its stamp, at once and never run, what it records, and how it takes what the
 //! keeper brings.
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
-use harestage_audit::acting::Wanted;
 use harestage_audit::chain::{Body, Link};
-use harestage_audit::lines::{Bring, Refusals, ToAudited};
-use harestage_audit::stamp::{Goes, Stamp};
+use harestage_audit::messages::{AdmissionRules, KeeperMessage, Update};
+use harestage_audit::process::KeeperRequest;
+use harestage_audit::stamp::{Stamp, Versions};
 use harestage_hub::desk::{Bounds, Desk, Keeping, News, Order};
 use harestage_shape::archive_share::RateShare;
 use harestage_shape::config::{ArchiveConfig, HubConfig, ShapeConfig};
-use harestage_wire::fields::Hex;
-use harestage_wire::node::{Answer, Asked, CopyTag, Word};
-use harestage_wire::peer::Mark;
+use harestage_wire::fields::HexId;
+use harestage_wire::node::{Answer, AnswerStatus, CopyTag, IncomingRequest};
+use harestage_wire::peer::AuditMark;
 use std::collections::HashMap;
 
 fn shape(version: u64) -> ShapeConfig {
@@ -57,27 +57,27 @@
 }
 
 fn stamp(shape: u64) -> Stamp {
-    Goes { shape, ..Goes::default() }.stamp()
+    Versions { shape, ..Versions::default() }.stamp()
 }
 
 fn asked(no: u64, by: &str, shape: u64) -> News {
-    let mark = Mark { by: by.into(), place: "br".into(), stamp: stamp(shape).to_string() };
-    let asked = Asked {
-        id: Hex::of(no),
+    let mark = AuditMark { by: by.into(), place: "br".into(), stamp: stamp(shape).to_string() };
+    let asked = IncomingRequest {
+        id: HexId::from_u64(no),
         content: Bytes::from_static(b"clip"),
-        object: Hex::of(no),
+        object: HexId::from_u64(no),
         part: 0,
-        waits_ms: 3_000,
+        timeout_ms: 3_000,
         source: Some(Bytes::from_static(b"archive")),
         rank: 1,
-        oldest_ms: None,
+        max_age_ms: None,
         join: true,
-        only_held: false,
-        no_copy: false,
-        renew: false,
-        held: None,
+        only_if_cached: false,
+        no_store: false,
+        stale_while_revalidate: false,
+        known_digest: None,
         body: Bytes::new(),
-        way: None,
+        route: None,
         mark: Some(mark),
     };
     News::Asked { conn: 1, asked: Box::new(asked) }
@@ -85,18 +85,25 @@
 
 fn refuse(desk: &mut Desk, shut: &[(&str, f64)]) {
     let shut = shut.iter().map(|(name, share)| (name.to_string(), *share)).collect();
-    let refuse = Some(Refusals { shut, shape: 5, purge: 0 });
-    let answer =
-        ToAudited::Ack { term: 1, start: 9, upto: 0, lease_ms: 3_000, shut: None, bring: None, refuse };
-    assert_eq!(desk.audit().unwrap().answered(answer, at(10)), None);
+    let refuse = Some(AdmissionRules { excluded: shut, min_shape: 5, min_purge: 0 });
+    let answer = KeeperMessage::Ack {
+        term: 1,
+        start: 9,
+        upto: 0,
+        lease_ms: 3_000,
+        excluded: None,
+        update: None,
+        admission: refuse,
+    };
+    assert_eq!(desk.audit().unwrap().on_answer(answer, at(10)), None);
 }
 
 /// The word that a pull got at once, and its reason; none where it runs.
-fn at_once(desk: &mut Desk, news: News) -> Option<(Word, Option<&'static str>)> {
+fn at_once(desk: &mut Desk, news: News) -> Option<(AnswerStatus, Option<&'static str>)> {
     let orders = desk.step(at(20), std::iter::once(news));
     let fetched = orders.iter().any(|order| matches!(order, Order::Pull { .. }));
     let given = orders.iter().find_map(|order| match order {
-        Order::Answer { given, .. } => Some((given.word, given.why)),
+        Order::Answer { given, .. } => Some((given.status, given.reason)),
         _ => None,
     });
     assert!(given.is_none() || !fetched, "what is refused never runs");
@@ -108,13 +115,13 @@
     let mut desk = desk();
     assert_eq!(at_once(&mut desk, asked(1, "r-1", 4)), None, "nobody is shut out yet");
     refuse(&mut desk, &[("r-1", 0.0), ("r-2", 0.5)]);
-    assert_eq!(at_once(&mut desk, asked(2, "r-1", 4)), Some((Word::Full, Some("old"))));
+    assert_eq!(at_once(&mut desk, asked(2, "r-1", 4)), Some((AnswerStatus::Busy, Some("old"))));
     assert_eq!(
         at_once(&mut desk, asked(3, "r-1", 5)),
-        Some((Word::Full, Some("old"))),
+        Some((AnswerStatus::Busy, Some("old"))),
         "let in by no share yet"
     );
-    assert_eq!(at_once(&mut desk, asked(4, "r-2", 4)), Some((Word::Full, Some("old"))));
+    assert_eq!(at_once(&mut desk, asked(4, "r-2", 4)), Some((AnswerStatus::Busy, Some("old"))));
     assert_eq!(at_once(&mut desk, asked(5, "r-3", 4)), None, "only those whom the keeper has decided on");
     let refused = (100..300).filter(|no| at_once(&mut desk, asked(*no, "r-2", 5)).is_some()).count();
     assert!((60..140).contains(&refused), "half of what is not forbidden: {refused} of 200");
@@ -134,49 +141,53 @@
     assert_eq!(mark, None, "the archive is not ours");
     let copy = CopyTag { digest: Bytes::from_static(b"d"), dated_ms: 700, group: None };
     let answer = Answer {
-        id: Hex::of(pull),
-        word: Word::Good,
-        remark: Remark::Nothing,
-        first_ms: 1.0,
+        id: HexId::from_u64(pull),
+        status: AnswerStatus::Fulfilled,
+        remark: CacheStatus::Unknown,
+        first_byte_ms: 1.0,
         body: Bytes::from_static(b"body"),
     };
     desk.step(at(40), std::iter::once(News::Answered { pull, answer, copy: Some(copy) }));
     desk.step(at(2_000), std::iter::empty());
-    let links: Vec<Link> = desk.audit().unwrap().recorder().due();
+    let links: Vec<Link> = desk.audit().unwrap().recorder().pending_links();
     let spans = links.iter().filter_map(|link| match &link.body {
-        Body::Span(span) => Some(span.as_ref()),
+        Body::Interval(span) => Some(span.as_ref()),
         _ => None,
     });
     let spans: Vec<_> = spans.collect();
-    assert_eq!(spans.iter().map(|span| span.many()).sum::<u64>(), 2);
-    let answered: Vec<_> = spans.iter().flat_map(|span| &span.answered).collect();
-    let of = |by: &str| answered.iter().find(|a| a.by == by).map(|a| (a.stamp.shape, a.taken, a.refused));
+    assert_eq!(spans.iter().map(|span| span.download_count()).sum::<u64>(), 2);
+    let answered: Vec<_> = spans.iter().flat_map(|span| &span.received).collect();
+    let of =
+        |by: &str| answered.iter().find(|a| a.puller == by).map(|a| (a.stamp.shape, a.accepted, a.refused));
     assert_eq!((of("r-1"), of("r-2")), (Some((4, 0, 1)), Some((5, 1, 0))));
     assert_eq!(spans.iter().map(|span| span.oldest_ms).max(), Some(700));
     assert!(spans.iter().all(|span| span.stamp.shape == 5));
-    assert!(links.iter().all(Link::holds));
+    assert!(links.iter().all(Link::is_intact));
 }
 
 #[test]
 fn a_version_that_the_keeper_brings_is_taken_and_one_that_can_not_be_is_told() {
     let mut desk = desk();
     let whole = |form: ShapeConfig| {
-        News::Wanted(Box::new(Wanted::Take(Bring::Whole { shape: Box::new(form), plans: Vec::new() })))
+        News::Wanted(Box::new(KeeperRequest::Apply(Update::Full {
+            shape: Box::new(form),
+            plans: Vec::new(),
+        })))
     };
     desk.step(at(50), std::iter::once(whole(shape(6))));
     assert_eq!(desk.version(), 6);
-    let difference = Bring::Difference { from: 6, to: 7, ties: vec![("a".into(), vec!["archive".into()])] };
-    desk.step(at(60), std::iter::once(News::Wanted(Box::new(Wanted::Take(difference)))));
+    let difference = Update::Difference { from: 6, to: 7, ties: vec![("a".into(), vec!["archive".into()])] };
+    desk.step(at(60), std::iter::once(News::Wanted(Box::new(KeeperRequest::Apply(difference)))));
     assert_eq!(desk.version(), 7);
     let mut wrong = shape(8);
     wrong.hubs[0].up = vec!["mars".into()];
     desk.step(at(70), std::iter::once(whole(wrong)));
     let report = desk.audit().unwrap().report(at(70));
-    assert!(report.refuses.is_some_and(|(version, why)| version == 8 && why.contains("mars")));
+    assert!(report.rejected.is_some_and(|(version, why)| version == 8 && why.contains("mars")));
     assert_eq!(desk.version(), 7);
     desk.step(at(80), std::iter::once(whole(shape(9))));
-    assert_eq!((desk.version(), desk.audit().unwrap().report(at(80)).refuses), (9, None));
-    let asked = News::Wanted(Box::new(Wanted::Restart("it helps".into())));
+    assert_eq!((desk.version(), desk.audit().unwrap().report(at(80)).rejected), (9, None));
+    let asked = News::Wanted(Box::new(KeeperRequest::Restart("it helps".into())));
     let orders = desk.step(at(90), std::iter::once(asked));
     assert!(orders.contains(&Order::StartAnew("it helps".into())));
 }
--- a/crates/measure/src/capacity/slopes.rs
+++ b/crates/measure/src/capacity/slopes.rs
@@ -2,22 +2,22 @@
 //! own, and says its figures as one JSON object; virtual time throughout, no sockets.
 use super::machine::{self, Busy};
 use super::size::*;
-use harestage::brain::Brain;
-use harestage::door::{Content, Event, Order, ServiceProfile};
+use harestage::interface::{Action, ContentType, Event, ServiceProfile};
+use harestage::policy::Policy;
 use harestage::state::*;
 use harestage::time::{Moment, Span};
-use harestage_audit::acting::{Acting, Who};
 use harestage_audit::chain::Outcome;
-use harestage_audit::keep::Keep;
-use harestage_audit::lines::{FromAudited, Role as Audited, line as audit_line};
-use harestage_audit::stamp::Goes;
+use harestage_audit::keeper::KeeperState;
+use harestage_audit::messages::{ProcessMessage, Role as Audited, to_line as audit_line};
+use harestage_audit::process::{AuditedProcess, ProcessIdentity};
+use harestage_audit::stamp::Versions;
 use harestage_branch::board::{Board, Saying};
 use harestage_keeper::store::Store;
-use harestage_purge::follow::{Act, Follower};
+use harestage_purge::follower::{Action as FollowerAction, Follower};
 use harestage_purge::index::Index;
-use harestage_purge::lines::{ToMember, line};
-use harestage_purge::order::{Entry, Item, Limit, What};
-use harestage_purge::scope::{Checked, Facts, Scope};
+use harestage_purge::messages::{ToMember, to_line};
+use harestage_purge::scope::{CompiledScope, CopyAttributes, Scope};
+use harestage_purge::sequencer::{Item, LogEntry, Payload, RateLimit};
 use harestage_purge::service::Service;
 use harestage_segments::{Folder, Log};
 use harestage_shape::config::{ArchiveConfig, BranchConfig, HubConfig, ShapeConfig};
@@ -171,7 +171,7 @@
     let begun = Busy::now();
     for n in 0..live {
         now = now + Span::micros(3_600_000_000 / live);
-        board.take(&[(Checked::Object(mixed(n)), now)], n + 1);
+        board.take(&[(CompiledScope::Object(mixed(n)), now)], n + 1);
     }
     let purge_us = ms(begun) * 1e3 / live as f64;
     let state = own_mb() - before;
@@ -204,7 +204,7 @@
     for n in 0..LIVE_PURGES {
         now = now + Span::micros(1_000_000 / PURGES_A_SECOND);
         let place = board.place();
-        board.take(&[(Checked::Object(mixed(n)), now)], n + 1);
+        board.take(&[(CompiledScope::Object(mixed(n)), now)], n + 1);
         let said = board.after(place).map(|said| said.cloned().collect::<Vec<_>>()).unwrap_or_default();
         folds += u64::from(said.iter().any(|said| matches!(said, Saying::Purge { group: Some(_), .. })));
         if n % PURGES_A_SECOND == 0 {
@@ -224,32 +224,33 @@
     let begun = Busy::now();
     for n in 0..live {
         now = now + Span::micros(3_600_000_000 / live);
-        index.enter(&Checked::Object(mixed(n)), now, now);
+        index.insert(&CompiledScope::Object(mixed(n)), now, now);
     }
     let enter_ns = ms(begun) * 1e6 / live as f64;
     let resident = (own_mb() - before) * 1e6;
     const LOOKS: u64 = 400_000;
     let begun = Busy::now();
     for n in 0..LOOKS {
-        let facts = Facts { object: mixed(n % (2 * live)), part: 0, group: None, name: None, tags: None };
-        black_box(index.from_when(black_box(&facts)));
+        let facts =
+            CopyAttributes { object: mixed(n % (2 * live)), part: 0, group: None, name: None, tags: None };
+        black_box(index.newest_purge(black_box(&facts)));
     }
     Found::from([
-        ("bytes".into(), index.bytes() as f64),
+        ("bytes".into(), index.estimated_bytes() as f64),
         ("resident_bytes".into(), resident),
         ("enter_ns".into(), enter_ns),
         ("look_ns".into(), ms(begun) * 1e6 / LOOKS as f64),
-        ("folded".into(), index.folded() as f64),
+        ("folded".into(), index.total_folds() as f64),
     ])
 }
 
-fn entry(n: u64) -> Entry {
-    let what = What::Purge {
+fn entry(n: u64) -> LogEntry {
+    let what = Payload::Purge {
         scope: Scope::Object(format!("{:016x}", mixed(n))),
         tenant: n as u32 % 50,
         key: format!("k{n}"),
     };
-    Entry::Item(Item { number: n, term: 1, at_ms: BEGIN.micros() / 1_000 + n * 83, what })
+    LogEntry::Item(Item { number: n, term: 1, at_ms: BEGIN.micros() / 1_000 + n * 83, payload: what })
 }
 
 /// A log of so many live purges with their reports, opened again, and the service taken up from it.
@@ -259,8 +260,8 @@
     let (mut log, _) = Log::open(Folder::open(&path).expect("a folder"), 8 << 20).expect("a log");
     let (mut bytes, mut records) = (0, 0);
     let begun = Busy::now();
-    let entries: Vec<Entry> = std::iter::once(Entry::Term { term: 1 })
-        .chain((1..=live).flat_map(|n| [entry(n), Entry::Reported { term: 1, number: n }]))
+    let entries: Vec<LogEntry> = std::iter::once(LogEntry::Term { term: 1 })
+        .chain((1..=live).flat_map(|n| [entry(n), LogEntry::Reported { term: 1, number: n }]))
         .collect();
     for entry in &entries {
         let record = serde_json::to_vec(entry).unwrap_or_default();
@@ -278,12 +279,12 @@
     let (_, found) = Log::open(Folder::open(&path).expect("a folder"), 8 << 20).expect("a log");
     let reopen_ms = ms(begun);
     let begun = Busy::now();
-    let read: Vec<Entry> =
+    let read: Vec<LogEntry> =
         found.records.iter().filter_map(|record| serde_json::from_slice(&record.bytes).ok()).collect();
-    let (service, _) = Service::open(&read, Limit { rate: 200.0, burst: 2_000.0 }, BEGIN);
+    let (service, _) = Service::open(&read, RateLimit { rate: 200.0, burst: 2_000.0 }, BEGIN);
     let take_up_ms = ms(begun);
     let begun = Busy::now();
-    let whole = service.whole().len();
+    let whole = service.snapshot().len();
     Found::from([
         ("records".into(), records as f64),
         ("bytes".into(), bytes as f64),
@@ -296,31 +297,31 @@
     ])
 }
 
-fn goes(purge: u64) -> Goes {
-    Goes { build: "0.1.0".into(), settings: 7, shape: 1, purge, term: 1, ..Goes::default() }
+fn goes(purge: u64) -> Versions {
+    Versions { build: "0.1.0".into(), settings: 7, shape: 1, purge, term: 1, ..Versions::default() }
 }
 
-fn acting(n: usize, now: Moment) -> Acting {
-    let who = Who {
+fn acting(n: usize, now: Moment) -> AuditedProcess {
+    let who = ProcessIdentity {
         member: format!("router-{n}"),
         start: 1,
         role: Audited::Router,
         site: format!("br-{n}"),
         place: format!("br-{n}"),
     };
-    Acting::begin(who, vec!["clip".into()], goes(0), now)
+    AuditedProcess::new(who, vec!["clip".into()], goes(0), now)
 }
 
 /// Downloads that end, with purges that come among them, each at its place.
-fn count(acting: &mut Acting, downloads: u64, purges: u64, has: u64, id: &mut u64, now: Moment) {
+fn count(acting: &mut AuditedProcess, downloads: u64, purges: u64, has: u64, id: &mut u64, now: Moment) {
     let mut applied = 0;
     for n in 1..=downloads {
         *id += 1;
         while applied < purges && n * purges >= (applied + 1) * downloads {
             applied += 1;
-            acting.goes_by(goes(has + applied), now);
+            acting.set_versions(goes(has + applied), now);
         }
-        acting.ended(0, Outcome::Fulfilled, mixed(*id), now);
+        acting.download_ended(0, Outcome::Fulfilled, mixed(*id), now);
     }
 }
 
@@ -342,12 +343,12 @@
             let due = purges * step * REPORTS_EVERY.as_micros() / 1_000_000;
             count(&mut acting, upto - id, due - last_purge, last_purge, &mut id, now);
             last_purge = due;
-            acting.beat(now);
+            acting.tick(now);
             let report = acting.report(now);
             links += report.links.len();
             waits = waits.max(report.links.len());
             let upto = report.links.last().map(|link| link.number);
-            bytes += audit_line(&FromAudited::Audited(Box::new(report))).len();
+            bytes += audit_line(&ProcessMessage::Report(Box::new(report))).len();
             upto.into_iter().for_each(|upto| acting.recorder().acknowledged(1, upto));
         }
         found.insert(format!("bytes_a_second_{label}"), bytes as f64 / SECONDS as f64);
@@ -366,8 +367,8 @@
     const DOWNLOADS: u64 = REQUESTS_A_ROUTER / 5;
     let scratch = crate::rig::Scratch::new();
     let (mut store, _) = Store::open(&scratch.file("store")).expect("a store");
-    let (mut keep, _) = Keep::open(&[], BEGIN);
-    let mut routers: Vec<Acting> = (0..routers).map(|n| acting(n, BEGIN)).collect();
+    let (mut keep, _) = KeeperState::open(&[], BEGIN);
+    let mut routers: Vec<AuditedProcess> = (0..routers).map(|n| acting(n, BEGIN)).collect();
     let (mut reports, mut links, mut kept_bytes, mut in_bytes) = (0u64, 0u64, 0u64, 0u64);
     let (mut hear, mut disk) = (std::time::Duration::ZERO, std::time::Duration::ZERO);
     let (mut id, mut purge) = (0u64, 0u64);
@@ -378,16 +379,16 @@
         let mut sent = Vec::new();
         for acting in &mut routers {
             count(acting, DOWNLOADS, due - purge, purge, &mut id, now);
-            acting.beat(now);
-            sent.push(audit_line(&FromAudited::Audited(Box::new(acting.report(now)))));
+            acting.tick(now);
+            sent.push(audit_line(&ProcessMessage::Report(Box::new(acting.report(now)))));
         }
         purge = due;
         for (text, acting) in sent.iter().zip(&mut routers) {
             in_bytes += text.len() as u64;
             let begun = Busy::now();
-            let Ok(FromAudited::Audited(report)) = serde_json::from_slice(text) else { continue };
-            keep.purges(due, now);
-            let new = keep.hear(&report, now);
+            let Ok(ProcessMessage::Report(report)) = serde_json::from_slice(text) else { continue };
+            keep.purges_published(due, now);
+            let new = keep.on_report(&report, now);
             hear += begun.elapsed();
             let begun = Busy::now();
             store.append(&new).expect("it is kept");
@@ -395,14 +396,14 @@
             kept_bytes +=
                 new.iter().map(|link| serde_json::to_vec(link).unwrap_or_default().len() as u64).sum::<u64>();
             let begun = Busy::now();
-            let answer = keep.answer(&report, now);
+            let answer = keep.answer_report(&report, now);
             black_box(audit_line(&answer));
             hear += begun.elapsed();
             (reports, links) = (reports + 1, links + new.len() as u64);
-            acting.answered(answer, now);
+            acting.on_answer(answer, now);
         }
         let begun = Busy::now();
-        drop(keep.beat(now));
+        drop(keep.tick(now));
         hear += begun.elapsed();
         let begun = Busy::now();
         store.sync().expect("it is kept");
@@ -524,14 +525,14 @@
 }
 
 fn profile() -> ServiceProfile {
-    let content = Content {
-        repeat: Repeat::Retriable,
-        target: Span::millis(250),
+    let content = ContentType {
+        idempotency: Idempotency::Retriable,
+        target_time: Span::millis(250),
         target_stretch: 1.0,
         benefit: 1.0,
         write: false,
         in_parts: false,
-        fresh: None,
+        fresh_for: None,
         grace: Span::ZERO,
     };
     let zone_routers: Vec<u16> = (0..ZONES).map(|_| (ROUTERS / ZONES) as u16).collect();
@@ -539,24 +540,24 @@
         zone: 2,
         zone_routers,
         routers: ROUTERS as u16,
-        contents: vec![content],
-        scales_compare: false,
-        roster_on_call: false,
+        content_types: vec![content],
+        scales_comparable: false,
+        membership_on_request: false,
         may_cancel: true,
         may_bypass: false,
         may_join: true,
-        most_pulls: 6,
-        longest_retry_after: Span::millis(1_000),
-        flow_kb_per_s: 1e6,
+        max_pulls: 6,
+        max_retry_after: Span::millis(1_000),
+        client_kb_per_s: 1e6,
         zone_link_kb_per_s: vec![1e9; ZONES],
-        cold_from: 0.2,
-        cold: Span::millis(10_000),
-        fall_multiple: 2.0,
-        fall: Span::millis(1_000),
-        parent_cold_from: 0.1,
-        parent_cold: Span::millis(20_000),
-        parent_fall_multiple: 2.0,
-        purge_settles: Span::millis(6_000),
+        cold_share: 0.2,
+        warm_up_time: Span::millis(10_000),
+        overload_factor: 2.0,
+        overload_window: Span::millis(1_000),
+        parent_cold_share: 0.1,
+        parent_warm_up_time: Span::millis(20_000),
+        parent_overload_factor: 2.0,
+        purge_settle_time: Span::millis(6_000),
     }
 }
 
@@ -566,10 +567,10 @@
     const LASTS: Span = Span::millis(600_000);
     const TAKES: Span = Span::millis(4);
     let mut now = BEGIN;
-    let mut brain = Brain::open(profile(), 11, now);
-    let listing = |node: u32, role: Role| Listing {
-        node: NodeIx(node),
-        stamp: mixed(u64::from(node)),
+    let mut policy = Policy::new(profile(), 11, now);
+    let listing = |node: u32, role: Role| NodeRecord {
+        node: NodeIndex(node),
+        hash_key: mixed(u64::from(node)),
         zone: if role == Role::Cache { 2 } else { 0 },
         cell: (node / 4) as u16,
         kind: role as u8,
@@ -579,13 +580,17 @@
         started: None,
     };
     let caches = (CACHES / ZONES) as u32;
-    let listings: Vec<Listing> = (0..caches)
+    let listings: Vec<NodeRecord> = (0..caches)
         .map(|n| listing(n, Role::Cache))
         .chain((caches..caches + 4).map(|n| listing(n, Role::Parent)))
         .chain([listing(caches + 4, Role::Origin)])
         .collect();
     let mut orders = Vec::new();
-    brain.turn(now, vec![Event::Roster { news: RosterNews::Whole, listings }], &mut orders);
+    policy.step(
+        now,
+        vec![Event::Membership { update: MembershipUpdate::Snapshot, records: listings }],
+        &mut orders,
+    );
     orders.clear();
     let before = own_mb();
     let cpu = Busy::now();
@@ -601,19 +606,19 @@
         if ends.peek().is_some_and(|at| at.0.0 <= due) {
             let Some(std::cmp::Reverse((at, dl, node, sent))) = ends.pop() else { continue };
             now = at;
-            let (ending, remark) = (Ending::Fulfilled, Remark::FromOrigin);
+            let (ending, remark) = (PullOutcome::Fulfilled, CacheStatus::FromOrigin);
             let (took, first_byte) = (at.since(sent), Span::millis(2));
-            let end = PullEnd {
-                dl: DlIx(dl),
-                pull: 0,
-                node: NodeIx(node),
-                ending,
-                remark,
-                closed: true,
-                took,
+            let end = PullResult {
+                dl: DownloadIndex(dl),
+                attempt: 0,
+                node: NodeIndex(node),
+                outcome: ending,
+                cache_status: remark,
+                answered: true,
+                duration: took,
                 first_byte,
             };
-            events.push(Event::Ended(end));
+            events.push(Event::PullEnded(end));
         } else {
             now = due;
             n += 1;
@@ -622,15 +627,15 @@
                 next_dl - 1
             });
             let what = Download {
-                content: ContentIx(0),
+                content: ContentIndex(0),
                 object: ObjectKey(mixed(n)),
                 part: 0,
                 group: (n % 256) as u32,
                 kilobytes: 100.0,
-                leaves_at: now + Span::millis(3_000),
-                repeat: false,
+                deadline: now + Span::millis(3_000),
+                is_retry: false,
             };
-            events.push(Event::Arrived { dl: DlIx(dl), download: what });
+            events.push(Event::Arrived { dl: DownloadIndex(dl), download: what });
         }
         if now >= beat_at {
             beat_at = now + Span::millis(50);
@@ -644,15 +649,15 @@
                 ago: Span::ZERO,
             });
         }
-        brain.turn(now, events, &mut orders);
+        policy.step(now, events, &mut orders);
         for order in orders.drain(..) {
             match order {
-                Order::Pull(pull) => {
+                Action::Pull(pull) => {
                     pulled += 1;
                     ends.push(std::cmp::Reverse((now + TAKES, pull.dl.0, pull.node.0, now)));
                 }
-                Order::Throttle { .. } => throttled += 1,
-                Order::Forget { dl } => free.push(dl.0),
+                Action::Throttle { .. } => throttled += 1,
+                Action::Release { dl } => free.push(dl.0),
                 _ => {}
             }
         }
@@ -702,7 +707,7 @@
     let mut store = copies(many);
     let begun = Busy::now();
     for n in 0..PURGES_A_SECOND {
-        store.purge_scope(&Checked::Object(mixed(n * 7)), BEGIN, BEGIN);
+        store.purge_scope(&CompiledScope::Object(mixed(n * 7)), BEGIN, BEGIN);
     }
     Found::from([
         ("ms_a_second".into(), ms(begun)),
@@ -714,15 +719,15 @@
 /// that it has: what it still has once it was told what it missed.
 fn cut(minutes: u64) -> Found {
     const COPIES: u64 = 20_000;
-    let limit = Limit { rate: 1e6, burst: 1e6 };
+    let limit = RateLimit { rate: 1e6, burst: 1e6 };
     let (mut service, _) = Service::open(&[], limit, BEGIN);
     let (mut near, mut far) = (Follower::new("near", 1), Follower::new("far", 1));
     let mut store = copies(COPIES);
     let tell = |service: &mut Service, member: &mut Follower, now| {
-        let (missing, _) = service.confirm(&member.confirm(), now).expect("it is taken");
-        let told = ToMember::of(service.term(), missing);
-        let bytes = line(&told).len();
-        (member.hear(told).expect("it is news"), bytes)
+        let (missing, _) = service.on_ack(&member.ack(), now).expect("it is taken");
+        let told = ToMember::from_catch_up(service.term(), missing);
+        let bytes = to_line(&told).len();
+        (member.handle(told).expect("it is news"), bytes)
     };
     for member in [&mut near, &mut far] {
         (0..2).for_each(|_| drop(tell(&mut service, member, BEGIN)));
@@ -736,17 +741,17 @@
         let scope = Scope::Object(format!("{:016x}", mixed(object)));
         service.submit(scope, n as u32 % 50, &format!("k{n}"), now).expect("it is taken");
         drop(tell(&mut service, &mut near, now));
-        drop(service.beat(now));
+        drop(service.tick(now));
         if n % (10 * PURGES_A_SECOND) == 0 {
             drop(service.forget_before(now.before(harestage_purger::KEPT).micros() / 1_000, now));
         }
     }
     let (mut told, mut lines) = (0, 0);
-    while far.confirm().has < service.last() && lines < 1_000 {
+    while far.ack().applied < service.last() && lines < 1_000 {
         let (acts, bytes) = tell(&mut service, &mut far, now);
         (told, lines) = (told + bytes, lines + 1);
         for act in acts {
-            if let Act::Purge { scope, at } = act {
+            if let FollowerAction::Purge { scope, at } = act {
                 store.purge_scope(&scope, at, now);
             }
         }
@@ -756,6 +761,6 @@
         ("copies_kept_after_cut".into(), store.copies() as f64 / left),
         ("cut_purged".into(), meant as f64),
         ("cut_bytes".into(), told as f64),
-        ("cut_behind".into(), (service.last() - far.confirm().has) as f64),
+        ("cut_behind".into(), (service.last() - far.ack().applied) as f64),
     ])
 }
--- a/crates/shape/src/archive_share.rs
+++ b/crates/shape/src/archive_share.rs
@@ -261,6 +261,6 @@
     /// When the next fetch may start.
     pub fn next_fetch_at(&self, now: Moment) -> Moment {
         let missing = (1.0 - self.tokens).max(0.0);
-        now + Span::of_seconds(missing / self.rate(now).max(0.01)) + Span::millis(1)
+        now + Span::from_seconds(missing / self.rate(now).max(0.01)) + Span::millis(1)
     }
 }
--- a/crates/sites/src/quota.rs
+++ b/crates/sites/src/quota.rs
@@ -6,8 +6,8 @@
 //! The cutoff is raised at once when demand grows, and lowered only in small steps, so that it does not
 //! oscillate. Refused requests are told when to retry, spread over the time in which there will be capacity
 //! for them, so that they don't return in a wave.
-use harestage::ring::Ring;
 use harestage::time::{Moment, Span};
+use harestage::window::SlidingWindow;
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -79,13 +79,13 @@
 pub struct Quota {
     /// Units a second; `None` if there is no limit.
     capacity: Option<f64>,
-    demand: Vec<Ring>,
-    admitted: Ring,
-    refused: Ring,
+    demand: Vec<SlidingWindow>,
+    admitted: SlidingWindow,
+    refused: SlidingWindow,
     cutoff: Cutoff,
     cutoff_raised: Moment,
     /// The demand of each branch at the cutoff's rank.
-    branch_demand: BTreeMap<u32, Ring>,
+    branch_demand: BTreeMap<u32, SlidingWindow>,
     /// Units a second that a branch may have at the cutoff's rank.
     branch_limit: f64,
     next_update: Moment,
@@ -164,12 +164,12 @@
 impl Quota {
     /// A quota without a limit.
     pub fn new(now: Moment) -> Quota {
-        let ring = || Ring::new(Span::millis(250), 4);
+        let window = || SlidingWindow::new(Span::millis(250), 4);
         Quota {
             capacity: None,
-            demand: (0..RANKS).map(|_| ring()).collect(),
-            admitted: ring(),
-            refused: ring(),
+            demand: (0..RANKS).map(|_| window()).collect(),
+            admitted: window(),
+            refused: window(),
             cutoff: Cutoff::ADMIT_ALL,
             cutoff_raised: Moment::default(),
             branch_demand: BTreeMap::new(),
@@ -239,7 +239,7 @@
         // Max-min fair: a branch that asks for less than the limit gets all of it, and the others get the
         // limit each.
         let branch_units =
-            self.branch_demand.get(&self.branch_key(request.branch)).map_or(0.0, |ring| ring.sum(now));
+            self.branch_demand.get(&self.branch_key(request.branch)).map_or(0.0, |window| window.sum(now));
         let fair_fraction =
             if branch_units > 0.0 { (self.branch_limit / branch_units).min(1.0) } else { 1.0 };
         chance < fair_fraction
@@ -252,8 +252,9 @@
 
     fn record_branch(&mut self, request: &QuotaRequest, now: Moment) {
         let key = self.branch_key(request.branch);
-        let ring = self.branch_demand.entry(key).or_insert_with(|| Ring::new(Span::millis(250), 4));
-        ring.add(now, request.units);
+        let window =
+            self.branch_demand.entry(key).or_insert_with(|| SlidingWindow::new(Span::millis(250), 4));
+        window.add(now, request.units);
     }
 
     /// Sets the cutoff such that the demand above it uses the capacity.
@@ -283,7 +284,7 @@
         if self.cutoff.rank != previous.rank {
             self.branch_demand.clear();
         }
-        self.branch_demand.retain(|_, ring| ring.sum(now) > 0.0);
+        self.branch_demand.retain(|_, window| window.sum(now) > 0.0);
         self.branch_limit =
             self.fair_branch_limit(self.demand[self.cutoff.rank].sum(now) * self.cutoff.fraction, now);
     }
@@ -298,7 +299,7 @@
 
     /// The limit for each branch at the cutoff's rank, so that all branches together get `units`.
     fn fair_branch_limit(&self, units: f64, now: Moment) -> f64 {
-        let mut demands: Vec<f64> = self.branch_demand.values().map(|ring| ring.sum(now)).collect();
+        let mut demands: Vec<f64> = self.branch_demand.values().map(|window| window.sum(now)).collect();
         demands.sort_by(f64::total_cmp);
         let (mut remaining, mut branches_left) = (units, demands.len());
         for demand in demands {
