--- a/crates/fleet/src/disk.rs
+++ b/crates/fleet/src/disk.rs
@@ -1,5 +1,5 @@
 //! A process's disk, which is a folder. Where a kill takes what was not synced, the program keeps a second folder beside
-//! it that gets what each sync covers (`harestage_segments::Folder::open_kept`), and after the kill the first is laid
+//! it that gets what each sync covers (`harestage_segments::Folder::open_mirrored`), and after the kill the first is laid
 //! anew from the second. A file in that second folder says that the disk takes nothing more.
 use std::io;
 use std::path::{Path, PathBuf};
--- a/crates/segments/src/lib.rs
+++ b/crates/segments/src/lib.rs
@@ -1,14 +1,14 @@
-//! A log on disk that survives crashes.
+//! A write-ahead log on disk that survives crashes.
 //!
-//! Records have numbers without gaps and come back in their order. A record counts as kept once [`Log::sync`] has
-//! returned well after its append; until then it may be lost, but never in the middle: what comes back is always a
-//! beginning of what was appended, no shorter than what was kept. After a write or sync that failed nothing is known of
-//! the disk, so the log takes nothing more and has to be opened anew.
+//! Records are numbered without gaps and are recovered in order. A record is durable once [`Log::sync`] has returned
+//! successfully after its append. Until then it may be lost, but only from the end: recovery always yields a prefix of
+//! the appended records that includes every durable one. After a failed write or sync the state of the disk is unknown,
+//! so the log accepts nothing more and has to be reopened.
 //!
-//! A snapshot stands for all records up to its number; segments that it covers are removed.
+//! A snapshot replaces all records up to its number; segments that it covers are removed.
 //!
-//! The log does its work through [`Files`], so that tests can bring about every crash, a full disk and failed syncs.
-//! [`Folder`] is the real one.
+//! The log accesses the disk through [`Files`], so that tests can simulate crashes at every step, a full disk and failed
+//! syncs ([`simulated`]). [`Folder`] is the implementation for a real folder.
 mod files;
 mod log;
 pub mod simulated;
--- a/crates/segments/src/simulated.rs
+++ b/crates/segments/src/simulated.rs
@@ -1,5 +1,5 @@
-//! A disk that fails in every way that a disk may, for tests of whoever keeps a log: it dies after a step, is full, fails
-//! a sync, and after a crash has lost of what was not synced whatever chance takes, names and removals among it.
+//! A simulated disk for tests of code that writes logs. It can lose power after any step, run full or fail a sync. After a
+//! crash a random part of what was not synced is lost, including created and removed names.
 use crate::Files;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -7,36 +7,36 @@
 
 #[derive(Clone, Default)]
 struct File {
-    kept: Vec<u8>,
-    /// What was written since the last sync, as it is read back while the program runs.
-    now: Vec<u8>,
+    synced: Vec<u8>,
+    /// Contents as the running program reads them, with writes that are not synced.
+    current: Vec<u8>,
 }
 
-/// A disk of the mind.
+/// A disk in memory whose failures are set by the test.
 #[derive(Clone, Default)]
 pub struct SimulatedDisk {
     files: BTreeMap<String, File>,
-    /// Names as they would be after a crash.
-    named: BTreeMap<String, String>,
-    /// The name that each file was made under: a rename changes names, not files.
+    /// Names and ids of files when the folder was last synced.
+    synced_names: BTreeMap<String, String>,
+    /// Current names and ids of files: a rename changes the name, not the id.
     names: BTreeMap<String, String>,
-    made: u64,
-    /// Writes, syncs and changes of names so far.
+    created: u64,
+    /// Writes, syncs and name changes so far.
     steps: u64,
-    /// After so many steps everything fails: the power is gone.
-    dies_at: u64,
-    /// Bytes that it still takes.
-    room: usize,
+    /// After this step everything fails, as after a power loss.
+    power_lost_at: u64,
+    /// Bytes that can still be written.
+    free_bytes: usize,
     /// The step at which a sync fails.
     sync_fails_at: u64,
 }
 
 impl SimulatedDisk {
-    /// One that never fails.
+    /// A disk that never fails.
     pub fn new() -> SimulatedDisk {
         SimulatedDisk {
-            dies_at: u64::MAX,
-            room: usize::MAX,
+            power_lost_at: u64::MAX,
+            free_bytes: usize::MAX,
             sync_fails_at: u64::MAX,
             ..SimulatedDisk::default()
         }
@@ -44,7 +44,7 @@
 
     fn step(&mut self) -> io::Result<()> {
         self.steps += 1;
-        if self.steps > self.dies_at { Err(io::Error::other("no power")) } else { Ok(()) }
+        if self.steps > self.power_lost_at { Err(io::Error::other("no power")) } else { Ok(()) }
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
@@ -52,32 +52,33 @@
         self.files.get_mut(&id).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
+    /// Number of writes, syncs and name changes so far.
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// It dies after so many steps, counted from now.
-    pub fn losing_power_after(self, after: u64) -> SimulatedDisk {
-        SimulatedDisk { dies_at: after, steps: 0, ..self }
+    /// Loses power after that many more steps.
+    pub fn losing_power_after(self, steps: u64) -> SimulatedDisk {
+        SimulatedDisk { power_lost_at: steps, steps: 0, ..self }
     }
 
-    /// Its sync fails at that step, counted from its beginning.
-    pub fn failing_sync_at(self, at: u64) -> SimulatedDisk {
-        SimulatedDisk { sync_fails_at: at, ..self }
+    /// Fails the sync at that step, counted from the creation of the disk.
+    pub fn failing_sync_at(self, step: u64) -> SimulatedDisk {
+        SimulatedDisk { sync_fails_at: step, ..self }
     }
 
-    /// It takes so many bytes more.
-    pub fn with_free_bytes(self, room: usize) -> SimulatedDisk {
-        SimulatedDisk { room, ..self }
+    /// Accepts that many more bytes.
+    pub fn with_free_bytes(self, free_bytes: usize) -> SimulatedDisk {
+        SimulatedDisk { free_bytes, ..self }
     }
 
-    /// Turns bits of a byte over.
+    /// Flips bits of one byte.
     pub fn flip_bits(&mut self, name: &str, at: usize, bits: u8) -> io::Result<()> {
         let file = self.file(name)?;
-        file.now.get_mut(at).map(|byte| *byte ^= bits).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        file.current.get_mut(at).map(|byte| *byte ^= bits).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
 
-    /// What the next program finds: synced bytes, and of the others as much as chance keeps.
+    /// The disk after a crash: all synced bytes, and a random part of the others.
     pub fn after_crash(&self, seed: u64) -> SimulatedDisk {
         let mut next = SimulatedDisk::new();
         let chance = |what: &str| {
@@ -85,30 +86,30 @@
             (seed, what).hash(&mut hasher);
             hasher.finish()
         };
-        // Each name is as it was synced, or as it was last, by chance of its own.
-        let all: BTreeSet<&String> = self.named.keys().chain(self.names.keys()).collect();
+        // Each name is independently either its synced or its latest state.
+        let all: BTreeSet<&String> = self.synced_names.keys().chain(self.names.keys()).collect();
         for name in all {
-            let late = chance(name) % 2 == 0;
-            let id = if late { self.names.get(name) } else { self.named.get(name) };
+            let latest = chance(name) % 2 == 0;
+            let id = if latest { self.names.get(name) } else { self.synced_names.get(name) };
             let Some(file) = id.and_then(|id| self.files.get(id)) else { continue };
-            let mut bytes = file.kept.clone();
-            if file.now.len() > bytes.len() {
-                let more = file.now.len() - bytes.len();
-                let keep = chance(&format!("{name} bytes")) as usize % (more + 1);
-                bytes.extend(&file.now[file.kept.len()..file.kept.len() + keep]);
-                // The last bytes may be garbage.
-                if keep > 0 && chance(&format!("{name} garbage")) % 3 == 0 {
+            let mut bytes = file.synced.clone();
+            if file.current.len() > bytes.len() {
+                let more = file.current.len() - bytes.len();
+                let surviving = chance(&format!("{name} bytes")) as usize % (more + 1);
+                bytes.extend(&file.current[file.synced.len()..file.synced.len() + surviving]);
+                // The last byte may be corrupted.
+                if surviving > 0 && chance(&format!("{name} garbage")) % 3 == 0 {
                     let at = bytes.len() - 1;
                     bytes[at] ^= 0x5a;
                 }
-            } else if file.now.len() < bytes.len() && late {
-                bytes.truncate(file.now.len());
+            } else if file.current.len() < bytes.len() && latest {
+                bytes.truncate(file.current.len());
             }
-            next.made += 1;
-            let id = format!("f{}", next.made);
-            next.files.insert(id.clone(), File { kept: bytes.clone(), now: bytes });
+            next.created += 1;
+            let id = format!("f{}", next.created);
+            next.files.insert(id.clone(), File { synced: bytes.clone(), current: bytes });
             next.names.insert(name.clone(), id.clone());
-            next.named.insert(name.clone(), id);
+            next.synced_names.insert(name.clone(), id);
         }
         next
     }
@@ -120,13 +121,13 @@
     }
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         let id = self.names.get(name).ok_or(io::ErrorKind::NotFound)?;
-        Ok(self.files[id].now.clone())
+        Ok(self.files[id].current.clone())
     }
     fn create(&mut self, name: &str) -> io::Result<()> {
         self.step()?;
         if !self.names.contains_key(name) {
-            self.made += 1;
-            let id = format!("f{}", self.made);
+            self.created += 1;
+            let id = format!("f{}", self.created);
             self.files.insert(id.clone(), File::default());
             self.names.insert(name.into(), id);
         }
@@ -134,15 +135,15 @@
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.step()?;
-        let room = self.room;
-        self.room = room.saturating_sub(bytes.len());
-        let fits = bytes.len().min(room);
-        self.file(name)?.now.extend(&bytes[..fits]);
+        let free_bytes = self.free_bytes;
+        self.free_bytes = free_bytes.saturating_sub(bytes.len());
+        let fits = bytes.len().min(free_bytes);
+        self.file(name)?.current.extend(&bytes[..fits]);
         if fits < bytes.len() { Err(io::Error::other("no space left")) } else { Ok(()) }
     }
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.step()?;
-        self.file(name)?.now.truncate(length as usize);
+        self.file(name)?.current.truncate(length as usize);
         Ok(())
     }
     fn sync(&mut self, name: &str) -> io::Result<()> {
@@ -151,7 +152,7 @@
             return Err(io::Error::other("sync failed"));
         }
         let file = self.file(name)?;
-        file.kept = file.now.clone();
+        file.synced = file.current.clone();
         Ok(())
     }
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
@@ -167,7 +168,7 @@
     }
     fn sync_folder(&mut self) -> io::Result<()> {
         self.step()?;
-        self.named = self.names.clone();
+        self.synced_names = self.names.clone();
         Ok(())
     }
 }
--- a/crates/segments/tests/synced_copies.rs
+++ b/crates/segments/tests/synced_copies.rs
@@ -1,4 +1,4 @@
-//! The second folder of a rig that takes the power away: at every moment it holds what syncs have covered.
+//! The mirror folder for simulated power losses: at every moment it holds exactly what syncs have covered.
 use harestage_segments::{Folder, Log, mirror_synced_files};
 use std::path::{Path, PathBuf};
 
@@ -16,29 +16,29 @@
     names.filter(is_segment).max().expect("a segment")
 }
 
-/// A process that is killed while a sync is copied leaves the copy of the sync before: whoever holds the file as it was
-/// sees nothing of the new one being written.
+/// A process that is killed while a sync is copied must leave the copy of the previous sync intact, so a hard link to the
+/// old file never sees bytes of the new one.
 #[test]
-fn a_copy_is_replaced_whole_and_never_written_over() {
-    let outer = scratch("whole");
-    let (real, kept, aside) = (outer.join("disk"), outer.join("kept"), outer.join("aside"));
-    mirror_synced_files(&kept).expect("a second folder");
+fn a_mirrored_file_is_replaced_and_never_overwritten() {
+    let outer = scratch("replaced");
+    let (real, mirror, linked) = (outer.join("disk"), outer.join("kept"), outer.join("linked"));
+    mirror_synced_files(&mirror).expect("a mirror folder");
     let (mut log, _) = Log::open(Folder::open(&real).expect("a folder"), 1 << 20).expect("a log");
-    log.append(b"the first").expect("room");
-    log.sync().expect("a disk");
-    let before = std::fs::read(segment(&kept)).expect("what was synced");
-    std::fs::hard_link(segment(&kept), &aside).expect("a second name");
-    log.append(b"the second").expect("room");
-    log.sync().expect("a disk");
-    let after = std::fs::read(segment(&kept)).expect("what was synced");
-    assert!(after.len() > before.len() && after.starts_with(&before), "both are there");
-    assert_eq!(std::fs::read(&aside).expect("the old file"), before, "what was there was written over");
-    // Nothing on its way is left in either folder, where a log would come upon it.
-    for folder in [&real, &kept] {
+    log.append(b"the first").expect("appended");
+    log.sync().expect("a sync");
+    let before = std::fs::read(segment(&mirror)).expect("the synced segment");
+    std::fs::hard_link(segment(&mirror), &linked).expect("a hard link");
+    log.append(b"the second").expect("appended");
+    log.sync().expect("a sync");
+    let after = std::fs::read(segment(&mirror)).expect("the synced segment");
+    assert!(after.len() > before.len() && after.starts_with(&before), "both records are there");
+    assert_eq!(std::fs::read(&linked).expect("the old file"), before, "the old file was overwritten");
+    // No temporary file is left in either folder, where a log would list it.
+    for folder in [&real, &mirror] {
         let names = std::fs::read_dir(folder).expect("its files").flatten();
-        let strange = names
+        let unexpected = names
             .filter(|e| !["log-", "lock"].iter().any(|n| e.file_name().to_string_lossy().starts_with(n)));
-        assert_eq!(strange.count(), 0);
+        assert_eq!(unexpected.count(), 0);
     }
     let _ = std::fs::remove_dir_all(&outer);
 }
