--- a/crates/copies/src/disk.rs
+++ b/crates/copies/src/disk.rs
@@ -1,5 +1,5 @@
-//! Copies on a real disk, or on one of the mind. What is put is kept after the next flush: bodies first, then the index, so
-//! that the index never names bytes that a power loss has taken without their sum showing it.
+//! The disk store of a hub's copies, over any implementation of [`Files`]. What is put is durable after the next flush, which
+//! syncs bodies before the index: bytes that a power loss has taken are either not indexed or fail their checksum.
 use crate::index::{CopyIndex, CopyKey, CopyMetadata, Location};
 use crate::record::{Checkpoint, FORMAT_VERSION, Record};
 use bytes::Bytes;
@@ -7,33 +7,35 @@
 use std::fmt;
 use std::io;
 
-/// A file of bodies that has grown past it is followed by another.
-const FILE_BYTES: u64 = 8 << 20;
-const SEGMENT: usize = 4 << 20;
-/// Records since the last snapshot, for each copy that is kept, after which the index is written anew.
-const STALE: usize = 2;
-const LEAST_STALE: usize = 4_096;
+/// A body file that has reached this size is followed by a new one.
+const BODY_FILE_BYTES: u64 = 8 << 20;
+/// Size of the segments of the index log.
+const SEGMENT_BYTES: usize = 4 << 20;
+/// A snapshot of the index is due after this many records for each copy since the last one.
+const SNAPSHOT_RECORDS_PER_COPY: usize = 2;
+/// But never before this many records.
+const MIN_SNAPSHOT_RECORDS: usize = 4_096;
 
+/// Why the store can't be opened or written.
 #[derive(Debug)]
 pub enum CopiesError {
-    Bodies {
-        file: String,
-        error: io::Error,
-    },
+    /// A body file can't be read or written.
+    Bodies { file: String, error: io::Error },
+    /// The index log can't be read or written.
     Index(LogError),
-    /// Of a form that this program does not know.
+    /// The index has a format version that this program does not support.
     UnknownFormat(u8),
-    /// An earlier write failed: what is on disk is not known, and nothing more is kept.
+    /// An earlier write failed. The state of the disk is unknown, so nothing more is stored.
     Failed,
 }
 
 impl fmt::Display for CopiesError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Bodies { file, error: why } => write!(f, "{file}: {why}"),
-            Self::Index(why) => write!(f, "index: {why}"),
-            Self::UnknownFormat(form) => {
-                write!(f, "index: of form {form}, and {FORMAT_VERSION} is known here")
+            Self::Bodies { file, error } => write!(f, "{file}: {error}"),
+            Self::Index(error) => write!(f, "index: {error}"),
+            Self::UnknownFormat(version) => {
+                write!(f, "index: unsupported format version {version}, expected {FORMAT_VERSION}")
             }
             Self::Failed => write!(f, "an earlier write failed"),
         }
@@ -42,184 +44,200 @@
 
 impl std::error::Error for CopiesError {}
 
-/// What a start has found.
+/// What was found when the store was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Recovered {
     pub copies: usize,
-    /// Copies that the index names and whose bytes are not there.
+    /// Indexed copies whose bytes are missing.
     pub lost: usize,
     pub checkpoint: Checkpoint,
 }
 
-/// Bytes that were written, and those of copies among them.
+/// Bytes written in total, and bytes of copies that were put.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BytesWritten {
     pub total: u64,
     pub copies: u64,
 }
 
+/// The store: body files, the index log, and the index in memory.
 pub struct DiskStore<F: Files> {
     bodies: F,
-    index: Log<F>,
+    index_log: Log<F>,
     copies: CopyIndex,
-    /// The file that grows, its length on disk, and what is to be appended to it.
+    /// The body file being written, its length on disk, and the bytes to append to it.
     file: u64,
     length: u64,
     buffer: Vec<u8>,
-    /// What the index is to be told once the buffer is synced.
+    /// Index records to write once the buffer is synced.
     pending: Vec<Record>,
     checkpoint: Checkpoint,
-    since_snapshot: usize,
+    records_since_snapshot: usize,
     failed: bool,
     written: BytesWritten,
 }
 
-fn body_name(file: u64) -> String {
+fn body_file_name(file: u64) -> String {
     format!("bodies-{file:012}")
 }
 
-fn body_number(name: &str) -> Option<u64> {
+fn body_file_number(name: &str) -> Option<u64> {
     name.strip_prefix("bodies-")?.parse().ok()
 }
 
-fn sum(body: &[u8]) -> u128 {
-    let mut sum = [0; 16];
-    sum.copy_from_slice(&blake3::hash(body).as_bytes()[..16]);
-    u128::from_le_bytes(sum)
+fn checksum(body: &[u8]) -> u128 {
+    let mut digest = [0; 16];
+    digest.copy_from_slice(&blake3::hash(body).as_bytes()[..16]);
+    u128::from_le_bytes(digest)
 }
 
 impl<F: Files> DiskStore<F> {
-    /// Opens what two folders hold. `room`: bytes of copies that are kept at most.
-    pub fn open(mut bodies: F, index: F, room: u64) -> Result<(DiskStore<F>, Recovered), CopiesError> {
-        let (index, recovered) = Log::open(index, SEGMENT).map_err(CopiesError::Index)?;
-        let (mut shelf, mut marks) = (CopyIndex::new(room), Checkpoint::default());
-        let mut take = |record: Record| match record {
-            Record::Put(meta, place) => shelf.insert(meta, place),
+    /// Opens the store in two folders. `capacity`: greatest total bytes of copies.
+    pub fn open(mut bodies: F, index: F, capacity: u64) -> Result<(DiskStore<F>, Recovered), CopiesError> {
+        let (index_log, recovered) = Log::open(index, SEGMENT_BYTES).map_err(CopiesError::Index)?;
+        let (mut copies, mut checkpoint) = (CopyIndex::new(capacity), Checkpoint::default());
+        let mut apply = |record: Record| match record {
+            Record::Put(metadata, location) => copies.insert(metadata, location),
             Record::Removed(key) => {
-                shelf.remove(key);
+                copies.remove(key);
             }
-            Record::Checkpoint(its) => marks = its,
+            Record::Checkpoint(newer) => checkpoint = newer,
         };
         if let Some(snapshot) = &recovered.snapshot {
             let mut rest = snapshot.bytes.as_slice();
             match rest.split_off_first() {
                 Some(&FORMAT_VERSION) | None => {}
-                Some(&form) => return Err(CopiesError::UnknownFormat(form)),
+                Some(&version) => return Err(CopiesError::UnknownFormat(version)),
             }
-            std::iter::from_fn(|| Record::decode(&mut rest)).for_each(&mut take);
+            std::iter::from_fn(|| Record::decode(&mut rest)).for_each(&mut apply);
         }
         let records = recovered.records.len();
-        for kept in &recovered.records {
-            let mut rest = kept.bytes.as_slice();
-            std::iter::from_fn(|| Record::decode(&mut rest)).for_each(&mut take);
+        for record in &recovered.records {
+            let mut rest = record.bytes.as_slice();
+            std::iter::from_fn(|| Record::decode(&mut rest)).for_each(&mut apply);
         }
-        let of_bodies = |file: &str| {
+        let body_error = |file: &str| {
             let file = file.to_string();
-            move |why| CopiesError::Bodies { file, error: why }
+            move |error| CopiesError::Bodies { file, error }
         };
         let mut newest = 0;
-        let names = bodies.list().map_err(of_bodies("folder"))?;
+        let names = bodies.list().map_err(body_error("folder"))?;
         let mut lengths = std::collections::BTreeMap::new();
-        for name in names.iter().filter(|name| body_number(name).is_some()) {
-            let number = body_number(name).unwrap_or(0);
+        for name in names.iter().filter(|name| body_file_number(name).is_some()) {
+            let number = body_file_number(name).unwrap_or(0);
             newest = newest.max(number);
-            lengths.insert(number, bodies.length(name).map_err(of_bodies(name))?);
+            lengths.insert(number, bodies.length(name).map_err(body_error(name))?);
         }
-        // Only the end of a file can be missing: what is named past it was never synced, or its file is gone.
-        let missing = |place: &Location| {
-            lengths.get(&place.file).copied().unwrap_or(0) < place.offset + u64::from(place.length)
+        // Only the end of a file can be missing: bytes past it were never synced, or the whole file is missing.
+        let missing = |location: &Location| {
+            lengths.get(&location.file).copied().unwrap_or(0) < location.offset + u64::from(location.length)
         };
-        let lost: Vec<CopyKey> =
-            shelf.in_eviction_order().filter(|(_, place)| missing(place)).map(|(meta, _)| meta.key).collect();
+        let lost: Vec<CopyKey> = copies
+            .in_eviction_order()
+            .filter(|(_, location)| missing(location))
+            .map(|(metadata, _)| metadata.key)
+            .collect();
         for key in &lost {
-            shelf.remove(*key);
+            copies.remove(*key);
         }
-        lengths.iter().for_each(|(file, bytes)| shelf.file_grew(*file, *bytes));
+        lengths.iter().for_each(|(file, bytes)| copies.file_grew(*file, *bytes));
         let file = newest + 1;
-        bodies.create(&body_name(file)).map_err(of_bodies(&body_name(file)))?;
-        bodies.sync_folder().map_err(of_bodies("folder"))?;
-        let found = Recovered { copies: shelf.len(), lost: lost.len(), checkpoint: marks };
-        let mut disk = DiskStore {
+        bodies.create(&body_file_name(file)).map_err(body_error(&body_file_name(file)))?;
+        bodies.sync_folder().map_err(body_error("folder"))?;
+        let found = Recovered { copies: copies.len(), lost: lost.len(), checkpoint };
+        let mut store = DiskStore {
             bodies,
-            index,
-            copies: shelf,
+            index_log,
+            copies,
             file,
             length: 0,
             buffer: Vec::new(),
             pending: lost.into_iter().map(Record::Removed).collect(),
-            checkpoint: marks,
-            since_snapshot: records,
+            checkpoint,
+            records_since_snapshot: records,
             failed: false,
             written: BytesWritten::default(),
         };
-        disk.flush()?;
-        Ok((disk, found))
+        store.flush()?;
+        Ok((store, found))
     }
 
+    /// The index of all copies.
     pub fn copies(&self) -> &CopyIndex {
         &self.copies
     }
 
+    /// The stored state of the hub.
     pub fn checkpoint(&self) -> Checkpoint {
         self.checkpoint
     }
 
+    /// Bytes written since the store was opened.
     pub fn written(&self) -> BytesWritten {
         self.written
     }
 
-    /// Takes a copy in; it is kept after the next flush. False: there is no room for one of its rank.
-    pub fn put(&mut self, meta: CopyMetadata, body: &[u8]) -> Result<bool, CopiesError> {
+    /// Adds a copy; it is durable after the next flush. False if it does not fit because no copies of its rank or lower can
+    /// make room.
+    pub fn put(&mut self, metadata: CopyMetadata, body: &[u8]) -> Result<bool, CopiesError> {
         let Ok(length) = u32::try_from(body.len()) else { return Ok(false) };
-        let Some(going) = self.copies.evictions_for(meta.key, meta.rank, length) else { return Ok(false) };
-        going.into_iter().for_each(|key| self.remove(key));
-        self.write(meta, body);
+        let Some(evicted) = self.copies.evictions_for(metadata.key, metadata.rank, length) else {
+            return Ok(false);
+        };
+        evicted.into_iter().for_each(|key| self.remove(key));
+        self.write(metadata, body);
         self.written.copies += u64::from(length);
-        if self.length + self.buffer.len() as u64 >= FILE_BYTES {
+        if self.length + self.buffer.len() as u64 >= BODY_FILE_BYTES {
             self.flush()?;
             self.next_file()?;
         }
         Ok(true)
     }
 
-    fn write(&mut self, meta: CopyMetadata, body: &[u8]) {
+    fn write(&mut self, metadata: CopyMetadata, body: &[u8]) {
         let at = self.length + self.buffer.len() as u64;
-        let place = Location { file: self.file, offset: at, length: body.len() as u32, checksum: sum(body) };
+        let location =
+            Location { file: self.file, offset: at, length: body.len() as u32, checksum: checksum(body) };
         self.buffer.extend_from_slice(body);
         self.copies.file_grew(self.file, body.len() as u64);
-        self.copies.insert(meta.clone(), place);
-        self.pending.push(Record::Put(meta, place));
+        self.copies.insert(metadata.clone(), location);
+        self.pending.push(Record::Put(metadata, location));
     }
 
-    /// It goes, and does not come back after the next flush.
+    /// Removes a copy. After the next flush it is not recovered any more.
     pub fn remove(&mut self, key: CopyKey) {
         if self.copies.remove(key) {
             self.pending.push(Record::Removed(key));
         }
     }
 
-    pub fn set_checkpoint(&mut self, marks: Checkpoint) {
-        if marks != self.checkpoint {
-            self.checkpoint = marks;
-            self.pending.push(Record::Checkpoint(marks));
+    /// Stores the state of the hub with the next flush.
+    pub fn set_checkpoint(&mut self, checkpoint: Checkpoint) {
+        if checkpoint != self.checkpoint {
+            self.checkpoint = checkpoint;
+            self.pending.push(Record::Checkpoint(checkpoint));
         }
     }
 
-    /// The bytes of a copy, if they are those that were put. What is not is dropped.
+    /// Reads a copy and verifies its checksum. A copy that fails it is removed.
     pub fn read_copy(&mut self, key: CopyKey) -> Option<(CopyMetadata, Bytes)> {
-        let (meta, place) = self.copies.get(key).map(|(meta, place)| (meta.clone(), *place))?;
-        let in_buffer = place.file == self.file && place.offset >= self.length;
+        let (metadata, location) =
+            self.copies.get(key).map(|(metadata, location)| (metadata.clone(), *location))?;
+        let in_buffer = location.file == self.file && location.offset >= self.length;
         let body = match in_buffer {
             true => {
-                let from = (place.offset - self.length) as usize;
-                self.buffer.get(from..from + place.length as usize).map(<[u8]>::to_vec)
+                let from = (location.offset - self.length) as usize;
+                self.buffer.get(from..from + location.length as usize).map(<[u8]>::to_vec)
             }
-            false => self.bodies.read_at(&body_name(place.file), place.offset, place.length as usize).ok(),
+            false => self
+                .bodies
+                .read_at(&body_file_name(location.file), location.offset, location.length as usize)
+                .ok(),
         };
-        match body.filter(|body| sum(body) == place.checksum) {
+        match body.filter(|body| checksum(body) == location.checksum) {
             Some(body) => {
                 self.copies.touch(key);
-                Some((meta, Bytes::from(body)))
+                Some((metadata, Bytes::from(body)))
             }
             None => {
                 self.remove(key);
@@ -228,88 +246,90 @@
         }
     }
 
-    /// Everything that was put, removed or marked before is on disk when it returns well.
+    /// Makes all earlier changes durable if it returns successfully.
     pub fn flush(&mut self) -> Result<(), CopiesError> {
         if self.failed {
             return Err(CopiesError::Failed);
         }
-        let done = self.flush_all();
-        self.failed |= done.is_err();
-        done
+        let result = self.flush_all();
+        self.failed |= result.is_err();
+        result
     }
 
     fn flush_all(&mut self) -> Result<(), CopiesError> {
-        let name = body_name(self.file);
-        let of_file = |why| CopiesError::Bodies { file: name.clone(), error: why };
+        let name = body_file_name(self.file);
+        let body_error = |error| CopiesError::Bodies { file: name.clone(), error };
         if !self.buffer.is_empty() {
             let buffer = std::mem::take(&mut self.buffer);
-            self.bodies.append(&name, &buffer).map_err(of_file)?;
-            self.bodies.sync(&name).map_err(of_file)?;
+            self.bodies.append(&name, &buffer).map_err(body_error)?;
+            self.bodies.sync(&name).map_err(body_error)?;
             self.length += buffer.len() as u64;
             self.written.total += buffer.len() as u64;
         }
         if self.pending.is_empty() {
             return Ok(());
         }
-        // Several to a record of the log: each has its own checksum there.
+        // Several index records share a log record, since each log record carries a header and a checksum.
         for group in self.pending.chunks(64) {
             let mut bytes = Vec::new();
             group.iter().for_each(|record| record.encode(&mut bytes));
             self.written.total += bytes.len() as u64;
-            self.index.append(&bytes).map_err(CopiesError::Index)?;
+            self.index_log.append(&bytes).map_err(CopiesError::Index)?;
         }
-        self.since_snapshot += self.pending.len();
+        self.records_since_snapshot += self.pending.len();
         self.pending.clear();
-        self.index.sync().map_err(CopiesError::Index)?;
-        if self.since_snapshot > LEAST_STALE.max(self.copies.len() * STALE) {
+        self.index_log.sync().map_err(CopiesError::Index)?;
+        if self.records_since_snapshot
+            > MIN_SNAPSHOT_RECORDS.max(self.copies.len() * SNAPSHOT_RECORDS_PER_COPY)
+        {
             self.snapshot()?;
         }
         Ok(())
     }
 
-    /// The index written whole, in the order in which copies would go.
+    /// Writes a snapshot of the index, in eviction order.
     fn snapshot(&mut self) -> Result<(), CopiesError> {
         let mut bytes = vec![FORMAT_VERSION];
         Record::Checkpoint(self.checkpoint).encode(&mut bytes);
-        for (meta, place) in self.copies.in_eviction_order() {
-            Record::Put(meta.clone(), *place).encode(&mut bytes);
+        for (metadata, location) in self.copies.in_eviction_order() {
+            Record::Put(metadata.clone(), *location).encode(&mut bytes);
         }
         self.written.total += bytes.len() as u64;
-        self.index.snapshot(&bytes).map_err(CopiesError::Index)?;
-        self.since_snapshot = 0;
+        self.index_log.snapshot(&bytes).map_err(CopiesError::Index)?;
+        self.records_since_snapshot = 0;
         Ok(())
     }
 
     fn next_file(&mut self) -> Result<(), CopiesError> {
         (self.file, self.length) = (self.file + 1, 0);
-        let name = body_name(self.file);
-        let made = self.bodies.create(&name).and_then(|()| self.bodies.sync_folder());
-        self.failed |= made.is_err();
-        made.map_err(|why| CopiesError::Bodies { file: name, error: why })
+        let name = body_file_name(self.file);
+        let result = self.bodies.create(&name).and_then(|()| self.bodies.sync_folder());
+        self.failed |= result.is_err();
+        result.map_err(|error| CopiesError::Bodies { file: name, error })
     }
 
-    /// One piece of tidying, if there is any: a file in which nothing lives goes, or what lives in the emptiest one is written
-    /// anew. True: there may be more.
+    /// One step of compaction, if there is any: removes a file without live copies, or rewrites the live copies of the file
+    /// with the lowest share of them. True if there may be more to do.
     pub fn compact_step(&mut self) -> Result<bool, CopiesError> {
-        if let Some(dead) = self.copies.dead_files(self.file).into_iter().next() {
-            // What the index said of it has to be gone from the index first.
+        if let Some(unused) = self.copies.dead_files(self.file).into_iter().next() {
+            // The index must not refer to the file any more before it is removed.
             self.flush()?;
-            let name = body_name(dead);
+            let name = body_file_name(unused);
             match self.bodies.remove(&name) {
-                Err(why) if why.kind() != io::ErrorKind::NotFound => {
+                Err(error) if error.kind() != io::ErrorKind::NotFound => {
                     self.failed = true;
-                    return Err(CopiesError::Bodies { file: name, error: why });
+                    return Err(CopiesError::Bodies { file: name, error });
                 }
-                _ => self.copies.forget_file(dead),
+                _ => self.copies.forget_file(unused),
             }
             return Ok(true);
         }
-        let Some(worst) = self.copies.file_to_rewrite(self.file) else { return Ok(false) };
-        for key in self.copies.keys_in_file(worst) {
-            if let Some((meta, body)) = self.read_copy(key) {
-                self.write(meta, &body);
+        let Some(file) = self.copies.file_to_rewrite(self.file) else { return Ok(false) };
+        for key in self.copies.keys_in_file(file) {
+            if let Some((metadata, body)) = self.read_copy(key) {
+                self.write(metadata, &body);
             }
-            if self.length + self.buffer.len() as u64 >= FILE_BYTES {
+            if self.length + self.buffer.len() as u64 >= BODY_FILE_BYTES {
                 self.flush()?;
                 self.next_file()?;
             }
@@ -318,14 +338,14 @@
         Ok(true)
     }
 
-    /// For a planned stop: the index whole, so that the next start reads the least.
+    /// For a planned stop: writes a snapshot, so that the next start reads as little as possible.
     pub fn close(&mut self) -> Result<(), CopiesError> {
         self.flush()?;
         self.snapshot()
     }
 
-    /// The two folders, as they are: for tests that take the power away.
+    /// Returns the two folders as they are, for tests that simulate a power loss.
     pub fn into_files(self) -> (F, F) {
-        (self.bodies, self.index.into_files())
+        (self.bodies, self.index_log.into_files())
     }
 }
--- a/crates/copies/src/lib.rs
+++ b/crates/copies/src/lib.rs
@@ -1,8 +1,10 @@
-//! Copies of a hub that outlive it. [`index`] decides, without input or output, what is kept and what goes; [`disk`] has
-//! bodies in files that only grow, and an index on the log of `harestage_segments`; [`record`] is that index's form.
+//! The disk store of a hub: copies that survive a restart. [`index`] decides which copies are kept and which are evicted, and
+//! does no I/O. [`disk`] stores bodies in append-only files and the index in a log of `harestage_segments`. [`record`] is
+//! the format of the records in that log.
 //!
-//! A body is synced before the index names it, and checked by its sum before it goes out: what a power loss tears is found at
-//! the start or at the first look, and counts as not kept. A start reads the index, not the bodies.
+//! A body is synced before the index refers to it, and verified by its checksum before it is served. A copy that a power loss
+//! has torn is therefore found at startup or at its first read, and counts as missing. A start reads the index, not the
+//! bodies.
 pub mod disk;
 pub mod index;
 pub mod record;
--- a/crates/copies/src/record.rs
+++ b/crates/copies/src/record.rs
@@ -1,21 +1,22 @@
-//! The index's records, small and of one form: a start reads all of them, and nothing else.
+//! Records of the index log. They are small and have one format, since a start reads all of them and nothing else.
 use crate::index::{CopyKey, CopyMetadata, Location};
 
-/// The form of a snapshot; a later one is refused by its first byte.
+/// Format version of a snapshot, its first byte. Other versions are rejected.
 pub const FORMAT_VERSION: u8 = 1;
 
-/// What a hub remembers beside its copies.
+/// State of a hub that is stored along with its copies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Checkpoint {
-    /// All purges up to that number were applied to what the index names.
+    /// All purges up to this number were applied to the indexed copies.
     pub applied_purge: u64,
-    /// The latest that the wall clock was seen at, Unix milliseconds: one that is behind it has gone back.
+    /// Latest observed wall-clock time, Unix milliseconds: a clock that reads less has gone backwards.
     pub latest_clock_ms: u64,
-    /// What a fill and a fetch usually take, seconds; 0: not known.
+    /// Usual duration of a fill and of a fetch, seconds; 0 if unknown.
     pub fill_seconds: f64,
     pub fetch_seconds: f64,
 }
 
+/// One change of the index.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     Put(CopyMetadata, Location),
@@ -24,81 +25,83 @@
 }
 
 impl Record {
-    pub fn encode(&self, to: &mut Vec<u8>) {
+    /// Appends the encoded record to `to`.
+    pub fn encode(&self, output: &mut Vec<u8>) {
         match self {
-            Record::Put(meta, place) => {
-                to.push(b'p');
-                key(meta.key, to);
-                to.extend(meta.dated_us.to_le_bytes());
-                to.push(u8::from(meta.group.is_some()));
-                to.extend(meta.group.unwrap_or(0).to_le_bytes());
-                to.push(meta.rank);
-                to.extend(place.file.to_le_bytes());
-                to.extend(place.offset.to_le_bytes());
-                to.extend(place.length.to_le_bytes());
-                to.extend(place.checksum.to_le_bytes());
-                to.push(meta.digest.len().min(255) as u8);
-                to.extend(&meta.digest[..meta.digest.len().min(255)]);
+            Record::Put(metadata, location) => {
+                output.push(b'p');
+                write_key(metadata.key, output);
+                output.extend(metadata.dated_us.to_le_bytes());
+                output.push(u8::from(metadata.group.is_some()));
+                output.extend(metadata.group.unwrap_or(0).to_le_bytes());
+                output.push(metadata.rank);
+                output.extend(location.file.to_le_bytes());
+                output.extend(location.offset.to_le_bytes());
+                output.extend(location.length.to_le_bytes());
+                output.extend(location.checksum.to_le_bytes());
+                output.push(metadata.digest.len().min(255) as u8);
+                output.extend(&metadata.digest[..metadata.digest.len().min(255)]);
             }
-            Record::Removed(gone) => {
-                to.push(b'g');
-                key(*gone, to);
+            Record::Removed(removed) => {
+                output.push(b'g');
+                write_key(*removed, output);
             }
-            Record::Checkpoint(marks) => {
-                to.push(b'm');
-                to.extend(marks.applied_purge.to_le_bytes());
-                to.extend(marks.latest_clock_ms.to_le_bytes());
-                to.extend(marks.fill_seconds.to_le_bytes());
-                to.extend(marks.fetch_seconds.to_le_bytes());
+            Record::Checkpoint(checkpoint) => {
+                output.push(b'm');
+                output.extend(checkpoint.applied_purge.to_le_bytes());
+                output.extend(checkpoint.latest_clock_ms.to_le_bytes());
+                output.extend(checkpoint.fill_seconds.to_le_bytes());
+                output.extend(checkpoint.fetch_seconds.to_le_bytes());
             }
         }
     }
 
-    /// Takes one off the front; none where what stands there is no record.
-    pub fn decode(from: &mut &[u8]) -> Option<Record> {
-        match byte(from)? {
+    /// Decodes and consumes the record at the front; none if the bytes are not a record.
+    pub fn decode(input: &mut &[u8]) -> Option<Record> {
+        match read_byte(input)? {
             b'p' => {
-                let key = read_key(from)?;
-                let dated_us = u64::from_le_bytes(array(from)?);
-                let has_group = byte(from)? == 1;
-                let group = u32::from_le_bytes(array(from)?);
-                let rank = byte(from)?;
-                let place = Location {
-                    file: u64::from_le_bytes(array(from)?),
-                    offset: u64::from_le_bytes(array(from)?),
-                    length: u32::from_le_bytes(array(from)?),
-                    checksum: u128::from_le_bytes(array(from)?),
+                let key = read_key(input)?;
+                let dated_us = u64::from_le_bytes(read_array(input)?);
+                let has_group = read_byte(input)? == 1;
+                let group = u32::from_le_bytes(read_array(input)?);
+                let rank = read_byte(input)?;
+                let location = Location {
+                    file: u64::from_le_bytes(read_array(input)?),
+                    offset: u64::from_le_bytes(read_array(input)?),
+                    length: u32::from_le_bytes(read_array(input)?),
+                    checksum: u128::from_le_bytes(read_array(input)?),
                 };
-                let length = usize::from(byte(from)?);
-                let digest = from.split_off(..length)?.to_vec();
-                let meta = CopyMetadata { key, digest, dated_us, group: has_group.then_some(group), rank };
-                Some(Record::Put(meta, place))
+                let length = usize::from(read_byte(input)?);
+                let digest = input.split_off(..length)?.to_vec();
+                let metadata =
+                    CopyMetadata { key, digest, dated_us, group: has_group.then_some(group), rank };
+                Some(Record::Put(metadata, location))
             }
-            b'g' => Some(Record::Removed(read_key(from)?)),
+            b'g' => Some(Record::Removed(read_key(input)?)),
             b'm' => Some(Record::Checkpoint(Checkpoint {
-                applied_purge: u64::from_le_bytes(array(from)?),
-                latest_clock_ms: u64::from_le_bytes(array(from)?),
-                fill_seconds: f64::from_le_bytes(array(from)?),
-                fetch_seconds: f64::from_le_bytes(array(from)?),
+                applied_purge: u64::from_le_bytes(read_array(input)?),
+                latest_clock_ms: u64::from_le_bytes(read_array(input)?),
+                fill_seconds: f64::from_le_bytes(read_array(input)?),
+                fetch_seconds: f64::from_le_bytes(read_array(input)?),
             })),
             _ => None,
         }
     }
 }
 
-fn key((object, part): CopyKey, to: &mut Vec<u8>) {
-    to.extend(object.to_le_bytes());
-    to.extend(part.to_le_bytes());
+fn write_key((object, part): CopyKey, output: &mut Vec<u8>) {
+    output.extend(object.to_le_bytes());
+    output.extend(part.to_le_bytes());
 }
 
-fn read_key(from: &mut &[u8]) -> Option<CopyKey> {
-    Some((u64::from_le_bytes(array(from)?), u32::from_le_bytes(array(from)?)))
+fn read_key(input: &mut &[u8]) -> Option<CopyKey> {
+    Some((u64::from_le_bytes(read_array(input)?), u32::from_le_bytes(read_array(input)?)))
 }
 
-fn byte(from: &mut &[u8]) -> Option<u8> {
-    from.split_off_first().copied()
+fn read_byte(input: &mut &[u8]) -> Option<u8> {
+    input.split_off_first().copied()
 }
 
-fn array<const N: usize>(from: &mut &[u8]) -> Option<[u8; N]> {
-    from.split_off(..N)?.try_into().ok()
+fn read_array<const N: usize>(input: &mut &[u8]) -> Option<[u8; N]> {
+    input.split_off(..N)?.try_into().ok()
 }
