--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -1,9 +1,9 @@
-//! A service as a group of three or five members over the sites, without input or output. One log is agreed on by Raft
-//! (the crate `raft`, which does no I/O of its own); the member that leads runs the service on it, and tells others only
-//! what the group has agreed on, while it knows that it still leads.
+//! A service replicated as a group of three or five members over the sites. The members agree on one log by Raft (the crate
+//! `raft`, which does no I/O of its own). The leader runs the service on that log. It tells others only what the group has
+//! committed, and only while it holds a leader lease.
 //!
-//! Bytes from other members and moments come in; what is to be written, sent and done comes back as a [`Turn`]. Everything
-//! of a turn that leaves the process does so after its writes are synced.
+//! This crate does no I/O. Its inputs are messages from other members and the current time; what is to be written, sent and
+//! done is returned as a [`StepOutput`]. Nothing of an output may leave the process before its writes are synced.
 mod replica;
 mod store;
 
--- a/crates/group/src/replica.rs
+++ b/crates/group/src/replica.rs
@@ -1,10 +1,11 @@
 //! One member of a group.
 //!
-//! The right to speak: a leader asks the others, under the moment at which it asks, whether they still follow it, and may
-//! tell anyone anything for [`LEASE`] after that moment once most have answered. A leader that was stopped and wakes up
-//! has no such answer that is young enough; answers that waited in its sockets meanwhile are to questions as old as its
-//! sleep. The lease is shorter than the time after which others would choose another, so that no two may speak.
-use crate::store::{Record, Store, join, part};
+//! Leader lease: the leader asks the other members whether they still follow it, and marks each request with the time at
+//! which it was made. Once a majority has answered, it may answer clients and send decisions until [`LEASE`] after that
+//! time. A leader that was paused (a stopped process or machine) has no recent enough answer when it resumes: those that
+//! waited in its sockets belong to requests from before the pause. The lease is shorter than the election timeout of the
+//! others, so that two members never hold it at once.
+use crate::store::{Record, Store, join, split};
 use harestage::time::{Moment, Span};
 use protobuf::Message as _;
 use raft::StateRole;
@@ -17,41 +18,42 @@
 use std::fmt;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// To be called as often.
+/// Interval at which [`Replica::tick`] has to be called.
 pub const TICK: Span = Span::millis(50);
-/// Ticks without a word of the leader after which another is chosen, at least; up to twice as many by chance.
+/// Ticks without a message of the leader before an election starts, at least. Raft randomizes it up to twice as many.
 const ELECTION_TICKS: usize = 13;
 const HEARTBEAT_TICKS: usize = 2;
-/// For how long a leader may speak after it asked what most have answered. The others wait for at least
-/// `ELECTION_TICKS`; clocks of members may run apart by the rest.
+/// Duration of the leader lease, from the request that a majority has answered. The others wait for at least
+/// `ELECTION_TICKS` before an election; the difference is the tolerance for clocks that run at different rates.
 pub const LEASE: Span = Span::millis(500);
-/// A leader asks so often.
-const ASKS_EVERY: Span = Span::millis(100);
-/// Entries after which the log is written whole.
-const WHOLE_AFTER: usize = 2_000;
-/// Bytes of entries in one message, and such messages on their way to one member.
-const MESSAGE_BYTES: u64 = 1 << 20;
-const MESSAGES: usize = 64;
-/// Entries that wait to be agreed on.
-const MOST_PENDING: usize = 4_096;
-
-/// A member as all know it.
+/// Interval at which a leader renews its lease.
+const LEASE_RENEWAL_INTERVAL: Span = Span::millis(100);
+/// Records written since the last snapshot after which the log is compacted.
+const COMPACT_AFTER_RECORDS: usize = 2_000;
+/// Most bytes of entries in one message.
+const MAX_MESSAGE_BYTES: u64 = 1 << 20;
+/// Most unacknowledged messages to one member.
+const MAX_INFLIGHT_MESSAGES: usize = 64;
+/// Most proposed entries that are not committed yet.
+const MAX_PENDING_PROPOSALS: usize = 4_096;
+
+/// A member of the group, as stored in its membership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     pub name: String,
     pub site: String,
-    /// Where other members reach it.
+    /// Address for the other members.
     #[serde(rename = "at")]
     pub address: String,
-    /// Where the service itself listens.
+    /// Address at which the service listens for clients.
     #[serde(rename = "serves")]
     pub service_address: String,
-    /// Counts its disks: one that lost its disk comes back under the next number, as another member.
+    /// Number of its disk. A member that lost its disk has to rejoin under the next number, as a new member.
     #[serde(default)]
     pub incarnation: u64,
 }
 
-/// Of a name and its disk's number; the same everywhere.
+/// Raft id of a member, computed from its name and incarnation; the same in every process.
 pub fn member_id(name: &str, incarnation: u64) -> u64 {
     let mut hasher = DefaultHasher::new();
     ("member", name, incarnation).hash(&mut hasher);
@@ -59,35 +61,31 @@
 }
 
 impl Member {
+    /// Raft id of the member.
     pub fn id(&self) -> u64 {
         member_id(&self.name, self.incarnation)
     }
 }
 
-/// How a member begins where its disk holds nothing.
+/// How a member starts if its disk is empty.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Start {
-    /// The group is founded with these; each of them is started so, with the same list.
+    /// It founds the group together with these members. Each of them has to be started with the same list and data.
     Found { members: Vec<Member>, data: Vec<Vec<u8>> },
-    /// It waits until a group takes it in.
+    /// It waits until it is added to an existing group.
     Join,
 }
 
-/// Why a member can't begin.
+/// Why a member can't start.
 #[derive(Debug, PartialEq)]
 pub enum StartError {
-    /// A record of its disk says nothing that this program knows.
-    Unreadable {
-        record: usize,
-    },
-    /// The disk is another member's.
-    WrongDisk {
-        found: u64,
-        expected: u64,
-    },
-    NotAMember {
-        name: String,
-    },
+    /// A record on its disk can't be decoded.
+    Unreadable { record: usize },
+    /// The disk belongs to another member.
+    WrongDisk { found: u64, expected: u64 },
+    /// The member is not in the list of founders.
+    NotAMember { name: String },
+    /// Raft reported an error.
     Raft(String),
 }
 
@@ -95,50 +93,53 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Unreadable { record } => write!(f, "record {record} can't be read"),
-            Self::WrongDisk { found: is, expected } => {
-                write!(f, "the disk is that of member {is:016x}, and not of {expected:016x}")
+            Self::WrongDisk { found, expected } => {
+                write!(f, "the disk belongs to member {found:016x}, not to {expected:016x}")
             }
-            Self::NotAMember { name } => write!(f, "{name} is not among the members"),
-            Self::Raft(why) => write!(f, "{why}"),
+            Self::NotAMember { name } => write!(f, "{name} is not among the founding members"),
+            Self::Raft(error) => write!(f, "{error}"),
         }
     }
 }
 
 impl std::error::Error for StartError {}
 
-/// This member does not lead, or may not speak now.
+/// This member is not the leader, or can't accept proposals now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NotLeaderError {
-    /// Who leads, as far as it is known.
+    /// The current leader, if known.
     pub leader: Option<Member>,
 }
 
-/// Something the group has agreed on.
+/// An entry that the group has committed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommittedEntry {
     pub index: u64,
     pub data: Vec<u8>,
 }
 
-/// What a turn brings. What is in `write` goes to disk, in this order, and is synced before anything else is done.
+/// What a step requires. `write` goes to disk in this order and is synced before anything else is done.
 #[derive(Debug, Default)]
 pub struct StepOutput {
     pub write: Vec<Vec<u8>>,
-    /// This stands for all records before it.
+    /// Replaces all earlier records on disk.
     pub snapshot: Option<Vec<u8>>,
+    /// Messages, by the id of the receiver.
     pub send: Vec<(u64, Vec<u8>)>,
+    /// Newly committed entries.
     pub committed: Vec<CommittedEntry>,
-    /// The data was taken over whole from another member; what was agreed on before does not count any more.
+    /// The data was replaced by a snapshot from another member; entries reported before no longer count.
     pub replaced: bool,
-    /// It leads from now on, under this term, and everything that was agreed on before is in its data.
+    /// It became leader in this term, and its data contains everything committed before.
     pub became_leader: Option<u64>,
-    /// It leads no more.
+    /// It is no longer leader.
     pub stepped_down: bool,
-    /// The list of members has changed.
+    /// The membership has changed.
     pub members_changed: bool,
 }
 
 impl StepOutput {
+    /// Whether nothing is to be done.
     pub fn is_empty(&self) -> bool {
         self.write.is_empty()
             && self.snapshot.is_none()
@@ -149,62 +150,64 @@
     }
 }
 
-/// For `status`.
+/// Status of a member for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
     pub name: String,
     pub term: u64,
     #[serde(rename = "leads")]
     pub is_leader: bool,
-    /// It leads, and most of the others have said so lately.
+    /// Whether it is leader and a majority has confirmed it recently.
     #[serde(rename = "may_speak")]
     pub holds_leader_lease: bool,
     pub leader: Option<String>,
     #[serde(rename = "agreed")]
     pub last_applied: u64,
     pub members: Vec<Member>,
-    /// Members that a leader has heard of lately, by name.
+    /// Names of the members that have sent a message within the last two seconds.
     #[serde(rename = "heard")]
     pub recently_heard: Vec<String>,
 }
 
+/// State machine of one member.
 pub struct Replica {
-    me: u64,
+    id: u64,
     disk: u64,
     name: String,
     node: RawNode<Store>,
     store: Store,
     members: BTreeMap<u64, Member>,
-    met: BTreeMap<u64, u64>,
-    /// What was agreed on, as the service wants it kept.
+    /// Disk numbers of other members, by id.
+    peer_disks: BTreeMap<u64, u64>,
+    /// The committed data, as compacted by the service.
     data: Vec<Vec<u8>>,
     applied: u64,
-    since_whole: usize,
-    /// The term under which it leads, once all before is agreed on.
-    leading: Option<u64>,
+    records_since_compaction: usize,
+    /// Its term as leader, once everything from before that term is committed.
+    leader_term: Option<u64>,
     lease_until: Moment,
-    asked: Moment,
-    heard: BTreeMap<u64, Moment>,
+    lease_requested: Moment,
+    last_heard: BTreeMap<u64, Moment>,
     write: Vec<Vec<u8>>,
-    pending: usize,
-    forgot: bool,
+    pending_proposals: usize,
+    has_lost_log: bool,
 }
 
-/// What the service's data and the members are in a snapshot.
+/// First piece of the data of a snapshot; the data of the service follows.
 #[derive(Serialize, Deserialize)]
-struct Body {
+struct SnapshotHeader {
     members: Vec<Member>,
 }
 
-fn snapshot_of(
+fn make_snapshot(
     members: &BTreeMap<u64, Member>,
     data: &[Vec<u8>],
     index: u64,
     term: u64,
     conf: ConfState,
 ) -> Snapshot {
-    let body = Body { members: members.values().cloned().collect() };
-    let mut pieces = vec![serde_json::to_vec(&body).unwrap_or_default()];
+    let header = SnapshotHeader { members: members.values().cloned().collect() };
+    let mut pieces = vec![serde_json::to_vec(&header).unwrap_or_default()];
     pieces.extend(data.iter().cloned());
     let mut snapshot = Snapshot::default();
     snapshot.set_data(join(&pieces).into());
@@ -214,17 +217,18 @@
     snapshot
 }
 
+/// Members by their id.
 type Members = BTreeMap<u64, Member>;
 
 fn read_snapshot(snapshot: &Snapshot) -> Option<(Members, Vec<Vec<u8>>)> {
-    let pieces = part(snapshot.get_data())?;
-    let (body, data) = pieces.split_first()?;
-    let body: Body = serde_json::from_slice(body).ok()?;
-    Some((body.members.into_iter().map(|m| (m.id(), m)).collect(), data.to_vec()))
+    let pieces = split(snapshot.get_data())?;
+    let (header, data) = pieces.split_first()?;
+    let header: SnapshotHeader = serde_json::from_slice(header).ok()?;
+    Some((header.members.into_iter().map(|m| (m.id(), m)).collect(), data.to_vec()))
 }
 
 impl Replica {
-    /// Takes a member up from its disk's records, or begins one. `disk` is a number drawn by chance, for a new disk.
+    /// Restores a member from the records on its disk, or starts a new one. `disk` is a random number for a new disk.
     pub fn open(
         name: &str,
         incarnation: u64,
@@ -233,25 +237,25 @@
         disk: u64,
         now: Moment,
     ) -> Result<Replica, StartError> {
-        let me = member_id(name, incarnation);
+        let id = member_id(name, incarnation);
         let store = Store::new();
-        let (mut known, mut met) = (None, BTreeMap::new());
+        let (mut known, mut peer_disks) = (None, BTreeMap::new());
         let (mut members, mut data) = (BTreeMap::new(), Vec::new());
         let raft = |why: raft::Error| StartError::Raft(why.to_string());
         for (n, record) in records.iter().enumerate() {
-            match Record::read(record).ok_or(StartError::Unreadable { record: n })? {
-                Record::Who { id, disk } => known = Some((id, disk)),
-                Record::Met { id, disk } => drop(met.insert(id, disk)),
-                Record::Hard(hard) => store.set_hard(hard),
+            match Record::decode(record).ok_or(StartError::Unreadable { record: n })? {
+                Record::Identity { id, disk } => known = Some((id, disk)),
+                Record::PeerDisk { id, disk } => drop(peer_disks.insert(id, disk)),
+                Record::HardState(hard) => store.set_hard_state(hard),
                 Record::Entry(entry) => store.append(&[*entry]).map_err(raft)?,
                 Record::Snapshot(snapshot) => {
-                    let hard = store.hard();
+                    let hard = store.hard_state();
                     store.restore(&snapshot).map_err(raft)?;
-                    // A snapshot says less of votes than what was written before it.
-                    if hard.term > store.hard().term {
-                        let mut kept = hard;
-                        kept.commit = kept.commit.max(snapshot.get_metadata().index);
-                        store.set_hard(kept);
+                    // A snapshot contains no vote, so a newer hard state from before it stays.
+                    if hard.term > store.hard_state().term {
+                        let mut merged = hard;
+                        merged.commit = merged.commit.max(snapshot.get_metadata().index);
+                        store.set_hard_state(merged);
                     }
                     (members, data) = read_snapshot(&snapshot).ok_or(StartError::Unreadable { record: n })?;
                 }
@@ -259,174 +263,186 @@
         }
         let mut write = Vec::new();
         match known {
-            Some((is, _)) if is != me => return Err(StartError::WrongDisk { found: is, expected: me }),
+            Some((found, _)) if found != id => return Err(StartError::WrongDisk { found, expected: id }),
             Some(_) => {}
             None => {
-                write.push(Record::Who { id: me, disk }.write());
-                if let Start::Found { members: founders, data: first } = start {
+                write.push(Record::Identity { id, disk }.encode());
+                if let Start::Found { members: founders, data: founding_data } = start {
                     members = founders.into_iter().map(|m| (m.id(), m)).collect();
-                    if !members.contains_key(&me) {
+                    if !members.contains_key(&id) {
                         return Err(StartError::NotAMember { name: name.into() });
                     }
                     let conf =
                         ConfState { voters: members.keys().copied().collect(), ..ConfState::default() };
-                    // All founders begin with the same entry behind them, so that whoever joins later is sent it whole.
-                    let snapshot = snapshot_of(&members, &first, 1, 1, conf);
+                    // All founders start from the same snapshot, so that a member that joins later is sent a snapshot.
+                    let snapshot = make_snapshot(&members, &founding_data, 1, 1, conf);
                     store.restore(&snapshot).map_err(raft)?;
-                    write.push(Record::Snapshot(Box::new(snapshot)).write());
-                    data = first;
+                    write.push(Record::Snapshot(Box::new(snapshot)).encode());
+                    data = founding_data;
                 }
             }
         }
         let applied = store.snapshot.borrow().get_metadata().index;
         let config = Config {
-            id: me,
+            id,
             election_tick: ELECTION_TICKS,
             heartbeat_tick: HEARTBEAT_TICKS,
             applied,
-            max_size_per_msg: MESSAGE_BYTES,
-            max_inflight_msgs: MESSAGES,
+            max_size_per_msg: MAX_MESSAGE_BYTES,
+            max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
             check_quorum: true,
             pre_vote: true,
             ..Config::default()
         };
-        // Election times are drawn by Raft's own generator; nothing of the agreement depends on them.
+        // Raft draws election timeouts with its own random generator; correctness does not depend on them.
         let node = RawNode::new(&config, store.clone(), &Logger::root(Discard, o!())).map_err(raft)?;
         Ok(Replica {
-            me,
+            id,
             disk: known.map_or(disk, |(_, disk)| disk),
             name: name.into(),
             node,
             store,
             members,
-            met,
+            peer_disks,
             data,
             applied,
-            since_whole: records.len(),
-            leading: None,
+            records_since_compaction: records.len(),
+            leader_term: None,
             lease_until: Moment::default(),
-            asked: now,
-            heard: BTreeMap::new(),
+            lease_requested: now,
+            last_heard: BTreeMap::new(),
             write,
-            pending: 0,
-            forgot: false,
+            pending_proposals: 0,
+            has_lost_log: false,
         })
     }
 
+    /// Raft id of this member.
     pub fn id(&self) -> u64 {
-        self.me
+        self.id
     }
 
-    /// The number of its disk, which others know it by.
+    /// Number of its disk, by which the others recognize it.
     pub fn disk(&self) -> u64 {
         self.disk
     }
 
-    /// Another member says who it is. False: it is under the id of one whose disk was another, and lost its own.
+    /// Checks the disk number of another member against the one from their first connection. False if it differs: that
+    /// member has lost its disk and must not go on under the same id.
     pub fn verify_disk(&mut self, id: u64, disk: u64) -> bool {
-        match self.met.get(&id) {
+        match self.peer_disks.get(&id) {
             Some(known) => *known == disk,
             None => {
-                self.met.insert(id, disk);
-                self.write.push(Record::Met { id, disk }.write());
+                self.peer_disks.insert(id, disk);
+                self.write.push(Record::PeerDisk { id, disk }.encode());
                 true
             }
         }
     }
 
+    /// All members.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
+    /// The member with this id.
     pub fn member(&self, id: u64) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// What was agreed on so far.
+    /// The committed data.
     pub fn data(&self) -> &[Vec<u8>] {
         &self.data
     }
 
+    /// Advances the clock of Raft and renews the leader lease; to be called every [`TICK`].
     pub fn tick(&mut self, now: Moment) {
         self.node.tick();
-        // A group of one needs no election's wait.
-        let alone = self.members.len() == 1 && self.members.contains_key(&self.me);
-        if alone && self.node.raft.state != StateRole::Leader {
+        // A group of one member need not wait for the election timeout.
+        let single = self.members.len() == 1 && self.members.contains_key(&self.id);
+        if single && self.node.raft.state != StateRole::Leader {
             let _ = self.node.campaign();
         }
-        if self.leading.is_some() && now.since(self.asked) >= ASKS_EVERY {
-            self.asked = now;
+        if self.leader_term.is_some() && now.since(self.lease_requested) >= LEASE_RENEWAL_INTERVAL {
+            self.lease_requested = now;
             self.node.read_index(now.micros().to_be_bytes().to_vec());
         }
     }
 
-    /// Bytes that another member sent.
+    /// Handles a message from another member.
     pub fn on_message(&mut self, bytes: &[u8], now: Moment) {
         let Ok(message) = Message::parse_from_bytes(bytes) else { return };
-        // What is meant for another incarnation of this member is not for this one.
-        if message.to != self.me {
+        // The message may be meant for another incarnation of this member.
+        if message.to != self.id {
             return;
         }
-        // It is told that something was agreed on that it said to have: its disk is not the one that it had.
-        let has = raft::Storage::last_index(&self.store).unwrap_or(0);
-        if message.get_msg_type() == MessageType::MsgHeartbeat && message.commit > has {
-            self.forgot = true;
+        // The leader counts an entry as committed that this member had acknowledged but does not have: its disk was lost.
+        let last_index = raft::Storage::last_index(&self.store).unwrap_or(0);
+        if message.get_msg_type() == MessageType::MsgHeartbeat && message.commit > last_index {
+            self.has_lost_log = true;
         }
-        if self.forgot {
+        if self.has_lost_log {
             return;
         }
-        self.heard.insert(message.from, now);
+        self.last_heard.insert(message.from, now);
         let _ = self.node.step(message);
     }
 
-    /// Its disk has lost what it said that it had: it may not go on under this id, since it would vote twice.
+    /// Whether its disk has lost entries that it had acknowledged. It must not go on under this id, since it might vote twice
+    /// in one term.
     pub fn has_lost_log(&self) -> bool {
-        self.forgot
+        self.has_lost_log
     }
 
-    /// A member could not be reached: Raft sends it less.
+    /// Reports that a member could not be reached, so that Raft sends it less.
     pub fn report_unreachable(&mut self, id: u64) {
         if self.node.raft.state == StateRole::Leader {
             self.node.report_unreachable(id);
         }
     }
 
-    /// Whether it leads and may tell anyone anything at this moment.
+    /// Whether it is leader and may answer clients now.
     pub fn holds_leader_lease(&self, now: Moment) -> bool {
-        self.leading.is_some() && now < self.lease_until
+        self.leader_term.is_some() && now < self.lease_until
     }
 
+    /// The current leader, if known.
     pub fn leader(&self) -> Option<&Member> {
         self.members.get(&self.node.raft.leader_id)
     }
 
+    /// The error for a request that another member has to handle.
     pub fn not_leader(&self) -> NotLeaderError {
-        let leader = self.leader().filter(|leader| leader.id() != self.me);
+        let leader = self.leader().filter(|leader| leader.id() != self.id);
         NotLeaderError { leader: leader.cloned() }
     }
 
-    /// Wants something to be agreed on. It is done with when it comes back in a turn; a step down before that leaves it
-    /// open whether it ever will.
+    /// Proposes an entry. It is committed once a step returns it. If the leader steps down before that, the outcome is
+    /// unknown.
     pub fn propose(&mut self, data: Vec<u8>) -> Result<(), NotLeaderError> {
-        if self.leading.is_none() || self.pending >= MOST_PENDING {
+        if self.leader_term.is_none() || self.pending_proposals >= MAX_PENDING_PROPOSALS {
             return Err(self.not_leader());
         }
         self.node.propose(Vec::new(), data).map_err(|_| self.not_leader())?;
-        self.pending += 1;
+        self.pending_proposals += 1;
         Ok(())
     }
 
-    /// Takes a member in. One at a time; a name that is a member already is refused.
+    /// Adds a member. Only one change of the membership at a time; a name that is already a member is refused.
     pub fn add(&mut self, member: &Member) -> Result<(), String> {
         if let Some(known) = self.members.values().find(|m| m.name == member.name) {
-            return Err(format!("{} is a member already, as number {}", known.name, known.incarnation));
+            return Err(format!(
+                "{} is a member already, with incarnation {}",
+                known.name, known.incarnation
+            ));
         }
         self.change(ConfChangeType::AddNode, member)
     }
 
+    /// Removes a member by its name. The last one can't be removed.
     pub fn remove(&mut self, name: &str) -> Result<(), String> {
         let member = self.members.values().find(|m| m.name == name).cloned();
-        let member = member.ok_or_else(|| format!("{name} is no member"))?;
+        let member = member.ok_or_else(|| format!("{name} is not a member"))?;
         if self.members.len() == 1 {
             return Err(format!("{name} is the last member"));
         }
@@ -434,88 +450,92 @@
     }
 
     fn change(&mut self, kind: ConfChangeType, member: &Member) -> Result<(), String> {
-        if self.leading.is_none() {
-            return Err("this member does not lead".into());
+        if self.leader_term.is_none() {
+            return Err("this member is not the leader".into());
         }
         if self.node.raft.has_pending_conf() {
-            return Err("another change of members is under way".into());
+            return Err("another membership change is in progress".into());
         }
         let mut change = ConfChange::default();
         change.set_change_type(kind);
         change.node_id = member.id();
         let context = serde_json::to_vec(member).unwrap_or_default();
-        self.node.propose_conf_change(context, change).map_err(|why| why.to_string())
+        self.node.propose_conf_change(context, change).map_err(|error| error.to_string())
     }
 
-    /// What has come of all that came in. Call it until it brings nothing more.
+    /// Returns what is to be done after the inputs so far. To be called until the output is empty.
     pub fn step(&mut self, now: Moment) -> StepOutput {
-        let mut turn = StepOutput { write: std::mem::take(&mut self.write), ..StepOutput::default() };
+        let mut output = StepOutput { write: std::mem::take(&mut self.write), ..StepOutput::default() };
         if self.node.has_ready() {
-            self.ready(&mut turn, now);
+            self.process_ready(&mut output, now);
         }
-        let leads = self.node.raft.state == StateRole::Leader;
-        if self.leading.is_some() && !leads || self.leading.is_some_and(|term| term != self.node.raft.term) {
-            self.leading = None;
+        let is_leader = self.node.raft.state == StateRole::Leader;
+        if self.leader_term.is_some() && !is_leader
+            || self.leader_term.is_some_and(|term| term != self.node.raft.term)
+        {
+            self.leader_term = None;
             self.lease_until = Moment::default();
-            self.pending = 0;
-            turn.stepped_down = true;
+            self.pending_proposals = 0;
+            output.stepped_down = true;
         }
-        // Everything before its own first entry is agreed on once that is.
-        let own = |term: u64| raft::Storage::term(&self.store, self.applied).is_ok_and(|at| at == term);
-        if leads && self.leading.is_none() && own(self.node.raft.term) {
-            self.leading = Some(self.node.raft.term);
-            turn.became_leader = self.leading;
-            self.asked = now;
+        // Once the first entry of its own term is committed, so are all entries before it.
+        let has_applied =
+            |term: u64| raft::Storage::term(&self.store, self.applied).is_ok_and(|at| at == term);
+        if is_leader && self.leader_term.is_none() && has_applied(self.node.raft.term) {
+            self.leader_term = Some(self.node.raft.term);
+            output.became_leader = self.leader_term;
+            self.lease_requested = now;
             self.node.read_index(now.micros().to_be_bytes().to_vec());
         }
-        turn
+        output
     }
 
-    fn ready(&mut self, turn: &mut StepOutput, now: Moment) {
+    /// Processes what Raft has made ready.
+    fn process_ready(&mut self, output: &mut StepOutput, now: Moment) {
         let mut ready = self.node.ready();
-        self.send(ready.take_messages(), turn);
+        self.send(ready.take_messages(), output);
         if !ready.snapshot().is_empty() {
-            self.take_over(ready.snapshot().clone(), turn);
+            self.install_snapshot(ready.snapshot().clone(), output);
         }
-        let agreed = ready.take_committed_entries();
+        let committed = ready.take_committed_entries();
         for entry in ready.entries() {
-            turn.write.push(Record::Entry(Box::new(entry.clone())).write());
+            output.write.push(Record::Entry(Box::new(entry.clone())).encode());
         }
         let _ = self.store.append(ready.entries());
         if let Some(hard) = ready.hs() {
-            self.store.set_hard(hard.clone());
-            turn.write.push(Record::Hard(hard.clone()).write());
+            self.store.set_hard_state(hard.clone());
+            output.write.push(Record::HardState(hard.clone()).encode());
         }
-        self.since_whole += turn.write.len();
+        self.records_since_compaction += output.write.len();
         for state in ready.take_read_states() {
-            self.heard_by_most(&state.request_ctx, now);
+            self.renew_lease(&state.request_ctx, now);
         }
-        self.send(ready.take_persisted_messages(), turn);
-        self.apply(agreed, turn);
+        self.send(ready.take_persisted_messages(), output);
+        self.apply(committed, output);
         let mut light = self.node.advance(ready);
         if let Some(commit) = light.commit_index() {
             self.store.set_commit(commit);
         }
-        self.send(light.take_messages(), turn);
-        let agreed = light.take_committed_entries();
-        self.apply(agreed, turn);
+        self.send(light.take_messages(), output);
+        let committed = light.take_committed_entries();
+        self.apply(committed, output);
         self.node.advance_apply();
     }
 
-    fn send(&self, messages: Vec<Message>, turn: &mut StepOutput) {
+    fn send(&self, messages: Vec<Message>, output: &mut StepOutput) {
         let bytes = |message: Message| Some((message.to, message.write_to_bytes().ok()?));
-        turn.send.extend(messages.into_iter().filter_map(bytes));
+        output.send.extend(messages.into_iter().filter_map(bytes));
     }
 
-    fn heard_by_most(&mut self, asked: &[u8], now: Moment) {
-        let Some(asked) = asked.try_into().ok().map(u64::from_be_bytes) else { return };
-        let asked = Moment::at_micros(asked);
-        if asked <= now {
-            self.lease_until = self.lease_until.max(asked + LEASE);
+    fn renew_lease(&mut self, requested: &[u8], now: Moment) {
+        let Some(requested) = requested.try_into().ok().map(u64::from_be_bytes) else { return };
+        let requested = Moment::at_micros(requested);
+        if requested <= now {
+            self.lease_until = self.lease_until.max(requested + LEASE);
         }
     }
 
-    fn take_over(&mut self, snapshot: Snapshot, turn: &mut StepOutput) {
+    fn install_snapshot(&mut self, snapshot: Snapshot, output: &mut StepOutput) {
         if self.store.restore(&snapshot).is_err() {
             return;
         }
@@ -523,27 +543,27 @@
             (self.members, self.data) = (members, data);
         }
         self.applied = snapshot.get_metadata().index;
-        turn.write.push(Record::Snapshot(Box::new(snapshot)).write());
-        (turn.replaced, turn.members_changed) = (true, true);
+        output.write.push(Record::Snapshot(Box::new(snapshot)).encode());
+        (output.replaced, output.members_changed) = (true, true);
     }
 
-    fn apply(&mut self, entries: Vec<Entry>, turn: &mut StepOutput) {
+    fn apply(&mut self, entries: Vec<Entry>, output: &mut StepOutput) {
         for entry in entries {
             self.applied = self.applied.max(entry.index);
             match entry.get_entry_type() {
                 EntryType::EntryNormal if entry.get_data().is_empty() => {}
                 EntryType::EntryNormal => {
                     let data = entry.get_data().to_vec();
-                    self.pending = self.pending.saturating_sub(1);
+                    self.pending_proposals = self.pending_proposals.saturating_sub(1);
                     self.data.push(data.clone());
-                    turn.committed.push(CommittedEntry { index: entry.index, data });
+                    output.committed.push(CommittedEntry { index: entry.index, data });
                 }
-                _ => self.apply_change(&entry, turn),
+                _ => self.apply_change(&entry, output),
             }
         }
     }
 
-    fn apply_change(&mut self, entry: &Entry, turn: &mut StepOutput) {
+    fn apply_change(&mut self, entry: &Entry, output: &mut StepOutput) {
         let Ok(change) = ConfChange::parse_from_bytes(entry.get_data()) else { return };
         let Ok(conf) = self.node.apply_conf_change(&change) else { return };
         self.store.set_members(conf);
@@ -552,59 +572,64 @@
             _ => {
                 let member: Option<Member> = serde_json::from_slice(entry.get_context()).ok();
                 self.members.extend(member.map(|member| (member.id(), member)));
-                // Whoever has nothing yet is sent everything whole, and that has to name it as a member.
-                self.since_whole = WHOLE_AFTER;
+                // The new member needs a snapshot that lists it, so a compaction is due.
+                self.records_since_compaction = COMPACT_AFTER_RECORDS;
             }
         }
-        turn.members_changed = true;
+        output.members_changed = true;
     }
 
-    /// Whether the log has grown so much that it is worth writing whole.
+    /// Whether the log has grown so much that it should be compacted.
     pub fn needs_compaction(&self) -> bool {
-        self.since_whole >= WHOLE_AFTER
+        self.records_since_compaction >= COMPACT_AFTER_RECORDS
     }
 
-    /// Writes the log whole, with what the service wants kept of its data. The turn that comes back is empty but for that.
+    /// Compacts the log to a snapshot with the data that the service still needs. The output contains only that snapshot.
     pub fn compact(&mut self, data: Vec<Vec<u8>>) -> StepOutput {
         let term = raft::Storage::term(&self.store, self.applied).unwrap_or(0);
         let Ok(state) = raft::Storage::initial_state(&self.store) else { return StepOutput::default() };
-        let snapshot = snapshot_of(&self.members, &data, self.applied, term, state.conf_state);
+        let snapshot = make_snapshot(&self.members, &data, self.applied, term, state.conf_state);
         if self.store.compact(snapshot.clone()).is_err() {
             return StepOutput::default();
         }
         self.data = data;
-        self.since_whole = 0;
-        let mut records = vec![Record::Who { id: self.me, disk: self.disk }.write()];
-        records.extend(self.met.iter().map(|(id, disk)| Record::Met { id: *id, disk: *disk }.write()));
-        records.push(Record::Snapshot(Box::new(snapshot)).write());
-        records.push(Record::Hard(self.store.hard()).write());
+        self.records_since_compaction = 0;
+        let mut records = vec![Record::Identity { id: self.id, disk: self.disk }.encode()];
+        records.extend(
+            self.peer_disks.iter().map(|(id, disk)| Record::PeerDisk { id: *id, disk: *disk }.encode()),
+        );
+        records.push(Record::Snapshot(Box::new(snapshot)).encode());
+        records.push(Record::HardState(self.store.hard_state()).encode());
         let (first, last) =
             (self.applied + 1, raft::Storage::last_index(&self.store).unwrap_or(self.applied));
         if last >= first {
             let context = raft::GetEntriesContext::empty(false);
-            let left =
+            let remaining =
                 raft::Storage::entries(&self.store, first, last + 1, None, context).unwrap_or_default();
-            records.extend(left.into_iter().map(|entry| Record::Entry(Box::new(entry)).write()));
+            records.extend(remaining.into_iter().map(|entry| Record::Entry(Box::new(entry)).encode()));
         }
         StepOutput { snapshot: Some(join(&records)), ..StepOutput::default() }
     }
 
-    /// The records of a log that was written whole.
+    /// Decodes the records of a compacted log.
     pub fn decode_snapshot(bytes: &[u8]) -> Option<Vec<Vec<u8>>> {
-        part(bytes)
+        split(bytes)
     }
 
+    /// The current term.
     pub fn term(&self) -> u64 {
         self.node.raft.term
     }
 
-    /// Whether it leads, may it speak or not.
+    /// Whether it is leader, with or without a valid lease.
     pub fn is_leader(&self) -> bool {
-        self.leading.is_some()
+        self.leader_term.is_some()
     }
 
+    /// Status for operators.
     pub fn status(&self, now: Moment) -> ReplicaStatus {
-        let lately = |id: &&u64| self.heard.get(*id).is_some_and(|at| now.since(*at) < Span::millis(2_000));
+        let recently =
+            |id: &&u64| self.last_heard.get(*id).is_some_and(|at| now.since(*at) < Span::millis(2_000));
         ReplicaStatus {
             name: self.name.clone(),
             term: self.term(),
@@ -616,7 +641,7 @@
             recently_heard: self
                 .members
                 .keys()
-                .filter(lately)
+                .filter(recently)
                 .map(|id| self.members[id].name.clone())
                 .collect(),
         }
--- a/crates/group/src/store.rs
+++ b/crates/group/src/store.rs
@@ -1,4 +1,4 @@
-//! What a member knows of the log, in memory, and the records on disk from which it is known again.
+//! The Raft log in memory, and the records on disk from which it is restored.
 use protobuf::Message as _;
 use raft::prelude::{ConfState, Entry, HardState, Snapshot};
 use raft::storage::MemStorage;
@@ -6,73 +6,76 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// One record of a member's disk; the first byte tells which.
+/// One record on the disk of a member. Its first byte is the kind.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Record {
-    /// Who it is: its id, and a number that no other disk has.
-    Who {
+    /// Identity of the member: its id, and the number of its disk, which no other disk has.
+    Identity {
         id: u64,
         disk: u64,
     },
     Snapshot(Box<Snapshot>),
-    Hard(HardState),
+    HardState(HardState),
     Entry(Box<Entry>),
-    /// The disk of another member, as it was first met.
-    Met {
+    /// Disk number of another member, as it was when they first connected.
+    PeerDisk {
         id: u64,
         disk: u64,
     },
 }
 
 impl Record {
-    pub fn write(&self) -> Vec<u8> {
+    /// Encodes the record.
+    pub fn encode(&self) -> Vec<u8> {
         let (kind, bytes) = match self {
-            Self::Who { id, disk } => (b'I', numbers(*id, *disk)),
+            Self::Identity { id, disk } => (b'I', encode_numbers(*id, *disk)),
             Self::Snapshot(snapshot) => (b'S', snapshot.write_to_bytes().unwrap_or_default()),
-            Self::Hard(hard) => (b'H', hard.write_to_bytes().unwrap_or_default()),
+            Self::HardState(state) => (b'H', state.write_to_bytes().unwrap_or_default()),
             Self::Entry(entry) => (b'E', entry.write_to_bytes().unwrap_or_default()),
-            Self::Met { id, disk } => (b'P', numbers(*id, *disk)),
+            Self::PeerDisk { id, disk } => (b'P', encode_numbers(*id, *disk)),
         };
         let mut record = vec![kind];
         record.extend(bytes);
         record
     }
 
-    pub fn read(record: &[u8]) -> Option<Record> {
+    /// Decodes a record; none if it is invalid.
+    pub fn decode(record: &[u8]) -> Option<Record> {
         let (kind, bytes) = record.split_first()?;
         Some(match kind {
             b'I' => {
-                let (id, disk) = read_numbers(bytes)?;
-                Record::Who { id, disk }
+                let (id, disk) = decode_numbers(bytes)?;
+                Record::Identity { id, disk }
             }
             b'P' => {
-                let (id, disk) = read_numbers(bytes)?;
-                Record::Met { id, disk }
+                let (id, disk) = decode_numbers(bytes)?;
+                Record::PeerDisk { id, disk }
             }
             b'S' => Record::Snapshot(Box::new(Snapshot::parse_from_bytes(bytes).ok()?)),
-            b'H' => Record::Hard(HardState::parse_from_bytes(bytes).ok()?),
+            b'H' => Record::HardState(HardState::parse_from_bytes(bytes).ok()?),
             b'E' => Record::Entry(Box::new(Entry::parse_from_bytes(bytes).ok()?)),
             _ => return None,
         })
     }
 }
 
-fn numbers(a: u64, b: u64) -> Vec<u8> {
+fn encode_numbers(a: u64, b: u64) -> Vec<u8> {
     [a.to_be_bytes(), b.to_be_bytes()].concat()
 }
 
-fn read_numbers(bytes: &[u8]) -> Option<(u64, u64)> {
+fn decode_numbers(bytes: &[u8]) -> Option<(u64, u64)> {
     let (a, b) = (bytes.get(..8)?, bytes.get(8..16)?);
     Some((u64::from_be_bytes(a.try_into().ok()?), u64::from_be_bytes(b.try_into().ok()?)))
 }
 
-/// Pieces in one record, each with its length before it.
+/// Concatenates pieces, each prefixed with its length.
 pub(crate) fn join(pieces: &[Vec<u8>]) -> Vec<u8> {
     let piece = |piece: &Vec<u8>| [&(piece.len() as u32).to_be_bytes()[..], piece].concat();
     pieces.iter().flat_map(piece).collect()
 }
 
-pub(crate) fn part(mut bytes: &[u8]) -> Option<Vec<Vec<u8>>> {
+/// Splits what [`join`] has concatenated.
+pub(crate) fn split(mut bytes: &[u8]) -> Option<Vec<Vec<u8>>> {
     let mut pieces = Vec::new();
     while !bytes.is_empty() {
         let length = u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
@@ -82,47 +85,53 @@
     Some(pieces)
 }
 
-/// The log as Raft asks for it. Clones share what they hold.
+/// Storage of the log for Raft. Clones share their contents.
 #[derive(Clone)]
 pub(crate) struct Store {
     pub log: MemStorage,
-    /// The last one that was made or taken in: what members far behind are sent.
+    /// The latest snapshot that was made or received. It is sent to members that are too far behind for the log.
     pub snapshot: Rc<RefCell<Snapshot>>,
 }
 
 impl Store {
+    /// An empty store.
     pub fn new() -> Store {
         Store { log: MemStorage::new(), snapshot: Rc::default() }
     }
 
-    /// Takes a snapshot in: all before it is gone.
+    /// Installs a snapshot and drops all entries before it.
     pub fn restore(&self, snapshot: &Snapshot) -> raft::Result<()> {
         self.log.wl().apply_snapshot(snapshot.clone())?;
         *self.snapshot.borrow_mut() = snapshot.clone();
         Ok(())
     }
 
+    /// Appends entries to the log.
     pub fn append(&self, entries: &[Entry]) -> raft::Result<()> {
         self.log.wl().append(entries)
     }
 
-    pub fn set_hard(&self, hard: HardState) {
-        self.log.wl().set_hardstate(hard);
+    /// Sets term, vote and commit index.
+    pub fn set_hard_state(&self, state: HardState) {
+        self.log.wl().set_hardstate(state);
     }
 
+    /// Sets the commit index.
     pub fn set_commit(&self, commit: u64) {
         self.log.wl().mut_hard_state().set_commit(commit);
     }
 
-    pub fn hard(&self) -> HardState {
+    /// Term, vote and commit index.
+    pub fn hard_state(&self) -> HardState {
         self.log.rl().hard_state().clone()
     }
 
-    pub fn set_members(&self, members: ConfState) {
-        self.log.wl().set_conf_state(members);
+    /// Sets the membership of the group.
+    pub fn set_members(&self, conf: ConfState) {
+        self.log.wl().set_conf_state(conf);
     }
 
-    /// The log up to the snapshot's last entry is forgotten.
+    /// Drops the log up to the last entry of the snapshot.
     pub fn compact(&self, snapshot: Snapshot) -> raft::Result<()> {
         let upto = snapshot.get_metadata().index;
         *self.snapshot.borrow_mut() = snapshot;
@@ -146,8 +155,8 @@
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        let kept = self.snapshot.borrow().get_metadata().clone();
-        if index == kept.index && index > 0 { Ok(kept.term) } else { self.log.term(index) }
+        let current = self.snapshot.borrow().get_metadata().clone();
+        if index == current.index && index > 0 { Ok(current.term) } else { self.log.term(index) }
     }
 
     fn first_index(&self) -> raft::Result<u64> {
@@ -159,10 +168,10 @@
     }
 
     fn snapshot(&self, _request_index: u64, to: u64) -> raft::Result<Snapshot> {
-        let kept = self.snapshot.borrow().clone();
-        // One that does not name its reader as a member would be passed over there.
-        match kept.get_metadata().get_conf_state().voters.contains(&to) {
-            true => Ok(kept),
+        let current = self.snapshot.borrow().clone();
+        // The receiver would ignore a snapshot that does not list it as a member.
+        match current.get_metadata().get_conf_state().voters.contains(&to) {
+            true => Ok(current),
             false => Err(raft::Error::Store(raft::StorageError::SnapshotTemporarilyUnavailable)),
         }
     }
--- a/crates/group/tests/agreement.rs
+++ b/crates/group/tests/agreement.rs
@@ -1,4 +1,5 @@
-//! Members on a network in virtual time that loses, doubles, delays and cuts, with disks that lose what was not synced.
+//! Members on a simulated network in virtual time that loses, duplicates, delays and partitions, with disks that lose what
+//! was not synced.
 use harestage::time::{Moment, Span};
 use harestage_group::{Member, Replica, Start, TICK, member_id};
 use rand::rngs::StdRng;
@@ -16,64 +17,64 @@
     }
 }
 
-struct Post {
+struct Envelope {
     at: Moment,
     from: usize,
     to: u64,
     bytes: Vec<u8>,
 }
 
-struct Place {
-    seat: Option<Replica>,
+struct Node {
+    replica: Option<Replica>,
     member: Member,
-    /// What syncs have covered.
+    /// The synced records.
     disk: Vec<Vec<u8>>,
-    agreed: Vec<Vec<u8>>,
+    committed: Vec<Vec<u8>>,
     stopped: bool,
     disk_number: u64,
 }
 
 struct Net {
-    places: Vec<Place>,
-    posts: Vec<Post>,
+    nodes: Vec<Node>,
+    in_flight: Vec<Envelope>,
     now: Moment,
-    dice: StdRng,
-    /// Pairs that don't reach each other, the first not the second.
-    cut: BTreeSet<(usize, usize)>,
+    rng: StdRng,
+    /// Pairs of which the first can't reach the second.
+    partitioned: BTreeSet<(usize, usize)>,
     loss: f64,
-    /// All that any member was ever told is agreed on, by its place in the order.
+    /// All entries that any member has seen as committed, in order.
     order: Vec<Vec<u8>>,
-    told: u64,
-    /// Senders don't look whom they talk to.
-    blind: bool,
+    proposed: u64,
+    /// Senders don't verify the disk of the receiver.
+    skips_disk_check: bool,
 }
 
 impl Net {
-    fn new(many: usize, seed: u64) -> Net {
-        let founders: Vec<Member> = (0..many).map(member).collect();
+    fn new(count: usize, seed: u64) -> Net {
+        let founders: Vec<Member> = (0..count).map(member).collect();
         let mut net = Net {
-            places: Vec::new(),
-            posts: Vec::new(),
+            nodes: Vec::new(),
+            in_flight: Vec::new(),
             now: Moment::at_micros(1_000_000),
-            dice: StdRng::seed_from_u64(seed),
-            cut: BTreeSet::new(),
+            rng: StdRng::seed_from_u64(seed),
+            partitioned: BTreeSet::new(),
             loss: 0.0,
             order: Vec::new(),
-            told: 0,
-            blind: false,
+            proposed: 0,
+            skips_disk_check: false,
         };
         for member in &founders {
-            let place = Place {
-                seat: None,
+            let node = Node {
+                replica: None,
                 member: member.clone(),
                 disk: Vec::new(),
-                agreed: Vec::new(),
+                committed: Vec::new(),
                 stopped: false,
-                disk_number: net.dice.random(),
+                disk_number: net.rng.random(),
             };
-            net.places.push(place);
+            net.nodes.push(node);
         }
-        for n in 0..many {
+        for n in 0..count {
             net.start(n, Start::Found { members: founders.clone(), data: vec![b"first".to_vec()] });
         }
         net
@@ -81,60 +82,60 @@
 
     fn start(&mut self, n: usize, start: Start) {
         let now = self.now;
-        let place = &mut self.places[n];
-        let (name, incarnation) = (place.member.name.clone(), place.member.incarnation);
-        let seat = Replica::open(&name, incarnation, &place.disk, start, place.disk_number, now);
-        let seat = seat.unwrap_or_else(|why| panic!("{name}: {why}"));
-        place.agreed = seat.data().to_vec();
-        (place.seat, place.stopped) = (Some(seat), false);
-        self.turn(n);
+        let node = &mut self.nodes[n];
+        let (name, incarnation) = (node.member.name.clone(), node.member.incarnation);
+        let replica = Replica::open(&name, incarnation, &node.disk, start, node.disk_number, now);
+        let replica = replica.unwrap_or_else(|why| panic!("{name}: {why}"));
+        node.committed = replica.data().to_vec();
+        (node.replica, node.stopped) = (Some(replica), false);
+        self.step(n);
     }
 
     fn kill(&mut self, n: usize) {
-        self.places[n].seat = None;
+        self.nodes[n].replica = None;
     }
 
-    fn turn(&mut self, n: usize) {
+    fn step(&mut self, n: usize) {
         let now = self.now;
         loop {
-            let place = &mut self.places[n];
-            let Some(seat) = place.seat.as_mut().filter(|_| !place.stopped) else { return };
-            let turn = seat.step(now);
-            if turn.is_empty() {
+            let node = &mut self.nodes[n];
+            let Some(replica) = node.replica.as_mut().filter(|_| !node.stopped) else { return };
+            let output = replica.step(now);
+            if output.is_empty() {
                 return;
             }
-            place.disk.extend(turn.write);
-            if let Some(whole) = &turn.snapshot {
-                place.disk = Replica::decode_snapshot(whole).unwrap();
+            node.disk.extend(output.write);
+            if let Some(snapshot) = &output.snapshot {
+                node.disk = Replica::decode_snapshot(snapshot).unwrap();
             }
-            if turn.replaced {
-                place.agreed = seat.data().to_vec();
+            if output.replaced {
+                node.committed = replica.data().to_vec();
             } else {
-                place.agreed.extend(turn.committed.into_iter().map(|agreed| agreed.data));
+                node.committed.extend(output.committed.into_iter().map(|committed| committed.data));
             }
-            if seat.needs_compaction() {
-                let whole = seat.compact(seat.data().to_vec()).snapshot.unwrap();
-                place.disk = Replica::decode_snapshot(&whole).unwrap();
+            if replica.needs_compaction() {
+                let snapshot = replica.compact(replica.data().to_vec()).snapshot.unwrap();
+                node.disk = Replica::decode_snapshot(&snapshot).unwrap();
             }
-            let agreed = place.agreed.clone();
-            self.same_order(&agreed);
-            for (to, bytes) in turn.send {
-                if self.dice.random::<f64>() < self.loss {
+            let committed = node.committed.clone();
+            self.check_order(&committed);
+            for (to, bytes) in output.send {
+                if self.rng.random::<f64>() < self.loss {
                     continue;
                 }
-                let twice = self.dice.random::<f64>() < self.loss / 2.0;
-                for _ in 0..1 + u8::from(twice) {
-                    let at = now + Span::millis(self.dice.random_range(1..30));
-                    self.posts.push(Post { at, from: n, to, bytes: bytes.clone() });
+                let duplicated = self.rng.random::<f64>() < self.loss / 2.0;
+                for _ in 0..1 + u8::from(duplicated) {
+                    let at = now + Span::millis(self.rng.random_range(1..30));
+                    self.in_flight.push(Envelope { at, from: n, to, bytes: bytes.clone() });
                 }
             }
         }
     }
 
-    fn same_order(&mut self, agreed: &[Vec<u8>]) {
-        let common = agreed.len().min(self.order.len());
-        assert_eq!(agreed[..common], self.order[..common], "two members agreed on different things");
-        self.order.extend_from_slice(&agreed[common..]);
+    fn check_order(&mut self, committed: &[Vec<u8>]) {
+        let common = committed.len().min(self.order.len());
+        assert_eq!(committed[..common], self.order[..common], "two members have committed different entries");
+        self.order.extend_from_slice(&committed[common..]);
     }
 
     fn run(&mut self, span: Span) {
@@ -142,252 +143,267 @@
         while self.now < until {
             self.now = self.now + Span::millis(10);
             let now = self.now;
-            let (due, left) = std::mem::take(&mut self.posts).into_iter().partition(|p| p.at <= now);
-            self.posts = left;
-            let due: Vec<Post> = due;
-            for post in due {
-                let to = self.places.iter().position(|p| p.member.id() == post.to);
-                let Some(to) = to.filter(|to| !self.cut.contains(&(post.from, *to))) else { continue };
-                // What is sent to one that is stopped waits in its sockets.
-                if self.places[to].stopped {
-                    self.posts.push(Post { at: now + Span::millis(10), ..post });
+            let (due, later) = std::mem::take(&mut self.in_flight).into_iter().partition(|p| p.at <= now);
+            self.in_flight = later;
+            let due: Vec<Envelope> = due;
+            for envelope in due {
+                let to = self.nodes.iter().position(|p| p.member.id() == envelope.to);
+                let Some(to) = to.filter(|to| !self.partitioned.contains(&(envelope.from, *to))) else {
+                    continue;
+                };
+                // Messages to a paused process wait in its sockets.
+                if self.nodes[to].stopped {
+                    self.in_flight.push(Envelope { at: now + Span::millis(10), ..envelope });
                     continue;
                 }
-                let from = self.places[post.from].member.id();
-                let disk = self.places[post.from].disk_number;
-                // Both ends of a connection look whether the other is still who it was; some come by a third way.
-                let (other, known) = (self.places[to].member.id(), self.places[to].disk_number);
-                let sender = self.places[post.from].seat.as_mut();
-                let same = self.blind || sender.is_none_or(|seat| seat.verify_disk(other, known));
-                if let Some(seat) = &mut self.places[to].seat
-                    && same
-                    && seat.verify_disk(from, disk)
+                let from = self.nodes[envelope.from].member.id();
+                let disk = self.nodes[envelope.from].disk_number;
+                // Both ends of a connection verify the disk of the other.
+                let (other, known) = (self.nodes[to].member.id(), self.nodes[to].disk_number);
+                let sender = self.nodes[envelope.from].replica.as_mut();
+                let accepted =
+                    self.skips_disk_check || sender.is_none_or(|replica| replica.verify_disk(other, known));
+                if let Some(replica) = &mut self.nodes[to].replica
+                    && accepted
+                    && replica.verify_disk(from, disk)
                 {
-                    seat.on_message(&post.bytes, now);
+                    replica.on_message(&envelope.bytes, now);
                 }
-                self.turn(to);
+                self.step(to);
             }
             if now.micros() % TICK.as_micros() < 10_000 {
-                for n in 0..self.places.len() {
-                    let place = &mut self.places[n];
-                    let Some(seat) = place.seat.as_mut().filter(|_| !place.stopped) else { continue };
-                    seat.tick(now);
-                    self.turn(n);
+                for n in 0..self.nodes.len() {
+                    let node = &mut self.nodes[n];
+                    let Some(replica) = node.replica.as_mut().filter(|_| !node.stopped) else { continue };
+                    replica.tick(now);
+                    self.step(n);
                 }
             }
-            assert!(self.speakers().len() <= 1, "two members speak at once: {:?}", self.speakers());
+            assert!(
+                self.lease_holders().len() <= 1,
+                "two members hold the lease at once: {:?}",
+                self.lease_holders()
+            );
         }
     }
 
-    /// Those that would tell others something now; one that is stopped tells nobody anything, and is asked when it wakes.
-    fn speakers(&self) -> Vec<usize> {
-        let speaks =
-            |p: &Place| !p.stopped && p.seat.as_ref().is_some_and(|s| s.holds_leader_lease(self.now));
-        (0..self.places.len()).filter(|n| speaks(&self.places[*n])).collect()
+    /// Running members that hold the leader lease. A paused one sends nothing, so it is checked when it resumes.
+    fn lease_holders(&self) -> Vec<usize> {
+        let holds_lease =
+            |p: &Node| !p.stopped && p.replica.as_ref().is_some_and(|s| s.holds_leader_lease(self.now));
+        (0..self.nodes.len()).filter(|n| holds_lease(&self.nodes[*n])).collect()
     }
 
-    fn until_speaker(&mut self) -> usize {
+    fn until_lease_holder(&mut self) -> usize {
         for _ in 0..600 {
-            if let [one] = self.speakers()[..] {
+            if let [one] = self.lease_holders()[..] {
                 return one;
             }
             self.run(Span::millis(10));
         }
-        panic!("nobody may speak after 6 s");
+        panic!("nobody holds the lease after 6 s");
     }
 
     fn propose(&mut self) -> Option<Vec<u8>> {
-        let n = *self.speakers().first()?;
-        self.told += 1;
-        let data = format!("entry {}", self.told).into_bytes();
-        let seat = self.places[n].seat.as_mut()?;
-        seat.propose(data.clone()).ok()?;
-        self.turn(n);
+        let n = *self.lease_holders().first()?;
+        self.proposed += 1;
+        let data = format!("entry {}", self.proposed).into_bytes();
+        let replica = self.nodes[n].replica.as_mut()?;
+        replica.propose(data.clone()).ok()?;
+        self.step(n);
         Some(data)
     }
 
-    fn isolate(&mut self, alone: usize) {
-        for other in (0..self.places.len()).filter(|n| *n != alone) {
-            self.cut.extend([(alone, other), (other, alone)]);
+    fn isolate(&mut self, isolated: usize) {
+        for other in (0..self.nodes.len()).filter(|n| *n != isolated) {
+            self.partitioned.extend([(isolated, other), (other, isolated)]);
         }
     }
 }
 
 #[test]
-fn a_group_agrees_and_the_next_leader_has_everything() {
+fn a_group_commits_and_the_next_leader_has_everything() {
     let mut net = Net::new(3, 1);
-    let first = net.until_speaker();
+    let first = net.until_lease_holder();
     for _ in 0..20 {
         net.propose().unwrap();
     }
     net.run(Span::millis(300));
-    let agreed = net.places[first].agreed.clone();
-    assert_eq!(agreed.len(), 21);
+    let committed = net.nodes[first].committed.clone();
+    assert_eq!(committed.len(), 21);
     net.kill(first);
-    let second = net.until_speaker();
+    let second = net.until_lease_holder();
     assert_ne!(first, second);
-    assert_eq!(net.places[second].seat.as_ref().unwrap().data(), agreed);
+    assert_eq!(net.nodes[second].replica.as_ref().unwrap().data(), committed);
     assert!(net.propose().is_some());
     net.run(Span::millis(300));
     net.start(first, Start::Join);
     net.run(Span::millis(1_500));
-    assert_eq!(net.places[first].agreed.len(), 22, "it catches up from its own disk on");
+    assert_eq!(net.nodes[first].committed.len(), 22, "it catches up from the state of its own disk");
 }
 
 #[test]
-fn a_leader_that_lost_the_majority_stops_speaking_before_another_speaks() {
+fn a_leader_without_a_majority_loses_its_lease_before_another_gets_one() {
     for seed in 0..10 {
         let mut net = Net::new(5, seed);
-        let first = net.until_speaker();
+        let first = net.until_lease_holder();
         net.isolate(first);
-        let cut = net.now;
-        while net.speakers() == [first] {
+        let cut_at = net.now;
+        while net.lease_holders() == [first] {
             net.run(Span::millis(10));
         }
-        assert!(net.now.since(cut) < Span::millis(800), "it spoke on for {:?}", net.now.since(cut));
-        let second = net.until_speaker();
+        assert!(
+            net.now.since(cut_at) < Span::millis(800),
+            "it held the lease for another {:?}",
+            net.now.since(cut_at)
+        );
+        let second = net.until_lease_holder();
         assert_ne!(first, second);
-        assert!(net.now.since(cut) < Span::millis(3_000), "{:?} without a speaker", net.now.since(cut));
+        assert!(
+            net.now.since(cut_at) < Span::millis(3_000),
+            "{:?} without a lease holder",
+            net.now.since(cut_at)
+        );
     }
 }
 
-/// What waited in its sockets while it was stopped says that the others followed it, long ago.
+/// The answers that waited in its sockets during the pause confirm only that the others followed it before the pause.
 #[test]
-fn a_leader_that_was_stopped_and_wakes_up_may_tell_nobody_anything() {
+fn a_leader_that_resumes_after_a_pause_does_not_hold_the_lease() {
     for seed in 0..10 {
         let mut net = Net::new(3, 50 + seed);
-        let first = net.until_speaker();
+        let first = net.until_lease_holder();
         let mut reached = net.order.len();
-        net.places[first].stopped = true;
+        net.nodes[first].stopped = true;
         net.run(Span::millis(4_000));
-        let second = net.until_speaker();
+        let second = net.until_lease_holder();
         net.propose().unwrap();
         net.run(Span::millis(200));
         reached = reached.max(net.order.len());
-        net.places[first].stopped = false;
-        // The check on every step of `run` is what this test is about.
+        net.nodes[first].stopped = false;
+        // `run` checks at every step that at most one member holds the lease; that is the point of this test.
         net.run(Span::millis(1_500));
-        assert_eq!(net.until_speaker(), second);
-        assert_eq!(net.order.len(), reached, "and what it had in mind came to nothing");
+        assert_eq!(net.until_lease_holder(), second);
+        assert_eq!(net.order.len(), reached, "what it still had to send has no effect");
     }
 }
 
 #[test]
-fn through_cuts_kills_and_losses_by_chance_there_is_one_order_and_one_speaker() {
+fn random_partitions_kills_and_losses_leave_one_order_and_one_lease_holder() {
     for seed in 0..30 {
         let mut net = Net::new(if seed % 2 == 0 { 3 } else { 5 }, 100 + seed);
         net.loss = 0.05;
-        let many = net.places.len();
-        let mut kept: Vec<Vec<u8>> = Vec::new();
+        let count = net.nodes.len();
+        let mut known: Vec<Vec<u8>> = Vec::new();
         for _ in 0..25 {
-            let n = net.dice.random_range(0..many);
-            match net.dice.random_range(0..7) {
-                0 if net.places.iter().filter(|p| p.seat.is_none()).count() < many / 2 => net.kill(n),
-                1 if net.places[n].seat.is_none() => net.start(n, Start::Join),
+            let n = net.rng.random_range(0..count);
+            match net.rng.random_range(0..7) {
+                0 if net.nodes.iter().filter(|p| p.replica.is_none()).count() < count / 2 => net.kill(n),
+                1 if net.nodes[n].replica.is_none() => net.start(n, Start::Join),
                 2 => net.isolate(n),
                 3 => {
-                    let other = (n + 1) % many;
-                    net.cut.insert((n, other));
+                    let other = (n + 1) % count;
+                    net.partitioned.insert((n, other));
                 }
-                4 => net.cut.clear(),
-                5 => net.places[n].stopped = !net.places[n].stopped,
+                4 => net.partitioned.clear(),
+                5 => net.nodes[n].stopped = !net.nodes[n].stopped,
                 _ => {}
             }
             for _ in 0..3 {
                 net.propose();
             }
             net.run(Span::millis(400));
-            // Whatever a speaker has agreed on is kept, whoever leads next.
-            if let Some(speaker) = net.speakers().first() {
-                let agreed = &net.places[*speaker].agreed;
-                assert!(agreed.starts_with(&kept) || kept.starts_with(agreed), "seed {seed}");
-                kept = if agreed.len() > kept.len() { agreed.clone() } else { kept };
+            // Whatever a lease holder has seen as committed stays committed under the next leader.
+            if let Some(leader) = net.lease_holders().first() {
+                let committed = &net.nodes[*leader].committed;
+                assert!(committed.starts_with(&known) || known.starts_with(committed), "seed {seed}");
+                known = if committed.len() > known.len() { committed.clone() } else { known };
             }
         }
-        net.cut.clear();
+        net.partitioned.clear();
         net.loss = 0.0;
-        for n in 0..many {
-            net.places[n].stopped = false;
-            if net.places[n].seat.is_none() {
+        for n in 0..count {
+            net.nodes[n].stopped = false;
+            if net.nodes[n].replica.is_none() {
                 net.start(n, Start::Join);
             }
         }
         net.run(Span::millis(3_000));
-        net.until_speaker();
+        net.until_lease_holder();
         net.run(Span::millis(2_000));
-        let all: Vec<usize> = net.places.iter().map(|p| p.agreed.len()).collect();
+        let all: Vec<usize> = net.nodes.iter().map(|p| p.committed.len()).collect();
         assert!(all.iter().all(|n| *n == net.order.len()), "seed {seed}: {all:?} of {}", net.order.len());
-        assert!(net.order.starts_with(&kept), "seed {seed}");
+        assert!(net.order.starts_with(&known), "seed {seed}");
     }
 }
 
 #[test]
-fn a_member_that_lost_its_disk_comes_back_only_as_a_new_one() {
+fn a_member_that_lost_its_disk_can_only_rejoin_as_a_new_member() {
     let mut net = Net::new(3, 7);
-    let speaker = net.until_speaker();
+    let leader = net.until_lease_holder();
     net.propose();
     net.run(Span::millis(500));
-    let lost = (speaker + 1) % 3;
+    let lost = (leader + 1) % 3;
     net.kill(lost);
-    net.places[lost].disk.clear();
-    net.places[lost].disk_number += 1;
+    net.nodes[lost].disk.clear();
+    net.nodes[lost].disk_number += 1;
     let founders: Vec<Member> = (0..3).map(member).collect();
     net.start(lost, Start::Found { members: founders, data: vec![b"first".to_vec()] });
     net.run(Span::millis(3_000));
-    assert_eq!(net.places[lost].agreed.len(), 1, "nobody listens to it, and it learns nothing");
-    net.blind = true;
+    assert_eq!(net.nodes[lost].committed.len(), 1, "nobody accepts its messages, and it receives nothing");
+    net.skips_disk_check = true;
     net.run(Span::millis(500));
     assert!(
-        net.places[lost].seat.as_ref().unwrap().has_lost_log(),
-        "it knows what it is from what it is told"
+        net.nodes[lost].replica.as_ref().unwrap().has_lost_log(),
+        "it detects the loss from the messages that it receives"
     );
-    net.blind = false;
+    net.skips_disk_check = false;
     net.kill(lost);
-    let speaker = net.until_speaker();
-    let seat = net.places[speaker].seat.as_mut().unwrap();
-    seat.remove(&format!("m{lost}")).unwrap();
-    net.turn(speaker);
+    let leader = net.until_lease_holder();
+    let replica = net.nodes[leader].replica.as_mut().unwrap();
+    replica.remove(&format!("m{lost}")).unwrap();
+    net.step(leader);
     net.run(Span::millis(500));
-    let anew = Member { incarnation: 1, ..member(lost) };
-    (net.places[lost].member, net.places[lost].disk) = (anew.clone(), Vec::new());
+    let rejoined = Member { incarnation: 1, ..member(lost) };
+    (net.nodes[lost].member, net.nodes[lost].disk) = (rejoined.clone(), Vec::new());
     net.start(lost, Start::Join);
-    let speaker = net.until_speaker();
-    net.places[speaker].seat.as_mut().unwrap().add(&anew).unwrap();
-    net.turn(speaker);
+    let leader = net.until_lease_holder();
+    net.nodes[leader].replica.as_mut().unwrap().add(&rejoined).unwrap();
+    net.step(leader);
     net.run(Span::millis(2_000));
-    assert_eq!(net.places[lost].agreed, net.order, "it was sent everything whole");
-    let seat = net.places[lost].seat.as_ref().unwrap();
-    assert_eq!((seat.members().count(), seat.id()), (3, member_id(&anew.name, 1)));
+    assert_eq!(net.nodes[lost].committed, net.order, "it was sent a snapshot");
+    let replica = net.nodes[lost].replica.as_ref().unwrap();
+    assert_eq!((replica.members().count(), replica.id()), (3, member_id(&rejoined.name, 1)));
 }
 
 #[test]
-fn a_log_that_is_written_whole_says_the_same_and_helps_who_was_away() {
+fn a_compacted_log_has_the_same_contents_and_serves_members_that_were_away() {
     let mut net = Net::new(3, 9);
-    let speaker = net.until_speaker();
-    let away = (speaker + 1) % 3;
+    let leader = net.until_lease_holder();
+    let away = (leader + 1) % 3;
     net.kill(away);
     for _ in 0..50 {
         net.propose();
         net.run(Span::millis(20));
     }
     net.run(Span::millis(500));
-    let before = net.places[speaker].agreed.clone();
-    for n in [speaker, (speaker + 2) % 3] {
-        let seat = net.places[n].seat.as_mut().unwrap();
-        let whole = seat.compact(seat.data().to_vec()).snapshot.unwrap();
-        net.places[n].disk = Replica::decode_snapshot(&whole).unwrap();
+    let before = net.nodes[leader].committed.clone();
+    for n in [leader, (leader + 2) % 3] {
+        let replica = net.nodes[n].replica.as_mut().unwrap();
+        let snapshot = replica.compact(replica.data().to_vec()).snapshot.unwrap();
+        net.nodes[n].disk = Replica::decode_snapshot(&snapshot).unwrap();
     }
     net.start(away, Start::Join);
     net.run(Span::millis(2_000));
-    assert_eq!(net.places[away].agreed, before);
+    assert_eq!(net.nodes[away].committed, before);
     for n in 0..3 {
         net.kill(n);
     }
     for n in 0..3 {
         net.start(n, Start::Join);
     }
-    net.until_speaker();
+    net.until_lease_holder();
     net.run(Span::millis(1_000));
-    let all: BTreeMap<usize, usize> = net.places.iter().map(|p| p.agreed.len()).enumerate().collect();
+    let all: BTreeMap<usize, usize> = net.nodes.iter().map(|p| p.committed.len()).enumerate().collect();
     assert!(all.values().all(|n| *n == before.len()), "{all:?}");
 }
