--- a/crates/cli/tests/start.rs
+++ b/crates/cli/tests/start.rs
@@ -244,7 +244,7 @@
     assert_eq!(harestage(&["start", "status", "--hub", &hub]).0, 0);
     let (code, said) = harestage(&["start", "table"]);
     assert!(
-        code == 0 && said.contains("| hub | copies | once the service of purges has told all |"),
+        code == 0 && said.contains("| hub | copies | once the purge service has sent all active purges |"),
         "{said}"
     );
     whole(&mut fleet);
--- a/crates/restart/src/lib.rs
+++ b/crates/restart/src/lib.rs
@@ -1,9 +1,9 @@
-//! The recovery of a fleet from a loss of power, as far as it decides; no input or output, moments are handed in.
-//! docs/start.md argues for the ways taken.
+//! Decisions for the recovery of a fleet from a power loss. No I/O: the current time is an argument. docs/start.md explains
+//! the design.
 //!
-//! - [`trust`]: what each kind of process trusts of what it finds, in one table from which the page's is printed.
-//! - [`stage`]: a start as named stages, each with the reason why it waits and a bound on that.
-//! - [`ramp`]: how fast a hub that starts may fetch, and what for, by what the archive proves to bear.
+//! - [`trust`]: which stored state each kind of process trusts at its start, in one table that docs/start.md contains.
+//! - [`stage`]: the start of a hub as a sequence of stages, each with a reason for waiting and an upper bound.
+//! - [`ramp`]: how much a starting hub may fetch, and for which content, by the capacity that the archive has shown.
 pub mod ramp;
 pub mod stage;
 pub mod trust;
--- a/crates/restart/src/ramp.rs
+++ b/crates/restart/src/ramp.rs
@@ -1,26 +1,28 @@
-//! How fast a hub that starts may fetch. Its part of the archive's gate is what it may at most; when the whole fleet is cold
-//! the archive is cold too, and its capacity is a promise from before. So a start begins with a small share of its part, and
-//! the share grows while answers come as quickly as the first ones did, and shrinks at once where they don't. What little
-//! may be fetched goes to what is worth most.
+//! How much a starting hub may fetch. The upper limit is its part of the archive's concurrency limit. But when the whole fleet
+//! is cold the archive is cold too, and may have less capacity than before. So a hub starts with a small share of its part.
+//! The share grows while answers are about as fast as the fastest so far, and shrinks immediately when they are not. While
+//! the share is small, only the content with the highest worth is fetched.
 use harestage::ring::Ring;
 use harestage::time::{Moment, Span};
 
-/// The share of its part that a hub begins with.
+/// The share of its part of the concurrency limit that a hub starts with.
 pub const INITIAL_SHARE: f64 = 0.1;
-/// By which it grows in a second of good answers, and to which it shrinks at a bad one.
-const GROWS: f64 = 1.6;
-const SHRINKS: f64 = 0.5;
-/// A step of either at most so often.
-const STEP: Span = Span::millis(500);
-/// Answers in a step that prove something.
-const LEAST: f64 = 3.0;
-/// Times the time of the quickest answers at which they are slow; what takes less than so many seconds is quick.
-const SLOW: f64 = 4.0;
-const QUICK: f64 = 0.01;
-/// Below this share only the better half of contents by worth is filled, and so on up.
-const ALL_WORTH: f64 = 0.6;
+/// Growth factor of the share for each second of good answers.
+const GROWTH_PER_SECOND: f64 = 1.6;
+/// Factor of the share in an interval with slow or failed answers.
+const SHRINK_FACTOR: f64 = 0.5;
+/// Interval between two changes of the share.
+const STEP_INTERVAL: Span = Span::millis(500);
+/// Fewest answers in the measuring window that are sufficient to judge the archive.
+const MIN_ANSWERS: f64 = 3.0;
+/// Answers are slow if their mean duration exceeds the fastest by this factor.
+const SLOW_FACTOR: f64 = 4.0;
+/// A fastest duration below this many seconds counts as this.
+const MIN_FASTEST_SECONDS: f64 = 0.01;
+/// From this share on fills of any worth are admitted. Below it the lowest admitted worth falls linearly with the share.
+const SHARE_FOR_ANY_WORTH: f64 = 0.6;
 
-/// What the archive has proved.
+/// The capacity that the archive has shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ArchiveCapacity {
     None,
@@ -28,97 +30,100 @@
     Full,
 }
 
+/// The share of its part of the concurrency limit that a starting hub may use.
 #[derive(Clone)]
 pub struct FetchRamp {
     share: f64,
-    quickest: Option<f64>,
-    times: Ring,
+    fastest: Option<f64>,
+    durations: Ring,
     failures: Ring,
-    next: Moment,
+    next_step: Moment,
     archive_capacity: ArchiveCapacity,
-    /// Something was held back since the last step.
-    held_back: bool,
+    /// Whether a fetch was withheld since the last step.
+    has_withheld: bool,
 }
 
 impl FetchRamp {
+    /// Starts with [`INITIAL_SHARE`].
     pub fn new(now: Moment) -> FetchRamp {
-        let ring = || Ring::new(Span::millis(250), 4);
+        let window = || Ring::new(Span::millis(250), 4);
         FetchRamp {
             share: INITIAL_SHARE,
-            quickest: None,
-            times: ring(),
-            failures: ring(),
-            next: now + STEP,
+            fastest: None,
+            durations: window(),
+            failures: window(),
+            next_step: now + STEP_INTERVAL,
             archive_capacity: ArchiveCapacity::Partial,
-            held_back: false,
+            has_withheld: false,
         }
     }
 
-    /// What a fetch usually took before; it is only compared with.
+    /// Sets the usual duration of a fetch before the restart, for comparison.
     pub fn set_usual_fetch_time(&mut self, seconds: f64) {
         if seconds > 0.0 {
-            self.quickest = Some(seconds);
+            self.fastest = Some(seconds);
         }
     }
 
-    /// A fetch was answered well.
+    /// A fetch was answered successfully.
     pub fn on_answer(&mut self, seconds: f64, now: Moment) {
-        self.times.add(now, seconds);
-        self.quickest = Some(self.quickest.map_or(seconds, |quickest| quickest.min(seconds)));
+        self.durations.add(now, seconds);
+        self.fastest = Some(self.fastest.map_or(seconds, |fastest| fastest.min(seconds)));
     }
 
-    /// A fetch was refused, or got no answer.
+    /// A fetch was refused or got no answer.
     pub fn on_failure(&mut self, now: Moment) {
         self.failures.add(now, 1.0);
     }
 
-    /// More was wanted than the share lets.
+    /// A fetch was withheld because the share did not allow it.
     pub fn on_fetch_withheld(&mut self) {
-        self.held_back = true;
+        self.has_withheld = true;
     }
 
-    /// Part of its gate that the hub may use now, from 0 to 1.
+    /// Share of its part of the concurrency limit that the hub may use now, from 0 to 1.
     pub fn share(&self) -> f64 {
         self.share
     }
 
+    /// The capacity that the archive has shown so far.
     pub fn archive_capacity(&self) -> ArchiveCapacity {
         self.archive_capacity
     }
 
-    /// To be called some times a second.
+    /// Updates the share; to be called several times a second.
     pub fn tick(&mut self, now: Moment) {
-        if now < self.next {
+        if now < self.next_step {
             return;
         }
-        self.next = now + STEP;
-        let (answers, failed) = (self.times.count(now), self.failures.count(now));
-        let mean = self.times.mean(now).unwrap_or(0.0);
-        let slow = mean > (self.quickest.unwrap_or(0.0) * SLOW).max(QUICK * SLOW);
-        if failed > answers * 0.2 && failed >= 1.0 || slow && answers >= LEAST {
-            self.share = (self.share * SHRINKS).max(INITIAL_SHARE * 0.5);
+        self.next_step = now + STEP_INTERVAL;
+        let (answers, failed) = (self.durations.count(now), self.failures.count(now));
+        let mean = self.durations.mean(now).unwrap_or(0.0);
+        let slow = mean > (self.fastest.unwrap_or(0.0) * SLOW_FACTOR).max(MIN_FASTEST_SECONDS * SLOW_FACTOR);
+        if failed > answers * 0.2 && failed >= 1.0 || slow && answers >= MIN_ANSWERS {
+            self.share = (self.share * SHRINK_FACTOR).max(INITIAL_SHARE * 0.5);
             self.archive_capacity =
                 if failed > answers { ArchiveCapacity::None } else { ArchiveCapacity::Partial };
-        } else if std::mem::take(&mut self.held_back) && answers < LEAST {
-            // More is wanted, and too little was answered to prove anything.
+        } else if std::mem::take(&mut self.has_withheld) && answers < MIN_ANSWERS {
+            // More fetches are wanted, but there are too few answers to judge the archive.
         } else {
-            // All that was wanted was answered, or enough of it to prove that more is borne.
-            self.share = (self.share * GROWS.sqrt()).min(1.0);
+            // All wanted fetches were answered, or enough of them to show that the archive has capacity for more.
+            self.share = (self.share * GROWTH_PER_SECOND.sqrt()).min(1.0);
             self.archive_capacity =
                 if self.share >= 1.0 { ArchiveCapacity::Full } else { ArchiveCapacity::Partial };
         }
     }
 
-    /// Whether a fill of this worth is begun now. `best`: the worth of the best content type.
+    /// Whether a fill of this worth is admitted now. `best`: the worth of the best content type.
     pub fn admits(&self, worth: f64, best: f64) -> bool {
-        self.share >= ALL_WORTH || worth >= best * (1.0 - self.share / ALL_WORTH)
+        self.share >= SHARE_FOR_ANY_WORTH || worth >= best * (1.0 - self.share / SHARE_FOR_ANY_WORTH)
     }
 
-    /// When somebody who is turned away may come again: spread over the time that the rest of the way up is expected to
-    /// take. `chance` is drawn evenly from 0 to 1.
+    /// When a rejected client should retry: spread over the expected time until the share is 1. `chance` is uniformly random
+    /// from 0 to 1.
     pub fn retry_after(&self, chance: f64) -> Span {
-        let steps = (1.0 / self.share).ln().max(0.0) / GROWS.ln();
-        let seconds = 0.4 + steps * chance;
+        let seconds_left = (1.0 / self.share).ln().max(0.0) / GROWTH_PER_SECOND.ln();
+        let seconds = 0.4 + seconds_left * chance;
         Span::of_seconds(seconds.min(10.0))
     }
 }
--- a/crates/restart/src/stage.rs
+++ b/crates/restart/src/stage.rs
@@ -1,219 +1,238 @@
-//! A start, stage by stage. Each stage has a reason why it waits, and a bound: what does not come by then is done without, in
-//! the way that harms nobody. So nobody waits for a process that does not come, and no circle of waits can stand.
+//! The start of a hub as a sequence of stages. Each stage has a reason for waiting and an upper bound, after which the hub
+//! goes on in a safe way without what it waited for. So no process waits forever for one that does not come, and there
+//! is no deadlock by a wait cycle.
 use crate::trust::ProcessKind;
 use harestage::time::{Moment, Span};
 use serde::{Deserialize, Serialize};
 
-/// Where a start is.
+/// A stage of the start of a hub.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// It reads what its disk has.
+    /// It reads the index of its copies on disk.
     Reading,
-    /// Nothing that may have been purged goes out: it waits to be told all that lives.
+    /// It serves nothing that may have been purged, and waits for all active purges.
     AwaitsPurges,
-    /// It knows no purges and keeps nothing: each fill is fetched anew, and given to those who wait for it.
+    /// It does not know the purges. Each fill is fetched from the archive, served to its waiting clients, and not stored.
     #[serde(rename = "alone")]
     WithoutPurges,
-    /// It waits for a version of the shape; at the bound it goes by the one that it has, if any.
+    /// It waits for a version of the shape. After the bound it uses the one that it has, if any.
     AwaitsShape,
-    /// What it holds goes out; nothing is fetched.
+    /// It serves its copies and fetches nothing.
     #[serde(rename = "from_copies")]
     CopiesOnly,
-    /// Fills that are worth most, as many as the archive has proved to bear.
+    /// It fetches the content with the highest worth, as far as the archive has shown capacity.
     #[serde(rename = "worthy")]
     BestFills,
-    /// All of it.
+    /// The start is over: no restrictions.
     All,
 }
 
-/// What a hub has heard.
+/// An input of the start of a hub.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StartEvent {
-    /// Its index is read; whether it holds any copies.
+    /// The index of its copies was read.
     IndexRead {
+        /// Whether it has any copies.
         copies: bool,
     },
-    /// The service of purges has told all that lives.
+    /// The purge service has sent all active purges.
     PurgesKnown,
-    /// It follows no service of purges, or none that can be lost.
+    /// It follows no purge service that it could lose contact with.
     PurgesNotFollowed,
-    /// A version of the shape is there.
+    /// A version of the shape is known.
     ShapeKnown,
-    /// The archive bears what it is asked for now, in full.
+    /// The archive has shown capacity for all fetches.
     ArchiveAdmitsAll,
-    /// It bears part of it.
+    /// The archive has shown capacity for some fetches.
     ArchiveAdmitsSome,
-    /// It does not: it is slow, refuses, or is silent.
+    /// The archive has no capacity: it is slow, refuses fetches or does not answer.
     ArchiveAdmitsNone,
-    /// Staff holds the start where it is, and lets it go on.
+    /// An operator pauses the start.
     Held,
+    /// An operator lets it continue.
     Released,
 }
 
-/// Why a stage waits, and for whom.
+/// Why a stage waits, for which process, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Wait {
+    /// The kind of process that it waits for; none: the hub itself or the archive.
     pub on: Option<ProcessKind>,
+    /// Upper bound of the wait.
     pub max: Span,
     pub reason: &'static str,
 }
 
 impl Stage {
-    /// None: it waits for nothing.
+    /// What this stage waits for, if anything.
     pub fn wait(self) -> Option<Wait> {
-        let wait = |on, ms, why| Some(Wait { on, max: Span::millis(ms), reason: why });
+        let wait = |on, ms, reason| Some(Wait { on, max: Span::millis(ms), reason });
         match self {
             Stage::Reading => wait(None, 60_000, "reading the index of its copies"),
             Stage::AwaitsPurges => {
-                wait(Some(ProcessKind::Service), 8_000, "purges that live are not known yet")
+                wait(Some(ProcessKind::Service), 8_000, "the active purges are not known yet")
             }
             Stage::WithoutPurges => None,
             Stage::AwaitsShape => {
                 wait(Some(ProcessKind::Service), 4_000, "no version of the shape is known yet")
             }
-            Stage::CopiesOnly => wait(None, 2_000, "the archive is spared while copies serve"),
-            Stage::BestFills => wait(None, 12_000, "the archive has not proved to bear all"),
+            Stage::CopiesOnly => wait(None, 2_000, "the archive is spared while copies are served"),
+            Stage::BestFills => wait(None, 12_000, "the archive has not shown full capacity yet"),
             Stage::All => None,
         }
     }
 
-    /// Whether copies from the disk may go out.
+    /// Whether copies from the disk may be served.
     pub fn serves_copies(self) -> bool {
         self >= Stage::CopiesOnly
     }
 
-    /// Whether anything may be fetched or filled.
+    /// Whether fetches and fills are allowed.
     pub fn allows_fills(self) -> bool {
         matches!(self, Stage::WithoutPurges | Stage::BestFills | Stage::All)
     }
 
-    /// Whether what it fetches may be kept.
+    /// Whether fetched content is stored.
     pub fn stores_fetched(self) -> bool {
         matches!(self, Stage::BestFills | Stage::All)
     }
 }
 
-/// A stage was left for another.
+/// A change from one stage to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageChange {
     pub from: Stage,
     pub to: Stage,
-    /// How long it stood there.
+    /// Duration of the stage that was left.
     pub lasted_ms: u64,
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// The start of one hub.
+/// State machine for the start of one hub.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Start {
     stage: Stage,
     since: Moment,
-    purges: bool,
-    shape: bool,
-    copies: bool,
-    bears: Option<bool>,
+    purges_known: bool,
+    shape_known: bool,
+    has_copies: bool,
+    /// Whether the archive has shown full capacity (true), none (false), or neither.
+    archive_admits: Option<bool>,
     held: bool,
 }
 
 impl Start {
+    /// Begins at the first stage.
     pub fn new(now: Moment) -> Start {
         Start {
             stage: Stage::Reading,
             since: now,
-            purges: false,
-            shape: false,
-            copies: false,
-            bears: None,
+            purges_known: false,
+            shape_known: false,
+            has_copies: false,
+            archive_admits: None,
             held: false,
         }
     }
 
-    /// One that has no disk and starts as it always did.
+    /// For a hub without a disk: it starts without any restrictions.
     pub fn completed(now: Moment) -> Start {
-        Start { stage: Stage::All, purges: true, shape: true, ..Start::new(now) }
+        Start { stage: Stage::All, purges_known: true, shape_known: true, ..Start::new(now) }
     }
 
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
+    /// Whether an operator has paused the start.
     pub fn is_held(&self) -> bool {
         self.held
     }
 
-    /// Why it waits, and how long at most from now on.
+    /// The wait of the current stage, and the time left until its bound.
     pub fn current_wait(&self, now: Moment) -> Option<(Wait, Span)> {
         let wait = self.stage.wait()?;
-        let left = (self.since + wait.max).since(now);
-        Some((wait, left))
+        let remaining = (self.since + wait.max).since(now);
+        Some((wait, remaining))
     }
 
-    /// Something was heard; the stage changes with the next beat.
-    pub fn on_event(&mut self, fact: StartEvent) {
-        match fact {
+    /// Handles an event. The stage changes with the next [`Start::tick`].
+    pub fn on_event(&mut self, event: StartEvent) {
+        match event {
             StartEvent::IndexRead { copies } => {
-                self.copies = copies;
+                self.has_copies = copies;
                 if self.stage == Stage::Reading {
                     self.stage = Stage::AwaitsPurges;
                 }
             }
-            StartEvent::PurgesKnown | StartEvent::PurgesNotFollowed => self.purges = true,
-            StartEvent::ShapeKnown => self.shape = true,
-            StartEvent::ArchiveAdmitsAll => self.bears = Some(true),
-            StartEvent::ArchiveAdmitsSome => self.bears = None,
-            StartEvent::ArchiveAdmitsNone => self.bears = Some(false),
+            StartEvent::PurgesKnown | StartEvent::PurgesNotFollowed => self.purges_known = true,
+            StartEvent::ShapeKnown => self.shape_known = true,
+            StartEvent::ArchiveAdmitsAll => self.archive_admits = Some(true),
+            StartEvent::ArchiveAdmitsSome => self.archive_admits = None,
+            StartEvent::ArchiveAdmitsNone => self.archive_admits = Some(false),
             StartEvent::Held => self.held = true,
             StartEvent::Released => self.held = false,
         }
     }
 
-    /// To be called some times a second.
+    /// Enters the next stage if it is due; to be called several times a second.
     pub fn tick(&mut self, now: Moment) -> Option<StageChange> {
         let from = self.stage;
-        // The index was read between two beats: the stage began then.
-        let (to, why) = self.next(now)?;
+        // `on_event` leaves [`Stage::Reading`] without a tick, so the next stage counts from the start of the reading.
+        let (to, reason) = self.next(now)?;
         let lasted_ms = now.since(self.since).as_micros() / 1_000;
         (self.stage, self.since) = (to, now);
-        Some(StageChange { from, to, lasted_ms, reason: why.into() })
+        Some(StageChange { from, to, lasted_ms, reason: reason.into() })
     }
 
     fn next(&self, now: Moment) -> Option<(Stage, &'static str)> {
-        let over = self.stage.wait().is_some_and(|wait| now.since(self.since) >= wait.max);
+        let expired = self.stage.wait().is_some_and(|wait| now.since(self.since) >= wait.max);
         match self.stage {
-            Stage::Reading if over => Some((Stage::AwaitsPurges, "its index can't be read in time")),
+            Stage::Reading if expired => Some((Stage::AwaitsPurges, "the index was not read in time")),
             Stage::Reading => None,
-            Stage::AwaitsPurges if self.purges => Some((Stage::AwaitsShape, "purges that live are known")),
-            Stage::AwaitsPurges if over => Some((Stage::WithoutPurges, "no service of purges has come")),
+            Stage::AwaitsPurges if self.purges_known => {
+                Some((Stage::AwaitsShape, "the active purges are known"))
+            }
+            Stage::AwaitsPurges if expired => Some((Stage::WithoutPurges, "no purge service has answered")),
             Stage::AwaitsPurges => None,
-            Stage::WithoutPurges if self.purges => Some((Stage::AwaitsShape, "purges that live are known")),
+            Stage::WithoutPurges if self.purges_known => {
+                Some((Stage::AwaitsShape, "the active purges are known"))
+            }
             Stage::WithoutPurges => None,
-            Stage::AwaitsShape if self.shape => Some((self.first(), "a version of the shape is known")),
-            Stage::AwaitsShape if over => Some((self.first(), "no control service has come")),
+            Stage::AwaitsShape if self.shape_known => {
+                Some((self.first_serving_stage(), "a version of the shape is known"))
+            }
+            Stage::AwaitsShape if expired => {
+                Some((self.first_serving_stage(), "no control service has answered"))
+            }
             Stage::AwaitsShape => None,
             _ if self.held => None,
-            Stage::CopiesOnly if over || self.bears == Some(true) => {
-                Some((Stage::BestFills, "the archive is tried"))
+            Stage::CopiesOnly if expired || self.archive_admits == Some(true) => {
+                Some((Stage::BestFills, "the archive is probed"))
             }
             Stage::CopiesOnly => None,
-            Stage::BestFills if self.bears == Some(false) && self.copies => {
-                Some((Stage::CopiesOnly, "the archive does not bear it"))
+            Stage::BestFills if self.archive_admits == Some(false) && self.has_copies => {
+                Some((Stage::CopiesOnly, "the archive has no capacity"))
+            }
+            Stage::BestFills if self.archive_admits == Some(true) => {
+                Some((Stage::All, "the archive has shown full capacity"))
             }
-            Stage::BestFills if self.bears == Some(true) => Some((Stage::All, "the archive bears all")),
-            Stage::BestFills if over => Some((Stage::All, "it has been spared for long enough")),
+            Stage::BestFills if expired => Some((Stage::All, "the archive has been spared for long enough")),
             Stage::BestFills => None,
             Stage::All => None,
         }
     }
 
-    /// Without copies there is nothing to serve from.
-    fn first(&self) -> Stage {
-        if self.copies { Stage::CopiesOnly } else { Stage::BestFills }
+    /// The first stage that serves: without copies there is nothing to serve from the disk.
+    fn first_serving_stage(&self) -> Stage {
+        if self.has_copies { Stage::CopiesOnly } else { Stage::BestFills }
     }
 }
 
-/// For whom each kind of process waits at its start, and whether it does without after a bound.
+/// A kind of process that waits for another kind at its start. `bounded`: after a bound it continues without it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dependency {
     pub dependent: ProcessKind,
@@ -221,31 +240,33 @@
     pub bounded: bool,
 }
 
-/// All waits of one kind for another. Those of hubs are their stages'.
+/// All waits of one kind of process for another. Those of hubs are the waits of their stages.
 pub fn dependencies() -> Vec<Dependency> {
-    let all = [Stage::Reading, Stage::AwaitsPurges, Stage::AwaitsShape, Stage::CopiesOnly, Stage::BestFills];
-    let of_hubs = all.into_iter().filter_map(|stage| stage.wait()?.on);
-    let mut edges: Vec<Dependency> =
+    let waiting_stages =
+        [Stage::Reading, Stage::AwaitsPurges, Stage::AwaitsShape, Stage::CopiesOnly, Stage::BestFills];
+    let of_hubs = waiting_stages.into_iter().filter_map(|stage| stage.wait()?.on);
+    let mut dependencies: Vec<Dependency> =
         of_hubs.map(|on| Dependency { dependent: ProcessKind::Hub, on, bounded: true }).collect();
-    // A feed tells nothing before it knows a version and the purges, since it could only tell what is old.
-    edges.push(Dependency { dependent: ProcessKind::Feed, on: ProcessKind::Service, bounded: false });
-    edges.push(Dependency { dependent: ProcessKind::Router, on: ProcessKind::Feed, bounded: false });
-    edges
+    // A feed sends nothing before it knows a version and the purges, since what it has may be outdated.
+    dependencies.push(Dependency { dependent: ProcessKind::Feed, on: ProcessKind::Service, bounded: false });
+    dependencies.push(Dependency { dependent: ProcessKind::Router, on: ProcessKind::Feed, bounded: false });
+    dependencies
 }
 
-/// Circles of waits that nothing ends: there must be none. Each as the kinds on it.
+/// Cycles of waits without a bound, each as the kinds of processes on it. There must be none.
 pub fn unbounded_cycles() -> Vec<Vec<ProcessKind>> {
-    let edges: Vec<Dependency> = dependencies().into_iter().filter(|edge| !edge.bounded).collect();
+    let dependencies: Vec<Dependency> =
+        dependencies().into_iter().filter(|dependency| !dependency.bounded).collect();
     let mut found = Vec::new();
     for first in crate::trust::PROCESS_KINDS {
-        let mut ways = vec![vec![first]];
-        while let Some(way) = ways.pop() {
-            let Some(last) = way.last() else { continue };
-            for edge in edges.iter().filter(|edge| edge.dependent == *last) {
-                if edge.on == first {
-                    found.push(way.clone());
-                } else if !way.contains(&edge.on) {
-                    ways.push(way.iter().copied().chain([edge.on]).collect());
+        let mut paths = vec![vec![first]];
+        while let Some(path) = paths.pop() {
+            let Some(last) = path.last() else { continue };
+            for dependency in dependencies.iter().filter(|dependency| dependency.dependent == *last) {
+                if dependency.on == first {
+                    found.push(path.clone());
+                } else if !path.contains(&dependency.on) {
+                    paths.push(path.iter().copied().chain([dependency.on]).collect());
                 }
             }
         }
--- a/crates/restart/src/trust.rs
+++ b/crates/restart/src/trust.rs
@@ -1,22 +1,23 @@
-//! What each kind of process trusts from before its start. One table: the starts of the program go by it, and the page
-//! prints it.
+//! Which state from before its start each kind of process trusts. The program follows this table, and docs/start.md
+//! contains it.
 use serde::{Deserialize, Serialize};
 
 /// Kinds of processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessKind {
-    /// A member of the control service, of the service of purges, or of the keeper.
+    /// A member of the control service, the purge service or the audit keeper.
     Service,
     Hub,
     Feed,
     Router,
 }
 
+/// All kinds of processes.
 pub const PROCESS_KINDS: [ProcessKind; 4] =
     [ProcessKind::Service, ProcessKind::Hub, ProcessKind::Feed, ProcessKind::Router];
 
-/// What may be found at a start.
+/// State that a process may find at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoredItem {
@@ -33,6 +34,7 @@
     Paces,
 }
 
+/// All kinds of stored state.
 pub const STORED_ITEMS: [StoredItem; 11] = [
     StoredItem::Log,
     StoredItem::Copies,
@@ -47,18 +49,19 @@
     StoredItem::Paces,
 ];
 
-/// Whose word it takes.
+/// Who has to confirm stored state before it is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Authority {
-    /// Most members of its group.
+    /// A majority of the members of its group.
     Majority,
     Purges,
     Control,
-    /// A fetch at the archive, whose time it bears.
+    /// The time in an answer of the archive.
     Archive,
 }
 
+/// Whether and when stored state is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Trust {
@@ -67,12 +70,12 @@
     #[serde(rename = "once")]
     ConfirmedBy(Authority),
     Never,
-    /// It keeps none.
+    /// The process stores no such state.
     #[serde(rename = "none")]
     NotKept,
 }
 
-/// A line of the table.
+/// A row of the table.
 #[derive(Clone, Copy, Debug)]
 pub struct Rule {
     pub process: ProcessKind,
@@ -81,23 +84,23 @@
     pub reason: &'static str,
 }
 
-const fn rule(who: ProcessKind, thing: StoredItem, trust: Trust, why: &'static str) -> Rule {
-    Rule { process: who, item: thing, trust, reason: why }
+const fn rule(process: ProcessKind, item: StoredItem, trust: Trust, reason: &'static str) -> Rule {
+    Rule { process, item, trust, reason }
 }
 
-/// All of it. What is not named is not kept.
+/// The table. A process does not store what is not listed.
 pub const TABLE: &[Rule] = &[
     rule(
         ProcessKind::Service,
         StoredItem::Log,
         Trust::ConfirmedBy(Authority::Majority),
-        "others may have agreed on more, and another may lead",
+        "other members may have committed more, and another may be leader",
     ),
     rule(
         ProcessKind::Service,
         StoredItem::Name,
         Trust::ConfirmedBy(Authority::Majority),
-        "a member that lost its disk comes back only as a new one",
+        "a member that lost its disk rejoins only as a new one",
     ),
     rule(
         ProcessKind::Service,
@@ -105,50 +108,45 @@
         Trust::ConfirmedBy(Authority::Majority),
         "it is in the log",
     ),
-    rule(ProcessKind::Service, StoredItem::SitePlan, Trust::Never, "plans are made anew from the shape"),
-    rule(
-        ProcessKind::Service,
-        StoredItem::Leases,
-        Trust::Never,
-        "a right to speak is shorter than any start",
-    ),
+    rule(ProcessKind::Service, StoredItem::SitePlan, Trust::Never, "plans are recomputed from the shape"),
+    rule(ProcessKind::Service, StoredItem::Leases, Trust::Never, "a leader lease is shorter than any start"),
     rule(
         ProcessKind::Service,
         StoredItem::ShutOuts,
         Trust::ConfirmedBy(Authority::Majority),
-        "they are in the keeper's log, and end by themselves",
+        "they are in the keeper's log, and end on their own",
     ),
     rule(
         ProcessKind::Service,
         StoredItem::WallClock,
         Trust::Immediately,
-        "it numbers by terms; its times only bound",
+        "entries are ordered by terms; times are only used for bounds",
     ),
     rule(
         ProcessKind::Hub,
         StoredItem::Log,
         Trust::Immediately,
-        "the index of its copies, by its checksums; what is torn is dropped",
+        "the index of its copies, verified by checksums; torn records are dropped",
     ),
     rule(
         ProcessKind::Hub,
         StoredItem::Copies,
         Trust::ConfirmedBy(Authority::Purges),
-        "what was purged meanwhile must not go out",
+        "copies that were purged meanwhile must not be served",
     ),
-    rule(ProcessKind::Hub, StoredItem::Name, Trust::Immediately, "it stands in its file"),
-    rule(ProcessKind::Hub, StoredItem::StartNumber, Trust::Never, "each start has one that no other had"),
+    rule(ProcessKind::Hub, StoredItem::Name, Trust::Immediately, "it is in its configuration file"),
+    rule(ProcessKind::Hub, StoredItem::StartNumber, Trust::Never, "each start has a unique number"),
     rule(
         ProcessKind::Hub,
         StoredItem::LastShape,
         Trust::ConfirmedBy(Authority::Control),
-        "the one in its file, if any, until a service speaks",
+        "the one in its configuration file, if any, until a leader sends one",
     ),
     rule(
         ProcessKind::Hub,
         StoredItem::Leases,
         Trust::Never,
-        "its part of the archive's gate begins at the floor",
+        "its share of the archive's concurrency limit starts at the floor",
     ),
     rule(
         ProcessKind::Hub,
@@ -156,45 +154,45 @@
         Trust::ConfirmedBy(Authority::Archive),
         "until then no copy on disk counts as fresh by its age",
     ),
-    rule(ProcessKind::Hub, StoredItem::ColdAge, Trust::Never, "it starts cold, whatever it holds"),
+    rule(ProcessKind::Hub, StoredItem::ColdAge, Trust::Never, "it starts cold, whatever copies it has"),
     rule(
         ProcessKind::Hub,
         StoredItem::Paces,
         Trust::Immediately,
-        "what a fill usually takes; it is only compared with",
+        "the usual duration of a fill; it is only used for comparison",
     ),
-    rule(ProcessKind::Feed, StoredItem::Name, Trust::Immediately, "it stands in its file"),
-    rule(ProcessKind::Feed, StoredItem::StartNumber, Trust::Never, "each start has one that no other had"),
-    rule(ProcessKind::Router, StoredItem::Name, Trust::Immediately, "it stands in its file"),
-    rule(ProcessKind::Router, StoredItem::StartNumber, Trust::Never, "each start has one that no other had"),
+    rule(ProcessKind::Feed, StoredItem::Name, Trust::Immediately, "it is in its configuration file"),
+    rule(ProcessKind::Feed, StoredItem::StartNumber, Trust::Never, "each start has a unique number"),
+    rule(ProcessKind::Router, StoredItem::Name, Trust::Immediately, "it is in its configuration file"),
+    rule(ProcessKind::Router, StoredItem::StartNumber, Trust::Never, "each start has a unique number"),
     rule(
         ProcessKind::Router,
         StoredItem::Leases,
         Trust::Never,
-        "the first lasts until the keeper's first answer",
+        "the initial lease lasts until the keeper's first answer",
     ),
-    rule(ProcessKind::Router, StoredItem::Paces, Trust::Never, "routers begin again from nothing"),
+    rule(ProcessKind::Router, StoredItem::Paces, Trust::Never, "routers measure them again from nothing"),
 ];
 
-/// What `who` trusts of it.
-pub fn trust(who: ProcessKind, thing: StoredItem) -> Trust {
+/// Whether and when a kind of process trusts this state.
+pub fn trust(process: ProcessKind, item: StoredItem) -> Trust {
     TABLE
         .iter()
-        .find(|rule| rule.process == who && rule.item == thing)
+        .find(|rule| rule.process == process && rule.item == item)
         .map_or(Trust::NotKept, |rule| rule.trust)
 }
 
-/// The table as the page has it.
+/// The table in the form of docs/start.md.
 pub fn markdown() -> String {
-    let mut text = String::from("| process | what it finds | trusted | since |\n| --- | --- | --- | --- |\n");
+    let mut text = String::from("| process | stored state | trusted | reason |\n| --- | --- | --- | --- |\n");
     for rule in TABLE {
-        let who = match rule.process {
+        let process = match rule.process {
             ProcessKind::Service => "service member",
             ProcessKind::Hub => "hub",
             ProcessKind::Feed => "branch feed",
             ProcessKind::Router => "router",
         };
-        let thing = match rule.item {
+        let item = match rule.item {
             StoredItem::Log => "log",
             StoredItem::Copies => "copies",
             StoredItem::Name => "own name",
@@ -209,14 +207,14 @@
         };
         let trust = match rule.trust {
             Trust::Immediately => "at once",
-            Trust::ConfirmedBy(Authority::Majority) => "once most members agree",
-            Trust::ConfirmedBy(Authority::Purges) => "once the service of purges has told all",
-            Trust::ConfirmedBy(Authority::Control) => "until the control service tells another",
+            Trust::ConfirmedBy(Authority::Majority) => "once a majority of the members agrees",
+            Trust::ConfirmedBy(Authority::Purges) => "once the purge service has sent all active purges",
+            Trust::ConfirmedBy(Authority::Control) => "until the control service sends another",
             Trust::ConfirmedBy(Authority::Archive) => "once a fetch has shown the archive's time",
             Trust::Never => "never",
             Trust::NotKept => "not kept",
         };
-        text += &format!("| {who} | {thing} | {trust} | {} |\n", rule.reason);
+        text += &format!("| {process} | {item} | {trust} | {} |\n", rule.reason);
     }
     text
 }
--- a/crates/restart/tests/starts.rs
+++ b/crates/restart/tests/starts.rs
@@ -1,4 +1,4 @@
-//! Starts by hand, by chance, and over all orders of a whole fleet's.
+//! Starts step by step, with random inputs, and by model checking over all orders of starts in a fleet.
 use harestage::time::{Moment, Span};
 use harestage_restart::ramp::{ArchiveCapacity, FetchRamp, INITIAL_SHARE};
 use harestage_restart::stage::{Stage, Start, StartEvent, dependencies, unbounded_cycles};
@@ -12,36 +12,38 @@
 }
 
 #[test]
-fn the_table_says_one_thing_of_each_and_the_page_has_it() {
+fn the_table_has_one_rule_for_each_item_and_is_in_the_page() {
     let named: BTreeSet<_> = TABLE.iter().map(|rule| (rule.process, rule.item)).collect();
     assert_eq!(named.len(), TABLE.len());
-    for who in PROCESS_KINDS {
-        assert_ne!(trust(who, harestage_restart::trust::StoredItem::Name), Trust::NotKept);
+    for process in PROCESS_KINDS {
+        assert_ne!(trust(process, harestage_restart::trust::StoredItem::Name), Trust::NotKept);
     }
-    assert!(STORED_ITEMS.iter().all(|thing| TABLE.iter().any(|rule| rule.item == *thing)));
+    assert!(STORED_ITEMS.iter().all(|item| TABLE.iter().any(|rule| rule.item == *item)));
     let page = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/start.md")).unwrap();
-    assert!(page.contains(&markdown()), "harestage start table prints what has to stand in docs/start.md");
+    assert!(page.contains(&markdown()), "docs/start.md has to contain the output of `harestage start table`");
 }
 
 #[test]
-fn no_circle_of_waits_can_stand() {
+fn there_is_no_unbounded_wait_cycle() {
     assert_eq!(unbounded_cycles(), Vec::<Vec<ProcessKind>>::new());
-    assert!(dependencies().iter().all(|edge| edge.dependent != edge.on));
-    // Whoever waits without a bound waits for somebody who waits for nobody but its own kind.
-    let unbounded = dependencies().into_iter().filter(|edge| !edge.bounded);
+    assert!(dependencies().iter().all(|dependency| dependency.dependent != dependency.on));
+    // Only feeds and routers wait without a bound, and what they wait for does not wait for them.
+    let unbounded = dependencies().into_iter().filter(|dependency| !dependency.bounded);
     assert!(
-        unbounded.into_iter().all(|edge| matches!(edge.dependent, ProcessKind::Feed | ProcessKind::Router))
+        unbounded
+            .into_iter()
+            .all(|dependency| matches!(dependency.dependent, ProcessKind::Feed | ProcessKind::Router))
     );
 }
 
-/// Beats until so long after the beginning; the stages that were passed.
+/// Ticks from one time to another; returns the stages that were entered.
 fn run(start: &mut Start, from: u64, to: u64) -> Vec<Stage> {
-    let beats = (from / 100 + 1)..=(to / 100);
-    beats.filter_map(|beat| start.tick(at(beat * 100))).map(|turn| turn.to).collect()
+    let ticks = (from / 100 + 1)..=(to / 100);
+    ticks.filter_map(|tick| start.tick(at(tick * 100))).map(|change| change.to).collect()
 }
 
 #[test]
-fn with_everybody_there_it_goes_through_its_stages_in_order() {
+fn with_all_services_present_the_stages_follow_in_order() {
     let mut start = Start::new(at(0));
     start.on_event(StartEvent::IndexRead { copies: true });
     assert_eq!(run(&mut start, 0, 500), []);
@@ -52,13 +54,13 @@
     assert!(start.stage().serves_copies() && !start.stage().allows_fills());
     assert_eq!(run(&mut start, 1_000, 3_500), [Stage::BestFills]);
     start.on_event(StartEvent::ArchiveAdmitsNone);
-    assert_eq!(run(&mut start, 3_500, 3_800), [Stage::CopiesOnly], "it can go back");
+    assert_eq!(run(&mut start, 3_500, 3_800), [Stage::CopiesOnly], "it returns to copies only");
     start.on_event(StartEvent::ArchiveAdmitsAll);
     assert_eq!(run(&mut start, 3_800, 4_500), [Stage::BestFills, Stage::All]);
 }
 
 #[test]
-fn with_nobody_there_it_serves_alone_and_keeps_nothing() {
+fn without_any_service_it_serves_fills_and_stores_nothing() {
     let mut start = Start::new(at(0));
     start.on_event(StartEvent::IndexRead { copies: true });
     start.on_event(StartEvent::ShapeKnown);
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn staff_holds_a_start_and_lets_it_go() {
+fn an_operator_pauses_a_start_and_lets_it_continue() {
     let mut start = Start::new(at(0));
     start.on_event(StartEvent::IndexRead { copies: false });
     start.on_event(StartEvent::PurgesNotFollowed);
@@ -79,7 +81,7 @@
     assert_eq!(
         run(&mut start, 0, 300),
         [Stage::AwaitsShape, Stage::BestFills],
-        "without copies there is nothing to serve"
+        "without copies there is nothing to serve from the disk"
     );
     start.on_event(StartEvent::Held);
     start.on_event(StartEvent::ArchiveAdmitsAll);
@@ -89,60 +91,60 @@
 }
 
 #[test]
-fn the_archive_is_asked_for_more_only_while_it_bears_it() {
-    let (mut pace, mut ms, mut peak) = (FetchRamp::new(at(0)), 0u64, 0.0f64);
-    let part = 100.0;
-    // It bears 40 a second from cold, and is four times as slow past it.
+fn the_share_grows_only_while_the_archive_has_capacity() {
+    let (mut ramp, mut ms, mut peak) = (FetchRamp::new(at(0)), 0u64, 0.0f64);
+    let concurrency_part = 100.0;
+    // The cold archive has capacity for 40 fetches a second and is eight times as slow above that.
     for _ in 0..400 {
         ms += 50;
-        let rate = part * pace.share();
+        let rate = concurrency_part * ramp.share();
         peak = peak.max(rate);
-        let due = (rate * 0.05).max(0.3);
-        for n in 0..due.ceil() as u64 {
-            let slow = if rate > 40.0 { 8.0 } else { 1.0 };
-            pace.on_answer(0.015 * slow, at(ms + n));
+        let answers = (rate * 0.05).max(0.3);
+        for n in 0..answers.ceil() as u64 {
+            let slowdown = if rate > 40.0 { 8.0 } else { 1.0 };
+            ramp.on_answer(0.015 * slowdown, at(ms + n));
         }
-        pace.tick(at(ms));
+        ramp.tick(at(ms));
     }
     assert!(peak <= 40.0 * 1.3, "{peak}");
-    assert!(pace.share() >= INITIAL_SHARE, "it stays near what is borne: {}", pace.share());
-    // It gets better, and then all of it is borne.
+    assert!(ramp.share() >= INITIAL_SHARE, "it stays near the capacity: {}", ramp.share());
+    // The archive recovers and has full capacity.
     for _ in 0..400 {
         ms += 50;
-        (0..5).for_each(|n| pace.on_answer(0.015, at(ms + n)));
-        pace.tick(at(ms));
+        (0..5).for_each(|n| ramp.on_answer(0.015, at(ms + n)));
+        ramp.tick(at(ms));
     }
-    assert_eq!((pace.share(), pace.archive_capacity()), (1.0, ArchiveCapacity::Full));
-    // And then nothing.
+    assert_eq!((ramp.share(), ramp.archive_capacity()), (1.0, ArchiveCapacity::Full));
+    // Then it fails completely.
     for _ in 0..100 {
         ms += 50;
-        pace.on_failure(at(ms));
-        pace.tick(at(ms));
+        ramp.on_failure(at(ms));
+        ramp.tick(at(ms));
     }
-    assert!(pace.share() < INITIAL_SHARE && pace.archive_capacity() == ArchiveCapacity::None);
+    assert!(ramp.share() < INITIAL_SHARE && ramp.archive_capacity() == ArchiveCapacity::None);
 }
 
 #[test]
-fn what_is_worth_most_is_filled_first_and_those_who_wait_come_back_spread() {
-    let mut pace = FetchRamp::new(at(0));
-    assert!(pace.admits(8.0, 8.0) && !pace.admits(1.0, 8.0));
-    let spans: Vec<Span> = (0..=10).map(|n| pace.retry_after(f64::from(n) / 10.0)).collect();
+fn the_highest_worth_is_filled_first_and_retries_are_spread() {
+    let mut ramp = FetchRamp::new(at(0));
+    assert!(ramp.admits(8.0, 8.0) && !ramp.admits(1.0, 8.0));
+    let spans: Vec<Span> = (0..=10).map(|n| ramp.retry_after(f64::from(n) / 10.0)).collect();
     assert!(spans.windows(2).all(|pair| pair[0] < pair[1]) && spans[10].seconds() > 3.0);
     for n in 0..200u64 {
-        (0..4).for_each(|m| pace.on_answer(0.01, at(n * 50 + m)));
-        pace.tick(at(n * 50));
+        (0..4).for_each(|m| ramp.on_answer(0.01, at(n * 50 + m)));
+        ramp.tick(at(n * 50));
     }
-    assert!(pace.admits(1.0, 8.0) && pace.retry_after(1.0) <= Span::millis(400));
+    assert!(ramp.admits(1.0, 8.0) && ramp.retry_after(1.0) <= Span::millis(400));
 }
 
 proptest! {
-    /// Whatever is heard in whatever order: copies go out only once purges are known, and every wait ends.
+    /// For any events in any order: copies are served only once the purges are known, and every wait ends.
     #[test]
-    fn by_chance(facts in prop::collection::vec((0u8..8, 0u64..4_000), 0..60)) {
+    fn random_events_never_serve_unpurged_copies_and_every_wait_ends(events in prop::collection::vec((0u8..8, 0u64..4_000), 0..60)) {
         let (mut start, mut ms, mut purges) = (Start::new(at(0)), 0u64, false);
-        for (fact, passes) in facts {
-            let fact = match fact {
-                0 => StartEvent::IndexRead { copies: passes % 2 == 0 },
+        for (event, elapsed_ms) in events {
+            let event = match event {
+                0 => StartEvent::IndexRead { copies: elapsed_ms % 2 == 0 },
                 1 => { purges = true; StartEvent::PurgesKnown }
                 2 => StartEvent::ShapeKnown,
                 3 => StartEvent::ArchiveAdmitsAll,
@@ -151,8 +153,8 @@
                 6 => StartEvent::Held,
                 _ => StartEvent::Released,
             };
-            start.on_event(fact);
-            for _ in 0..passes / 100 + 1 {
+            start.on_event(event);
+            for _ in 0..elapsed_ms / 100 + 1 {
                 ms += 100;
                 start.tick(at(ms));
                 prop_assert!(!start.stage().serves_copies() || purges);
@@ -160,7 +162,7 @@
             }
         }
         start.on_event(StartEvent::Released);
-        // Nobody comes any more: it ends where it serves.
+        // Without further events it ends in a stage that serves.
         for _ in 0..1_500 {
             ms += 100;
             start.tick(at(ms));
@@ -170,172 +172,185 @@
     }
 }
 
-/// A fleet of three members of a service, two hubs, a feed and a router, which start in any order; a minority of the
-/// service never comes, and neither may a hub. Steps of a start take place when what they wait for is there, or when their
-/// bound is over.
+/// A fleet of three members of a service, two hubs, a feed and a router that start in any order. One member of the service
+/// and one hub may never start. A stage is left when what it waits for is present, or when its bound has passed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
-    services: [Up; 3],
-    hubs: [(Up, Option<Stage>); 2],
-    feed: (Up, bool),
-    router: (Up, bool),
+struct FleetState {
+    services: [Presence; 3],
+    hubs: [(Presence, Option<Stage>); 2],
+    feed: (Presence, bool),
+    router: (Presence, bool),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Up {
-    NotYet,
-    Yes,
+enum Presence {
+    NotStarted,
+    Running,
     Never,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Act {
+enum Action {
     Service(usize, bool),
     Hub(usize, bool),
-    /// A hub's next step, because what it waits for is there, or since its bound is over.
-    Goes(usize),
-    BoundOver(usize),
+    /// A hub enters the next stage because what it waits for is present.
+    HubProceeds(usize),
+    /// A hub enters the next stage because the bound has passed.
+    HubTimesOut(usize),
     Feed,
-    FeedTells,
+    FeedSends,
     Router,
     RouterServes,
 }
 
 struct Fleet;
 
-impl World {
-    fn service_speaks(&self) -> bool {
-        self.services.iter().filter(|up| **up == Up::Yes).count() >= 2
+impl FleetState {
+    fn service_has_quorum(&self) -> bool {
+        self.services.iter().filter(|presence| **presence == Presence::Running).count() >= 2
     }
 
-    /// What a real start of the program comes to by this: the state machine itself.
-    fn turned(stage: Stage, speaks: bool, over: bool) -> Option<Stage> {
+    /// The stage that the real state machine enters from `stage`, if any.
+    fn next_stage(stage: Stage, has_quorum: bool, times_out: bool) -> Option<Stage> {
         let mut start = Start::new(at(0));
         start.on_event(StartEvent::IndexRead { copies: true });
         let (mut ms, mut reached) = (0, start.stage());
-        // Brought to the stage by the facts that lead there.
-        let facts: &[StartEvent] = match stage {
+        // The events that lead to the stage.
+        let events: &[StartEvent] = match stage {
             Stage::Reading | Stage::AwaitsPurges => &[],
             Stage::WithoutPurges => &[],
             Stage::AwaitsShape => &[StartEvent::PurgesKnown],
             _ => &[StartEvent::PurgesKnown, StartEvent::ShapeKnown],
         };
-        facts.iter().for_each(|fact| start.on_event(*fact));
+        events.iter().for_each(|event| start.on_event(*event));
         while reached != stage {
             ms += 1_000;
-            reached = start.tick(at(ms)).map_or(reached, |turn| turn.to);
+            reached = start.tick(at(ms)).map_or(reached, |change| change.to);
             if ms > 100_000 {
                 return None;
             }
         }
-        if speaks {
+        if has_quorum {
             start.on_event(StartEvent::PurgesKnown);
             start.on_event(StartEvent::ShapeKnown);
         }
-        ms += if over { 70_000 } else { 1 };
-        start.tick(at(ms)).map(|turn| turn.to)
+        ms += if times_out { 70_000 } else { 1 };
+        start.tick(at(ms)).map(|change| change.to)
     }
 }
 
 impl Model for Fleet {
-    type State = World;
-    type Action = Act;
+    type State = FleetState;
+    type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
-        let (hubs, feed, router) = ([(Up::NotYet, None); 2], (Up::NotYet, false), (Up::NotYet, false));
-        vec![World { services: [Up::NotYet; 3], hubs, feed, router }]
+    fn init_states(&self) -> Vec<FleetState> {
+        let (hubs, feed, router) =
+            ([(Presence::NotStarted, None); 2], (Presence::NotStarted, false), (Presence::NotStarted, false));
+        vec![FleetState { services: [Presence::NotStarted; 3], hubs, feed, router }]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        let never = world.services.iter().filter(|up| **up == Up::Never).count();
+    fn actions(&self, state: &FleetState, actions: &mut Vec<Action>) {
+        let never = state.services.iter().filter(|presence| **presence == Presence::Never).count();
         for n in 0..3 {
-            if world.services[n] == Up::NotYet {
-                acts.push(Act::Service(n, true));
+            if state.services[n] == Presence::NotStarted {
+                actions.push(Action::Service(n, true));
                 if never == 0 {
-                    acts.push(Act::Service(n, false));
+                    actions.push(Action::Service(n, false));
                 }
             }
         }
-        let gone = world.hubs.iter().any(|(up, _)| *up == Up::Never);
+        let absent = state.hubs.iter().any(|(presence, _)| *presence == Presence::Never);
         for n in 0..2 {
-            match world.hubs[n] {
-                (Up::NotYet, _) => {
-                    acts.push(Act::Hub(n, true));
-                    if !gone {
-                        acts.push(Act::Hub(n, false));
+            match state.hubs[n] {
+                (Presence::NotStarted, _) => {
+                    actions.push(Action::Hub(n, true));
+                    if !absent {
+                        actions.push(Action::Hub(n, false));
                     }
                 }
-                (Up::Yes, Some(stage)) if stage != Stage::All => {
-                    acts.extend([Act::Goes(n), Act::BoundOver(n)]);
+                (Presence::Running, Some(stage)) if stage != Stage::All => {
+                    actions.extend([Action::HubProceeds(n), Action::HubTimesOut(n)]);
                 }
                 _ => {}
             }
         }
-        acts.extend(match world.feed {
-            (Up::NotYet, _) => Some(Act::Feed),
-            (Up::Yes, false) if world.service_speaks() => Some(Act::FeedTells),
+        actions.extend(match state.feed {
+            (Presence::NotStarted, _) => Some(Action::Feed),
+            (Presence::Running, false) if state.service_has_quorum() => Some(Action::FeedSends),
             _ => None,
         });
-        acts.extend(match world.router {
-            (Up::NotYet, _) => Some(Act::Router),
-            (Up::Yes, false) if world.feed.1 => Some(Act::RouterServes),
+        actions.extend(match state.router {
+            (Presence::NotStarted, _) => Some(Action::Router),
+            (Presence::Running, false) if state.feed.1 => Some(Action::RouterServes),
             _ => None,
         });
     }
 
-    fn next_state(&self, last: &World, act: Act) -> Option<World> {
-        let mut world = last.clone();
-        let up = |comes: bool| if comes { Up::Yes } else { Up::Never };
-        match act {
-            Act::Service(n, comes) => world.services[n] = up(comes),
-            Act::Hub(n, comes) => world.hubs[n] = (up(comes), comes.then_some(Stage::AwaitsPurges)),
-            Act::Goes(n) | Act::BoundOver(n) => {
+    fn next_state(&self, last: &FleetState, action: Action) -> Option<FleetState> {
+        let mut state = last.clone();
+        let presence = |starts: bool| if starts { Presence::Running } else { Presence::Never };
+        match action {
+            Action::Service(n, starts) => state.services[n] = presence(starts),
+            Action::Hub(n, starts) => {
+                state.hubs[n] = (presence(starts), starts.then_some(Stage::AwaitsPurges))
+            }
+            Action::HubProceeds(n) | Action::HubTimesOut(n) => {
                 let stage = last.hubs[n].1?;
-                let next = World::turned(stage, last.service_speaks(), matches!(act, Act::BoundOver(_)))?;
-                world.hubs[n].1 = Some(next);
+                let next = FleetState::next_stage(
+                    stage,
+                    last.service_has_quorum(),
+                    matches!(action, Action::HubTimesOut(_)),
+                )?;
+                state.hubs[n].1 = Some(next);
             }
-            Act::Feed => world.feed.0 = Up::Yes,
-            Act::FeedTells => world.feed.1 = true,
-            Act::Router => world.router.0 = Up::Yes,
-            Act::RouterServes => world.router.1 = true,
+            Action::Feed => state.feed.0 = Presence::Running,
+            Action::FeedSends => state.feed.1 = true,
+            Action::Router => state.router.0 = Presence::Running,
+            Action::RouterServes => state.router.1 = true,
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        // A state from which nothing more can happen: everybody who came serves.
-        fn is_over(world: &World) -> bool {
-            let mut acts = Vec::new();
-            Fleet.actions(world, &mut acts);
-            acts.iter().all(|act| Fleet.next_state(world, *act).is_none_or(|next| next == *world))
+        // A state from which nothing more can happen.
+        fn is_final(state: &FleetState) -> bool {
+            let mut actions = Vec::new();
+            Fleet.actions(state, &mut actions);
+            actions.iter().all(|action| Fleet.next_state(state, *action).is_none_or(|next| next == *state))
         }
         vec![
-            Property::always("nobody hangs", |_, world: &World| {
-                !is_over(world)
-                    || world.service_speaks()
-                        && world.feed.1
-                        && world.router.1
-                        && world.hubs.iter().all(|(up, stage)| *up == Up::Never || *stage == Some(Stage::All))
-            }),
-            Property::always("copies go out only where the service has spoken", |_, world: &World| {
-                let gives = |(_, stage): &(Up, Option<Stage>)| stage.is_some_and(Stage::serves_copies);
-                !world.hubs.iter().any(gives) || world.service_speaks()
+            Property::always("no process waits forever", |_, state: &FleetState| {
+                !is_final(state)
+                    || state.service_has_quorum()
+                        && state.feed.1
+                        && state.router.1
+                        && state.hubs.iter().all(|(presence, stage)| {
+                            *presence == Presence::Never || *stage == Some(Stage::All)
+                        })
             }),
-            Property::sometimes("a hub serves before the service comes", |_, world: &World| {
-                !world.service_speaks()
-                    && world.hubs.iter().any(|(_, stage)| stage.is_some_and(Stage::allows_fills))
+            Property::always(
+                "copies are served only if the service has a quorum",
+                |_, state: &FleetState| {
+                    let serves_copies =
+                        |(_, stage): &(Presence, Option<Stage>)| stage.is_some_and(Stage::serves_copies);
+                    !state.hubs.iter().any(serves_copies) || state.service_has_quorum()
+                },
+            ),
+            Property::sometimes("a hub serves before the service has a quorum", |_, state: &FleetState| {
+                !state.service_has_quorum()
+                    && state.hubs.iter().any(|(_, stage)| stage.is_some_and(Stage::allows_fills))
             }),
-            Property::sometimes("all are back without a minority", |_, world: &World| {
-                is_over(world)
-                    && world.services.contains(&Up::Never)
-                    && world.hubs.iter().any(|(up, _)| *up == Up::Never)
+            Property::sometimes("the fleet recovers without a minority", |_, state: &FleetState| {
+                is_final(state)
+                    && state.services.contains(&Presence::Never)
+                    && state.hubs.iter().any(|(presence, _)| *presence == Presence::Never)
             }),
         ]
     }
 }
 
 #[test]
-fn no_order_of_starts_leaves_anybody_waiting() {
+fn no_order_of_starts_leaves_a_process_waiting() {
     let checker = Fleet.checker().threads(4).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 1_000, "{} states", checker.unique_state_count());
