--- a/crates/audit/src/chain.rs
+++ b/crates/audit/src/chain.rs
@@ -1,42 +1,45 @@
-//! The links of a record. Each holds the hash of the one before, over the bytes of its own words, so that a link that is
-//! missing, altered, or put elsewhere shows.
+//! The links of a record. Each contains the hash of the previous link and a hash of its own contents, so that a missing,
+//! altered or moved link is detected.
 use crate::sketch::Sketch;
 use crate::stamp::{Stamp, Versions};
 use serde::{Deserialize, Serialize};
 
-/// Form of the links; a later one is named, and not read.
+/// Format version of the links. Links of other versions are rejected.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// What became of a download.
+/// Outcome of a download.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     Fulfilled,
     Throttled,
     Abandoned,
-    /// Whoever asked has left.
+    /// The client closed its connection.
     #[serde(rename = "left")]
     ClientLeft,
 }
 
+/// All outcomes, in the order of their numbers.
 pub const OUTCOMES: [Outcome; 4] =
     [Outcome::Fulfilled, Outcome::Throttled, Outcome::Abandoned, Outcome::ClientLeft];
 
-/// Pulls that a hub was asked for, as their puller stamped them.
+/// Pulls that a hub has received from one puller under one stamp.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReceivedPulls {
-    /// Who pulled, and for which place of the shape.
+    /// Name of the process that pulled.
     #[serde(rename = "by")]
     pub puller: String,
+    /// Place of the shape that it pulled for.
     pub place: String,
     pub stamp: Stamp,
-    /// Those that were taken, and those that were refused for their stamp.
+    /// Number of admitted pulls.
     #[serde(rename = "taken")]
     pub accepted: u64,
+    /// Number of pulls that were refused for their stamp.
     pub refused: u64,
 }
 
-/// Downloads of one content type with one outcome.
+/// Number of downloads of one content type with one outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DownloadCount {
     pub content: String,
@@ -45,39 +48,42 @@
     pub count: u64,
 }
 
-/// A stretch of downloads under one stamp.
+/// A period of downloads under one stamp.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Interval {
     pub stamp: Stamp,
-    /// The process's own numbers of its downloads: from the first to the last, both among them; none: 0 and 0.
+    /// First and last of the process's sequence numbers of its downloads, both inclusive; 0 and 0 if there are none.
     pub from: u64,
     pub to: u64,
-    /// The process's own clock.
+    /// Begin and end by the process's own clock, Unix milliseconds.
     pub began_ms: u64,
     pub ended_ms: u64,
     pub downloads: Vec<DownloadCount>,
-    /// Pulls that went out under this stamp, by whom they went to.
+    /// Number of pulls that were sent under this stamp, by the name of the receiver.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub pulls: Vec<(String, u64)>,
+    /// Pulls that were received.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "answered")]
     pub received: Vec<ReceivedPulls>,
-    /// When the oldest copy that was given out was made, Unix milliseconds; 0: none was.
+    /// When the oldest served copy was made, Unix milliseconds; 0 if none was served.
     #[serde(default)]
     pub oldest_ms: u64,
-    /// Ids of the first and the last, and which may be among them.
+    /// Ids of the first and the last download.
     pub first: u64,
     pub last: u64,
+    /// Sketch of the ids of all downloads.
     pub ids: Sketch,
 }
 
 impl Interval {
+    /// Number of all downloads in the interval.
     pub fn download_count(&self) -> u64 {
         self.downloads.iter().map(|count| count.count).sum()
     }
 }
 
-/// The last link that a process can know of from before its start.
+/// The last link of the previous start, as far as the process knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LastLink {
     pub start: u64,
@@ -85,53 +91,58 @@
     pub hash: String,
 }
 
+/// Contents of a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Body {
-    /// A process begins. What the one before did after its last link stays a gap.
+    /// A process has started. What the previous start did after its last link stays a gap.
     Began {
         #[serde(rename = "goes")]
         versions: Versions,
         #[serde(rename = "known")]
         last_link: Option<LastLink>,
     },
-    /// From here on it goes by this; all downloads after it are under this stamp.
+    /// The versions have changed; all later downloads are under the new stamp.
     Switched {
         #[serde(rename = "goes")]
         versions: Versions,
     },
+    /// Downloads and pulls of a closed interval.
     #[serde(rename = "span")]
     Interval(Box<Interval>),
-    /// It ends in order: nothing follows.
+    /// The process has shut down in order; nothing follows.
     Ended,
 }
 
-/// One link of one process's record.
+/// One link of the record of a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Link {
     #[serde(rename = "form")]
     pub format: u32,
     pub member: String,
-    /// No other start of it has this number.
+    /// Number of the start, unique among the starts of the member.
     pub start: u64,
-    /// From 1 on, without a gap.
+    /// Sequence number, from 1 without gaps.
     pub number: u64,
-    /// Hash of the one before; empty for the first.
+    /// Hash of the previous link; empty for the first.
     #[serde(rename = "before")]
     pub previous_hash: String,
+    /// Time by the clock of the process, Unix milliseconds.
     pub at_ms: u64,
     pub body: Body,
+    /// Hash of all other fields.
     pub hash: String,
 }
 
 impl Link {
-    pub fn new(member: &str, start: u64, number: u64, before: &str, at_ms: u64, body: Body) -> Link {
+    /// Creates a link and computes its hash.
+    pub fn new(member: &str, start: u64, number: u64, previous_hash: &str, at_ms: u64, body: Body) -> Link {
         let mut link = Link {
             format: FORMAT_VERSION,
             member: member.into(),
             start,
             number,
-            previous_hash: before.into(),
+            previous_hash: previous_hash.into(),
             at_ms,
             body,
             hash: String::new(),
@@ -140,7 +151,7 @@
         link
     }
 
-    /// Its hash by its words: over all of it but the hash itself, in the one order that the types give.
+    /// The hash of all fields except the hash itself, in a fixed order.
     fn compute_hash(&self) -> String {
         let body = serde_json::to_vec(&self.body).unwrap_or_default();
         let mut hasher = blake3::Hasher::new();
@@ -155,7 +166,7 @@
         hasher.finalize().to_hex().to_string()
     }
 
-    /// Whether its words are those that its hash was made of.
+    /// Whether the hash matches the contents and the format is supported.
     pub fn is_intact(&self) -> bool {
         self.format == FORMAT_VERSION && self.hash == self.compute_hash()
     }
--- a/crates/audit/src/history.rs
+++ b/crates/audit/src/history.rs
@@ -1,6 +1,6 @@
-//! The keeper's file on every process: its chains, their gaps, what it acted on and when, and where two sides disagree. It
-//! believes no clock but the keeper's own: what a process says of times is laid on that by the smallest difference that its
-//! reports have shown.
+//! What the keeper knows of all processes: their chains and gaps, which versions they acted on and when, and where the records
+//! of two processes contradict each other. All times are by the clock of the keeper. Times of a process are converted with the
+//! smallest difference to its clock that its reports have shown.
 use crate::chain::{Body, Interval, Link, Outcome};
 use crate::obligations::{Obligations, Staleness, VersionKind};
 use crate::stamp::{Stamp, Versions};
@@ -8,57 +8,61 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Chains that are kept; past it the ones that were heard longest ago are forgotten here, and stay in the files.
-const MOST_CHAINS: usize = 16_384;
-const MOST_SPELLS: usize = 65_536;
-const MOST_FINDINGS: usize = 4_096;
-const MOST_GAPS: usize = 64;
-/// Pieces whose sketches are kept for `explain`.
-const MOST_SKETCHES: usize = 16_384;
-/// Versions whose ties are kept.
-const MOST_VERSIONS: usize = 64;
-/// Stamps that are remembered of each chain: the newest, 42 s of them at twelve purges a second. Of one that is as old as what
-/// was forgotten nobody can say any more whether it was declared.
-const MOST_STAMPS: usize = 512;
-/// Two starts of one member that both speak within as long are two processes.
-const TWINS: Time = Time::millis(2_000);
-/// What a puller declares may come after what a hub has seen of it, by as long.
-const DECLARES_WITHIN: Time = Time::millis(5_000);
-/// Pulls by ties that their version lacks before it counts as a finding: a router takes back what has not left yet, and
-/// what was under way when its ties changed is no lie.
-const ODD_PULLS: u64 = 8;
-
-/// What came of a link.
+/// Most chains in memory. Beyond that the one that was heard from longest ago is dropped here; it stays on disk.
+const MAX_CHAINS: usize = 16_384;
+/// Most periods in memory.
+const MAX_PERIODS: usize = 65_536;
+/// Most findings in memory.
+const MAX_FINDINGS: usize = 4_096;
+/// Most gaps of one chain.
+const MAX_GAPS_PER_CHAIN: usize = 64;
+/// Most intervals whose sketches are stored for [`History::intervals_with`].
+const MAX_SKETCHES: usize = 16_384;
+/// Most versions whose upstream links are stored.
+const MAX_VERSIONS: usize = 64;
+/// Most declared stamps of one chain: the newest, which cover 42 s at twelve purges a second. Whether an older stamp was
+/// declared is no longer known.
+const MAX_STAMPS_PER_CHAIN: usize = 512;
+/// Two starts of one member that both report within this time are two processes running at once.
+const CONCURRENT_WITHIN: Time = Time::millis(2_000);
+/// Time by which the declaration of a stamp may arrive after a hub has seen a pull under it.
+const DECLARATION_DELAY: Time = Time::millis(5_000);
+/// Pulls over upstream links that their version does not have, before they count as a finding. When its links change a router
+/// cancels unsent pulls, but a few may already be in flight.
+const MIN_CONTRADICTING_PULLS: u64 = 8;
+
+/// Result of adding a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkOutcome {
-    /// To be written down.
+    /// The link is new and has to be stored.
     New,
-    /// It was taken before.
+    /// The link is stored already.
     Duplicate,
-    /// It is not what it says that it is.
+    /// The link contradicts its hash or its chain; the reason.
     Rejected(String),
 }
 
-/// Where nothing is known of what a process did.
+/// A period of a process without a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gap {
     pub member: String,
     pub start: u64,
-    /// Links that were never seen; none between two starts.
+    /// First and last missing link, if known.
     pub links: Option<(u64, u64)>,
-    /// Downloads that lie in it, as far as their numbers show.
+    /// First and last missing download, as far as their sequence numbers show.
     pub downloads: Option<(u64, u64)>,
-    /// The keeper's clock.
+    /// Begin and end by the keeper's clock, Unix milliseconds.
     pub from_ms: u64,
     pub to_ms: u64,
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// Something that should not be.
+/// A violation that the keeper has found.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum Finding {
+    /// A link that contradicts its hash or its chain.
     Altered {
         member: String,
         start: u64,
@@ -66,11 +70,12 @@
         #[serde(rename = "why")]
         reason: String,
     },
+    /// Two processes with the same name report at the same time.
     #[serde(rename = "twins")]
     ConcurrentStarts { member: String, starts: (u64, u64), at_ms: u64 },
-    /// A hub has seen a stamp that its bearer never declared.
+    /// A hub has seen a stamp that the puller never declared.
     Undeclared { member: String, stamp: Stamp, hub: String, pulls: u64 },
-    /// It says one version and acts by ties that only another has.
+    /// A process declares one version and pulls over upstream links that only another version has.
     #[serde(rename = "acts_by_other")]
     UsesOtherVersion {
         member: String,
@@ -82,7 +87,7 @@
         hub: String,
         pulls: u64,
     },
-    /// A hub took pulls under a stamp that was forbidden.
+    /// A hub admitted pulls under a forbidden stamp.
     #[serde(rename = "taken_past")]
     ForbiddenAccepted {
         member: String,
@@ -94,32 +99,37 @@
     },
 }
 
-/// A stretch of one process under one stamp.
+/// A period of one process under one stamp.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StampPeriod {
     pub member: String,
     pub start: u64,
     pub stamp: Stamp,
-    /// What the stamp stands for, where the process has declared it.
+    /// The versions of the stamp, if the process has declared them.
     #[serde(rename = "goes")]
     pub versions: Option<Versions>,
-    /// The keeper's clock.
+    /// Begin and end by the keeper's clock, Unix milliseconds.
     pub from_ms: u64,
     pub to_ms: u64,
-    /// Numbers of the downloads in it.
+    /// Sequence numbers of its first and last download.
     pub downloads: Option<(u64, u64)>,
+    /// Number of downloads, by content type and outcome.
     pub counts: BTreeMap<String, u64>,
+    /// Number of pulls that it sent.
     pub pulls: u64,
+    /// Number of received pulls that it refused.
     pub refused: u64,
+    /// When the oldest copy that it served was made, Unix milliseconds; 0 if none was served.
     pub oldest_ms: u64,
-    /// How the stamp stood at its end, and how long before that it had come to lack something.
+    /// Worst staleness of the stamp at the end of an interval.
     #[serde(rename = "stood")]
     pub worst_staleness: Staleness,
+    /// How long the process had been behind at the end of its last interval.
     #[serde(rename = "lacked_ms")]
     pub behind_ms: Option<u64>,
 }
 
-/// What may be known of one download.
+/// An interval that may contain a certain download.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CandidateInterval {
     pub member: String,
@@ -130,11 +140,13 @@
     pub versions: Option<Versions>,
     pub from_ms: u64,
     pub to_ms: u64,
-    /// The sketch says yes to one in a hundred that are not there; the first and the last of a piece are sure.
+    /// Whether it is certain: it is for the first and the last download of an interval, while the sketch has a false positive
+    /// for one in a hundred others.
     #[serde(rename = "sure")]
     pub exact: bool,
 }
 
+/// Totals over all chains, and their gaps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     pub members: usize,
@@ -144,64 +156,70 @@
     pub gaps: Vec<Gap>,
 }
 
-/// What a chain has declared, by its stamps.
+/// The versions that a chain has declared, by their stamps.
 #[derive(Clone, Debug, Default)]
 struct Declared {
-    goes: BTreeMap<Stamp, Versions>,
+    versions: BTreeMap<Stamp, Versions>,
+    /// Stamps from oldest to newest.
     by_age: VecDeque<Stamp>,
-    /// The highest version and purge of those that were forgotten.
-    forgotten: Option<(u64, u64)>,
+    /// Highest shape and purge of the dropped stamps.
+    dropped: Option<(u64, u64)>,
 }
 
 impl Declared {
-    fn enter(&mut self, goes: &Versions) {
-        let stamp = goes.stamp();
-        if self.goes.insert(stamp, goes.clone()).is_none() {
+    fn add(&mut self, versions: &Versions) {
+        let stamp = versions.stamp();
+        if self.versions.insert(stamp, versions.clone()).is_none() {
             self.by_age.push_back(stamp);
         }
-        while self.by_age.len() > MOST_STAMPS {
-            let Some(old) = self.by_age.pop_front() else { return };
-            self.goes.remove(&old);
-            let (shape, purge) = self.forgotten.unwrap_or_default();
-            self.forgotten = Some((shape.max(old.shape), purge.max(old.purge)));
+        while self.by_age.len() > MAX_STAMPS_PER_CHAIN {
+            let Some(oldest) = self.by_age.pop_front() else { return };
+            self.versions.remove(&oldest);
+            let (shape, purge) = self.dropped.unwrap_or_default();
+            self.dropped = Some((shape.max(oldest.shape), purge.max(oldest.purge)));
         }
     }
 
     fn get(&self, stamp: &Stamp) -> Option<&Versions> {
-        self.goes.get(stamp)
+        self.versions.get(stamp)
     }
 
-    /// Whether it was declared, or may have been before what is remembered.
-    fn may_have(&self, stamp: &Stamp) -> bool {
-        let old = |(shape, purge): (u64, u64)| stamp.shape <= shape && stamp.purge <= purge;
-        self.goes.contains_key(stamp) || self.forgotten.is_some_and(old)
+    /// Whether the stamp was declared, or may have been among the dropped ones.
+    fn may_contain(&self, stamp: &Stamp) -> bool {
+        let may_be_dropped = |(shape, purge): (u64, u64)| stamp.shape <= shape && stamp.purge <= purge;
+        self.versions.contains_key(stamp) || self.dropped.is_some_and(may_be_dropped)
     }
 }
 
+/// State of the chain of one start of a process.
 #[derive(Clone, Debug, Default)]
 struct Chain {
+    /// Number and hash of the last link.
     number: u64,
     hash: String,
-    /// The last download that was told.
-    told_to: u64,
+    /// Sequence number of the last recorded download.
+    last_download: u64,
     stamp: Stamp,
-    goes: Declared,
-    /// The smallest that the keeper's clock was ahead of the member's, microseconds; it may be behind.
-    ahead: i64,
+    declared: Declared,
+    /// Smallest observed lead of the keeper's clock over the member's, microseconds; may be negative.
+    clock_lead: i64,
     first_heard: Moment,
-    heard: Moment,
+    last_heard: Moment,
     ended: bool,
     gaps: Vec<Gap>,
 }
 
 impl Chain {
-    fn at(&self, own_ms: u64) -> Moment {
-        Moment::at_micros((own_ms.saturating_mul(1_000)).saturating_add_signed(self.ahead)).min(self.heard)
+    /// Converts a time of the member to the clock of the keeper.
+    fn keeper_time(&self, member_ms: u64) -> Moment {
+        Moment::at_micros((member_ms.saturating_mul(1_000)).saturating_add_signed(self.clock_lead))
+            .min(self.last_heard)
     }
 }
 
-struct Sketched {
-    key: Key,
+/// The sketch of an interval.
+struct SketchedInterval {
+    key: ChainKey,
     link: u64,
     stamp: Stamp,
     from: Moment,
@@ -211,146 +229,152 @@
     ids: crate::sketch::Sketch,
 }
 
-type Key = (String, u64);
+/// A member and the number of its start.
+type ChainKey = (String, u64);
 
-/// What hubs saw of one puller under one stamp.
+/// Pulls of one puller under one stamp, as recorded by a hub.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    taken: u64,
+struct ObservedPulls {
+    accepted: u64,
     refused: u64,
     first: Moment,
-    odd: u64,
-    told: bool,
+    /// Pulls over upstream links that the declared version does not have.
+    contradicting: u64,
+    /// Whether a finding was reported for them.
+    reported: bool,
 }
 
-/// All of it.
+/// The history of all processes.
 #[derive(Default)]
 pub struct History {
-    chains: BTreeMap<Key, Chain>,
-    spells: VecDeque<StampPeriod>,
-    sketches: VecDeque<Sketched>,
+    chains: BTreeMap<ChainKey, Chain>,
+    periods: VecDeque<StampPeriod>,
+    sketches: VecDeque<SketchedInterval>,
     findings: VecDeque<Finding>,
     /// By puller, its place, its stamp, and the hub.
-    seen: BTreeMap<(String, String, Stamp, String), Seen>,
-    /// The ties of branches in each version, as sets of the nodes that their routers may pull from.
-    ties: BTreeMap<u64, BTreeMap<String, BTreeSet<String>>>,
+    observed: BTreeMap<(String, String, Stamp, String), ObservedPulls>,
+    /// The upstream links of branches in each version, as sets of the nodes that their routers may pull from.
+    upstreams: BTreeMap<u64, BTreeMap<String, BTreeSet<String>>>,
     links: u64,
     downloads: u64,
 }
 
 impl History {
-    /// The ties of a version: for each branch, the nodes that its routers may pull from.
-    pub fn shape_published(&mut self, number: u64, ties: BTreeMap<String, BTreeSet<String>>) {
-        self.ties.insert(number, ties);
-        while self.ties.len() > MOST_VERSIONS {
-            self.ties.pop_first();
+    /// Stores the upstream links of a version: for each branch, the nodes that its routers may pull from.
+    pub fn shape_published(&mut self, number: u64, upstreams: BTreeMap<String, BTreeSet<String>>) {
+        self.upstreams.insert(number, upstreams);
+        while self.upstreams.len() > MAX_VERSIONS {
+            self.upstreams.pop_first();
         }
     }
 
-    /// A report has come: the member's clock, as far as it goes. `now_ms` is its own.
+    /// A report has arrived. `now_ms` is the time by the clock of the member.
     pub fn on_report(&mut self, member: &str, start: u64, now_ms: u64, now: Moment) {
-        let twin = self.chains.iter().find(|((name, other), chain)| {
+        let concurrent = self.chains.iter().find(|((name, other), chain)| {
             name == member
                 && *other > start
                 && !chain.ended
-                && now.since(chain.heard) < TWINS
-                && now.since(chain.first_heard) >= TWINS
+                && now.since(chain.last_heard) < CONCURRENT_WITHIN
+                && now.since(chain.first_heard) >= CONCURRENT_WITHIN
         });
-        if let Some(((_, other), _)) = twin {
+        if let Some(((_, other), _)) = concurrent {
             let starts = (start, *other);
             let known =
                 |f: &Finding| matches!(f, Finding::ConcurrentStarts { starts: s, .. } if *s == starts);
             if !self.findings.iter().any(known) {
                 let at_ms = now.micros() / 1_000;
-                self.find(Finding::ConcurrentStarts { member: member.into(), starts, at_ms });
+                self.add_finding(Finding::ConcurrentStarts { member: member.into(), starts, at_ms });
             }
         }
-        let ahead = now.micros() as i64 - (now_ms.saturating_mul(1_000)) as i64;
+        let clock_lead = now.micros() as i64 - (now_ms.saturating_mul(1_000)) as i64;
         let chain = self.chains.entry((member.into(), start)).or_insert_with(|| Chain {
-            ahead,
+            clock_lead,
             first_heard: now,
-            heard: now,
+            last_heard: now,
             ..Chain::default()
         });
-        (chain.ahead, chain.heard) = (chain.ahead.min(ahead), now);
-        self.bound();
+        (chain.clock_lead, chain.last_heard) = (chain.clock_lead.min(clock_lead), now);
+        self.limit_chains();
     }
 
-    fn bound(&mut self) {
-        while self.chains.len() > MOST_CHAINS {
-            let oldest = self.chains.iter().min_by_key(|(_, chain)| chain.heard).map(|(key, _)| key.clone());
+    /// Drops the oldest chains beyond the limit.
+    fn limit_chains(&mut self) {
+        while self.chains.len() > MAX_CHAINS {
+            let oldest =
+                self.chains.iter().min_by_key(|(_, chain)| chain.last_heard).map(|(key, _)| key.clone());
             oldest.map(|key| self.chains.remove(&key));
         }
     }
 
-    fn find(&mut self, finding: Finding) {
+    fn add_finding(&mut self, finding: Finding) {
         self.findings.push_back(finding);
-        while self.findings.len() > MOST_FINDINGS {
+        while self.findings.len() > MAX_FINDINGS {
             self.findings.pop_front();
         }
     }
 
-    /// Takes one link in. What is new has to be on disk before it is acknowledged.
-    pub fn add_link(&mut self, link: &Link, owed: &Obligations, now: Moment) -> LinkOutcome {
+    /// Adds one link. A new one has to be on disk before it is acknowledged.
+    pub fn add_link(&mut self, link: &Link, obligations: &Obligations, now: Moment) -> LinkOutcome {
         let key = (link.member.clone(), link.start);
-        let altered = |why: &str| Finding::Altered {
+        let altered = |reason: &str| Finding::Altered {
             member: link.member.clone(),
             start: link.start,
             number: link.number,
-            reason: why.into(),
+            reason: reason.into(),
         };
         if !link.is_intact() {
-            self.find(altered("its words are not those of its hash"));
-            return LinkOutcome::Rejected("its words are not those of its hash".into());
+            self.add_finding(altered("the hash does not match the contents"));
+            return LinkOutcome::Rejected("the hash does not match the contents".into());
         }
-        let new = Chain { first_heard: now, heard: now, ..Chain::default() };
-        let own = self.chains.get(&key).unwrap_or(&new);
+        let new = Chain { first_heard: now, last_heard: now, ..Chain::default() };
+        let chain_state = self.chains.get(&key).unwrap_or(&new);
         let wrong = match link.number {
-            // What was taken under this number was another link.
-            n if n == own.number && n > 0 && link.hash != own.hash => Some("another link has this number"),
-            n if n <= own.number => return LinkOutcome::Duplicate,
-            n if n == own.number + 1 && link.previous_hash != own.hash => {
-                Some("it does not follow the one before")
+            n if n == chain_state.number && n > 0 && link.hash != chain_state.hash => {
+                Some("another link has this number")
+            }
+            n if n <= chain_state.number => return LinkOutcome::Duplicate,
+            n if n == chain_state.number + 1 && link.previous_hash != chain_state.hash => {
+                Some("it does not follow the previous link")
             }
             _ => None,
         };
-        if let Some(why) = wrong {
-            self.find(altered(why));
-            return LinkOutcome::Rejected(why.into());
+        if let Some(reason) = wrong {
+            self.add_finding(altered(reason));
+            return LinkOutcome::Rejected(reason.into());
         }
-        let gap = match (own.number, &link.body) {
+        let gap = match (chain_state.number, &link.body) {
             (0, Body::Began { last_link: known, .. }) if link.number == 1 => {
                 self.between_starts(link, known.as_ref(), now)
             }
-            (before, _) if link.number > before + 1 => Some(self.left_out(own, link)),
+            (before, _) if link.number > before + 1 => Some(self.missing_links(chain_state, link)),
             _ => None,
         };
         let chain = self.chains.entry(key.clone()).or_insert(new);
         if let Some(gap) = gap
-            && chain.gaps.len() < MOST_GAPS
+            && chain.gaps.len() < MAX_GAPS_PER_CHAIN
         {
             chain.gaps.push(gap);
         }
         (chain.number, chain.hash) = (link.number, link.hash.clone());
         self.links += 1;
         match &link.body {
-            Body::Began { versions: goes, .. } | Body::Switched { versions: goes } => {
-                chain.stamp = goes.stamp();
-                chain.goes.enter(goes);
-                let at = chain.at(link.at_ms);
-                self.spell_begins(&key, at);
+            Body::Began { versions, .. } | Body::Switched { versions } => {
+                chain.stamp = versions.stamp();
+                chain.declared.add(versions);
+                let at = chain.keeper_time(link.at_ms);
+                self.begin_period(&key, at);
             }
-            Body::Interval(span) => {
-                chain.told_to = chain.told_to.max(span.to);
-                self.downloads += span.download_count();
-                self.span(&key, link.number, span, owed);
+            Body::Interval(interval) => {
+                chain.last_download = chain.last_download.max(interval.to);
+                self.downloads += interval.download_count();
+                self.add_interval(&key, link.number, interval, obligations);
             }
             Body::Ended => chain.ended = true,
         }
         LinkOutcome::New
     }
 
-    /// What lies between the last link of the start before and this one is not known, whoever says what of it.
+    /// The gap between the last link of the previous start and the first of this one.
     fn between_starts(
         &self,
         link: &Link,
@@ -360,51 +384,53 @@
         let before =
             self.chains.range((link.member.clone(), 0)..(link.member.clone(), link.start)).next_back();
         let (start, number, from, ended) = match (before, known) {
-            (Some(((_, start), chain)), _) => (*start, chain.number, chain.heard, chain.ended),
+            (Some(((_, start), chain)), _) => (*start, chain.number, chain.last_heard, chain.ended),
             (None, Some(known)) => (known.start, known.number, now, false),
             (None, None) => return None,
         };
-        let told = known.filter(|k| k.start == start).map_or(0, |k| k.number);
-        // It ended in order, and everything that it had said is here.
-        if ended && told <= number {
+        let declared_last = known.filter(|k| k.start == start).map_or(0, |k| k.number);
+        // It ended in order, and all its links are stored.
+        if ended && declared_last <= number {
             return None;
         }
         Some(Gap {
             member: link.member.clone(),
             start,
-            links: (told > number).then_some((number + 1, told)),
+            links: (declared_last > number).then_some((number + 1, declared_last)),
             downloads: None,
             from_ms: from.micros() / 1_000,
             to_ms: now.micros() / 1_000,
-            reason: "it ended without a last word".into(),
+            reason: "it ended without a final link".into(),
         })
     }
 
-    fn left_out(&self, own: &Chain, link: &Link) -> Gap {
-        let from_dl = own.told_to + 1;
+    /// The gap before a link that does not directly follow the last one.
+    fn missing_links(&self, chain_state: &Chain, link: &Link) -> Gap {
+        let from_dl = chain_state.last_download + 1;
         let to_dl = match &link.body {
-            Body::Interval(span) if span.from > from_dl => Some(span.from - 1),
+            Body::Interval(interval) if interval.from > from_dl => Some(interval.from - 1),
             _ => None,
         };
         Gap {
             member: link.member.clone(),
             start: link.start,
-            links: Some((own.number + 1, link.number - 1)),
+            links: Some((chain_state.number + 1, link.number - 1)),
             downloads: to_dl.map(|to| (from_dl, to)),
-            from_ms: own.heard.micros() / 1_000,
-            to_ms: own.at(link.at_ms).micros() / 1_000,
+            from_ms: chain_state.last_heard.micros() / 1_000,
+            to_ms: chain_state.keeper_time(link.at_ms).micros() / 1_000,
             reason: "links are missing".into(),
         }
     }
 
-    fn spell_begins(&mut self, key: &Key, at: Moment) {
+    /// Begins a period under the current stamp of a chain.
+    fn begin_period(&mut self, key: &ChainKey, at: Moment) {
         let Some(chain) = self.chains.get(key) else { return };
         let at_ms = at.micros() / 1_000;
-        let spell = StampPeriod {
+        let period = StampPeriod {
             member: key.0.clone(),
             start: key.1,
             stamp: chain.stamp,
-            versions: chain.goes.get(&chain.stamp).cloned(),
+            versions: chain.declared.get(&chain.stamp).cloned(),
             from_ms: at_ms,
             to_ms: at_ms,
             downloads: None,
@@ -415,42 +441,47 @@
             worst_staleness: Staleness::UpToDate,
             behind_ms: None,
         };
-        self.spells.push_back(spell);
-        while self.spells.len() > MOST_SPELLS {
-            self.spells.pop_front();
+        self.periods.push_back(period);
+        while self.periods.len() > MAX_PERIODS {
+            self.periods.pop_front();
         }
     }
 
-    fn span(&mut self, key: &Key, number: u64, span: &Interval, owed: &Obligations) {
+    /// Adds an interval to the periods, sketches and observed pulls.
+    fn add_interval(&mut self, key: &ChainKey, number: u64, interval: &Interval, obligations: &Obligations) {
         let Some(chain) = self.chains.get(key) else { return };
-        let (from, to, in_force) = (chain.at(span.began_ms), chain.at(span.ended_ms), chain.stamp);
-        if !span.ids.is_empty() {
-            let sketched = Sketched {
+        let (from, to, current_stamp) =
+            (chain.keeper_time(interval.began_ms), chain.keeper_time(interval.ended_ms), chain.stamp);
+        if !interval.ids.is_empty() {
+            let sketch = SketchedInterval {
                 key: key.clone(),
                 link: number,
-                stamp: span.stamp,
+                stamp: interval.stamp,
                 from,
                 to,
-                first: span.first,
-                last: span.last,
-                ids: span.ids.clone(),
+                first: interval.first,
+                last: interval.last,
+                ids: interval.ids.clone(),
             };
-            self.sketches.push_back(sketched);
-            while self.sketches.len() > MOST_SKETCHES {
+            self.sketches.push_back(sketch);
+            while self.sketches.len() > MAX_SKETCHES {
                 self.sketches.pop_front();
             }
         }
-        for answered in &span.received {
-            let by = (answered.puller.clone(), answered.place.clone(), answered.stamp, key.0.clone());
-            let odd = self.is_odd(&answered.place, &answered.stamp, &key.0);
-            let seen = self.seen.entry(by).or_insert(Seen { first: from, ..Seen::default() });
-            seen.taken += answered.accepted;
-            seen.refused += answered.refused;
-            if odd {
-                seen.odd += answered.accepted;
+        for received in &interval.received {
+            let puller = (received.puller.clone(), received.place.clone(), received.stamp, key.0.clone());
+            let contradicting = self.contradicts_version(&received.place, &received.stamp, &key.0);
+            let observed = self
+                .observed
+                .entry(puller)
+                .or_insert(ObservedPulls { first: from, ..ObservedPulls::default() });
+            observed.accepted += received.accepted;
+            observed.refused += received.refused;
+            if contradicting {
+                observed.contradicting += received.accepted;
             }
-            if answered.accepted > 0 && owed.staleness(&answered.stamp, from) == Staleness::Forbidden {
-                let past = owed.most_overdue(&answered.stamp, from).map(|(kind, _, since)| {
+            if received.accepted > 0 && obligations.staleness(&received.stamp, from) == Staleness::Forbidden {
+                let past = obligations.most_overdue(&received.stamp, from).map(|(kind, _, since)| {
                     let grace = if kind == VersionKind::Shape {
                         crate::obligations::SHAPE_GRACE
                     } else {
@@ -459,105 +490,112 @@
                     from.since(since + grace.forbidden_after)
                 });
                 let finding = Finding::ForbiddenAccepted {
-                    member: answered.puller.clone(),
-                    stamp: answered.stamp,
+                    member: received.puller.clone(),
+                    stamp: received.stamp,
                     hub: key.0.clone(),
-                    pulls: answered.accepted,
+                    pulls: received.accepted,
                     overdue_ms: past.map_or(0, |past| past.as_micros() / 1_000),
                 };
-                self.find(finding);
+                self.add_finding(finding);
             }
         }
-        // The last spell of this start under this stamp goes on; without its beginning one begins here.
-        let own = |spell: &&mut StampPeriod| {
-            (&spell.member, spell.start, spell.stamp) == (&key.0, key.1, span.stamp)
+        // Extends the last period of this start under this stamp, or begins one if the change to it is missing.
+        let is_current = |period: &&mut StampPeriod| {
+            (&period.member, period.start, period.stamp) == (&key.0, key.1, interval.stamp)
         };
-        if self.spells.iter_mut().rev().find(own).is_none() {
-            self.chains.entry(key.clone()).and_modify(|chain| chain.stamp = span.stamp);
-            self.spell_begins(key, from);
-            self.chains.entry(key.clone()).and_modify(|chain| chain.stamp = in_force);
+        if self.periods.iter_mut().rev().find(is_current).is_none() {
+            self.chains.entry(key.clone()).and_modify(|chain| chain.stamp = interval.stamp);
+            self.begin_period(key, from);
+            self.chains.entry(key.clone()).and_modify(|chain| chain.stamp = current_stamp);
         }
-        let Some(spell) = self.spells.iter_mut().rev().find(own) else { return };
-        spell.to_ms = spell.to_ms.max(to.micros() / 1_000);
-        if span.to > 0 {
-            let first = spell.downloads.map_or(span.from, |(first, _)| first);
-            spell.downloads = Some((first, span.to));
+        let Some(period) = self.periods.iter_mut().rev().find(is_current) else { return };
+        period.to_ms = period.to_ms.max(to.micros() / 1_000);
+        if interval.to > 0 {
+            let first = period.downloads.map_or(interval.from, |(first, _)| first);
+            period.downloads = Some((first, interval.to));
         }
-        for count in &span.downloads {
+        for count in &interval.downloads {
             let name = format!("{} {}", count.content, outcome_name(count.outcome));
-            *spell.counts.entry(name).or_default() += count.count;
+            *period.counts.entry(name).or_default() += count.count;
         }
-        spell.pulls += span.pulls.iter().map(|(_, many)| many).sum::<u64>();
-        spell.refused += span.received.iter().map(|a| a.refused).sum::<u64>();
-        if span.oldest_ms > 0 {
-            spell.oldest_ms =
-                if spell.oldest_ms == 0 { span.oldest_ms } else { spell.oldest_ms.min(span.oldest_ms) };
+        period.pulls += interval.pulls.iter().map(|(_, count)| count).sum::<u64>();
+        period.refused += interval.received.iter().map(|a| a.refused).sum::<u64>();
+        if interval.oldest_ms > 0 {
+            period.oldest_ms = if period.oldest_ms == 0 {
+                interval.oldest_ms
+            } else {
+                period.oldest_ms.min(interval.oldest_ms)
+            };
         }
-        spell.worst_staleness = owed.staleness(&span.stamp, to).max(spell.worst_staleness);
-        spell.behind_ms =
-            owed.most_overdue(&span.stamp, to).map(|(_, _, since)| to.since(since).as_micros() / 1_000);
+        period.worst_staleness = obligations.staleness(&interval.stamp, to).max(period.worst_staleness);
+        period.behind_ms = obligations
+            .most_overdue(&interval.stamp, to)
+            .map(|(_, _, since)| to.since(since).as_micros() / 1_000);
     }
 
-    /// Whether a branch's router had no tie to that hub in the version that it says. Unknown versions and places prove
-    /// nothing.
-    fn is_odd(&self, place: &str, stamp: &Stamp, hub: &str) -> bool {
-        let ties = self.ties.get(&stamp.shape).and_then(|version| version.get(place));
-        ties.is_some_and(|ties| !ties.contains(hub))
+    /// Whether a router of a branch had no upstream link to that hub in the version that it declares. For unknown versions and places
+    /// nothing is known, so this is false.
+    fn contradicts_version(&self, place: &str, stamp: &Stamp, hub: &str) -> bool {
+        let upstreams = self.upstreams.get(&stamp.shape).and_then(|version| version.get(place));
+        upstreams.is_some_and(|upstreams| !upstreams.contains(hub))
     }
 
-    /// To be called some times a second: holds what the two sides say against each other.
+    /// Compares the pulls that hubs have recorded with what the pullers declare; to be called several times a second.
     pub fn tick(&mut self, now: Moment) {
         let mut found = Vec::new();
-        for ((by, place, stamp, hub), seen) in self.seen.iter_mut().filter(|(_, seen)| !seen.told) {
-            let own = (by.clone(), 0)..(by.clone(), u64::MAX);
+        for ((puller, place, stamp, hub), observed) in
+            self.observed.iter_mut().filter(|(_, observed)| !observed.reported)
+        {
+            let starts = (puller.clone(), 0)..(puller.clone(), u64::MAX);
             let declared =
-                |stamp: &Stamp| self.chains.range(own.clone()).any(|(_, c)| c.goes.may_have(stamp));
-            let pulls = seen.taken + seen.refused;
-            // A plan names ties that no version has.
-            let planned = self
+                |stamp: &Stamp| self.chains.range(starts.clone()).any(|(_, c)| c.declared.may_contain(stamp));
+            let pulls = observed.accepted + observed.refused;
+            // The upstream links of a fallback plan are in no version.
+            let has_plan = self
                 .chains
-                .range(own.clone())
-                .any(|(_, c)| c.goes.get(stamp).is_some_and(|goes| !goes.plan.is_empty()));
-            if seen.odd >= ODD_PULLS && !planned {
-                let acts_by = self.ties.range(..).rev().find(|(number, version)| {
-                    **number != stamp.shape && version.get(place).is_some_and(|ties| ties.contains(hub))
+                .range(starts.clone())
+                .any(|(_, c)| c.declared.get(stamp).is_some_and(|versions| !versions.plan.is_empty()));
+            if observed.contradicting >= MIN_CONTRADICTING_PULLS && !has_plan {
+                let actual = self.upstreams.range(..).rev().find(|(number, version)| {
+                    **number != stamp.shape
+                        && version.get(place).is_some_and(|upstreams| upstreams.contains(hub))
                 });
-                let (member, place, hub) = (by.clone(), place.clone(), hub.clone());
-                let acts_by = acts_by.map(|(number, _)| *number);
+                let (member, place, hub) = (puller.clone(), place.clone(), hub.clone());
+                let actual = actual.map(|(number, _)| *number);
                 found.push(Finding::UsesOtherVersion {
                     member,
                     declared: stamp.shape,
-                    actual: acts_by,
+                    actual,
                     place,
                     hub,
-                    pulls: seen.odd,
+                    pulls: observed.contradicting,
                 });
-                seen.told = true;
-            } else if now.since(seen.first) >= DECLARES_WITHIN && !declared(stamp) {
+                observed.reported = true;
+            } else if now.since(observed.first) >= DECLARATION_DELAY && !declared(stamp) {
                 found.push(Finding::Undeclared {
-                    member: by.clone(),
+                    member: puller.clone(),
                     stamp: *stamp,
                     hub: hub.clone(),
                     pulls,
                 });
-                seen.told = true;
+                observed.reported = true;
             }
         }
-        found.into_iter().for_each(|finding| self.find(finding));
-        // What is settled and old says nothing new any more.
-        let old = |seen: &Seen| now.since(seen.first) > Time::millis(600_000);
-        self.seen.retain(|_, seen| !old(seen));
+        found.into_iter().for_each(|finding| self.add_finding(finding));
+        // Old observations are dropped.
+        let expired = |observed: &ObservedPulls| now.since(observed.first) > Time::millis(600_000);
+        self.observed.retain(|_, observed| !expired(observed));
     }
 
-    /// Those who were found to say one thing and do another.
+    /// Members whose declarations were contradicted by a hub.
     pub fn contradicted_members(&self) -> BTreeSet<&str> {
-        let liar = |finding: &'_ Finding| match finding {
+        let contradicted = |finding: &'_ Finding| match finding {
             Finding::UsesOtherVersion { member, .. } | Finding::Undeclared { member, .. } => {
                 Some(member.clone())
             }
             _ => None,
         };
-        let names: BTreeSet<String> = self.findings.iter().filter_map(liar).collect();
+        let names: BTreeSet<String> = self.findings.iter().filter_map(contradicted).collect();
         self.findings
             .iter()
             .filter_map(|finding| match finding {
@@ -570,50 +608,52 @@
             .collect()
     }
 
+    /// All findings, oldest first.
     pub fn findings(&self) -> impl Iterator<Item = &Finding> {
         self.findings.iter()
     }
 
-    /// All links up to that number are known without a break at their end.
+    /// Number of the last link of a start, which is acknowledged to the process; 0 if there is none.
     pub fn last_contiguous(&self, member: &str, start: u64) -> u64 {
         self.chains.get(&(member.to_string(), start)).map_or(0, |chain| chain.number)
     }
 
-    /// What acted on what between two moments of the keeper's clock.
+    /// The periods that overlap a time range by the keeper's clock.
     pub fn periods_between(&self, from_ms: u64, to_ms: u64) -> Vec<StampPeriod> {
-        let within = |spell: &&StampPeriod| spell.from_ms <= to_ms && spell.to_ms >= from_ms;
-        self.spells.iter().filter(within).cloned().collect()
+        let within = |period: &&StampPeriod| period.from_ms <= to_ms && period.to_ms >= from_ms;
+        self.periods.iter().filter(within).cloned().collect()
     }
 
-    /// When each start of each member took a number up: the beginning of its first spell that has it.
-    pub fn adoption_times(&self, has: impl Fn(&Stamp) -> bool) -> BTreeMap<Key, Option<u64>> {
-        let mut taken: BTreeMap<Key, Option<u64>> =
+    /// When each start of each member adopted a version: the begin of its first period whose stamp has it.
+    pub fn adoption_times(&self, has: impl Fn(&Stamp) -> bool) -> BTreeMap<ChainKey, Option<u64>> {
+        let mut adopted: BTreeMap<ChainKey, Option<u64>> =
             self.chains.keys().map(|key| (key.clone(), None)).collect();
-        for spell in &self.spells {
-            let at = taken.entry((spell.member.clone(), spell.start)).or_default();
-            if at.is_none() && has(&spell.stamp) {
-                *at = Some(spell.from_ms);
+        for period in &self.periods {
+            let at = adopted.entry((period.member.clone(), period.start)).or_default();
+            if at.is_none() && has(&period.stamp) {
+                *at = Some(period.from_ms);
             }
         }
-        taken
+        adopted
     }
 
-    /// The pieces that may hold a download.
+    /// The intervals that may contain a download.
     pub fn intervals_with(&self, id: u64) -> Vec<CandidateInterval> {
-        let may = |s: &&Sketched| s.first == id || s.last == id || s.ids.may_contain(id);
-        let explained = |s: &Sketched| CandidateInterval {
+        let may_contain = |s: &&SketchedInterval| s.first == id || s.last == id || s.ids.may_contain(id);
+        let candidate = |s: &SketchedInterval| CandidateInterval {
             member: s.key.0.clone(),
             start: s.key.1,
             link: s.link,
             stamp: s.stamp,
-            versions: self.chains.get(&s.key).and_then(|chain| chain.goes.get(&s.stamp).cloned()),
+            versions: self.chains.get(&s.key).and_then(|chain| chain.declared.get(&s.stamp).cloned()),
             from_ms: s.from.micros() / 1_000,
             to_ms: s.to.micros() / 1_000,
             exact: s.first == id || s.last == id,
         };
-        self.sketches.iter().filter(may).map(explained).collect()
+        self.sketches.iter().filter(may_contain).map(candidate).collect()
     }
 
+    /// Totals over all chains, and their gaps.
     pub fn summary(&self) -> Summary {
         let members: BTreeSet<&String> = self.chains.keys().map(|(name, _)| name).collect();
         Summary {
@@ -626,6 +666,7 @@
     }
 }
 
+/// Name of an outcome, as used in counts.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Fulfilled => "fulfilled",
--- a/crates/audit/src/lease.rs
+++ b/crates/audit/src/lease.rs
@@ -1,44 +1,46 @@
-//! How long a process may act on what it has. The keeper grants a span; it counts from the moment at which the process
-//! asked, by its own clock, so that an answer that waited in a socket while the process was stopped gives it nothing. Who has
-//! none any more shuts itself out before its next order, and says so; nobody has to reach it for that.
+//! How long a process may act on the versions that it has. The keeper grants a lease, which counts from the time of the
+//! process's request by the process's own clock: an answer that waited in a socket while the process was paused grants
+//! nothing. A process whose lease has expired stops by itself before its next order, and reports that. Nobody needs to reach
+//! it for that.
 use harestage::time::{Moment, Span};
 
-/// A process's right to act. One that was never asked for holds for good: without a keeper there is no audit.
+/// The lease of a process. Without a keeper there is no audit, and the lease is unlimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lease {
-    /// No keeper is followed.
+    /// The process follows no keeper.
     Unlimited,
-    /// No keeper has answered yet: until then.
+    /// No keeper has answered yet; valid until this time.
     Initial(Moment),
-    /// Until then.
+    /// Granted by the keeper; valid until this time.
     Until(Moment),
-    /// Its stamp is forbidden: it acts no more, however long the lease would be.
+    /// The keeper has excluded the process: it must not act.
     Excluded,
 }
 
-/// Before the first answer of a keeper, a process that has one may act for as long: it starts with what is newest, or with
-/// nothing.
+/// Lease of a process before the first answer of its keeper. It is safe, since a process starts with the newest versions or
+/// with none.
 pub const INITIAL_LEASE: Span = Span::millis(10_000);
-/// A grant is believed up to here.
-const MOST: Span = Span::millis(120_000);
+/// Longest lease that is accepted from a keeper.
+const MAX_LEASE: Span = Span::millis(120_000);
 
 impl Lease {
-    /// For a process that follows a keeper.
+    /// The lease of a process that has just started and follows a keeper.
     pub fn initial(now: Moment) -> Lease {
         Lease::Initial(now + INITIAL_LEASE)
     }
 
-    /// What the answer to a report that went out at `asked` gives. An older answer never shortens a newer one.
-    pub fn renewed(self, asked: Moment, term: Span, shut: bool) -> Lease {
-        let until = asked + term.min(MOST);
+    /// The lease after an answer to the report that was sent at `requested`. An older answer never shortens a lease.
+    pub fn renewed(self, requested: Moment, duration: Span, excluded: bool) -> Lease {
+        let until = requested + duration.min(MAX_LEASE);
         match self {
             Lease::Unlimited => Lease::Unlimited,
-            _ if shut => Lease::Excluded,
-            Lease::Until(own) => Lease::Until(own.max(until)),
+            _ if excluded => Lease::Excluded,
+            Lease::Until(current) => Lease::Until(current.max(until)),
             Lease::Initial(_) | Lease::Excluded => Lease::Until(until),
         }
     }
 
+    /// Whether the process may act now.
     pub fn may_act(self, now: Moment) -> bool {
         match self {
             Lease::Unlimited => true,
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,17 +1,19 @@
-//! Which process acted on which version, provably whole, and what is done about those that lag behind. No input or output:
-//! moments and chance are handed in. docs/audit.md argues for the ways taken.
+//! An audit of which process acted on which version, with tamper-evident records, and the treatment of lagging members. No
+//! I/O: the current time is an argument. docs/audit.md explains the design.
 //!
-//! - [`stamp`]: the one notion of what a process goes by, and its compact form that travels with pulls and reports.
-//! - [`chain`]: the links of a process's record, each with the hash of the one before.
-//! - [`record`]: the process's side: counts by stamp, pieces that are sent until they are acknowledged.
-//! - [`sketch`]: which downloads a piece may hold, in a few bits each.
-//! - [`process`]: an audited process, as far as it decides: record, lease, refusals.
-//! - [`lease`]: how long a process may act on what it has without hearing of anything newer.
-//! - [`obligations`]: how late is harmless, late, forbidden, for each kind of version.
-//! - [`history`]: the keeper's side: checks chains, tells gaps, finds twins and those who say one thing and do another.
-//! - [`keeper`]: the keeper's state machine with all of it.
-//! - [`lagging`]: who is brought up, by which way, who is shut out and let in again, and which version is withdrawn.
-//! - [`messages`]: nothing: what processes and the keeper write to each other.
+//! Hubs, routers and branch feeds are audited. They report to the audit keeper, a replicated service.
+//!
+//! - [`stamp`]: the versions that determine what a process does, and their compact form for pulls and reports.
+//! - [`chain`]: the links of a process's record, each with the hash of the previous one.
+//! - [`record`]: the recorder of a process: counts by stamp, in links that are sent until they are acknowledged.
+//! - [`sketch`]: a Bloom filter of the downloads in an interval.
+//! - [`process`]: the decisions of an audited process: its record, its lease, and which pulls it refuses.
+//! - [`lease`]: how long a process may act without an answer from the keeper.
+//! - [`obligations`]: which versions are due since when, and how stale a stamp is.
+//! - [`history`]: what the keeper knows of all processes: it verifies chains, and finds gaps and contradictions.
+//! - [`keeper`]: the state machine of the keeper.
+//! - [`lagging`]: which members are updated and how, which are excluded and readmitted, and which version is withdrawn.
+//! - [`messages`]: the messages between processes, operators and the keeper.
 pub mod chain;
 pub mod history;
 pub mod keeper;
--- a/crates/audit/src/messages.rs
+++ b/crates/audit/src/messages.rs
@@ -1,4 +1,4 @@
-//! What audited processes, operators and the keeper write to each other: one JSON object a line.
+//! Messages between audited processes, operators and the keeper: one JSON object per line.
 use crate::chain::Link;
 use crate::history::{CandidateInterval, Finding, StampPeriod, Summary};
 use crate::lagging::{MemberStatus, Share};
@@ -7,7 +7,7 @@
 use harestage_shape::lines::Planned;
 use serde::{Deserialize, Serialize};
 
-/// What kind of process it is.
+/// Kind of an audited process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -17,80 +17,81 @@
     Feed,
 }
 
-/// What a process says of itself, some times a second.
+/// Report of a process, sent several times a second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub member: String,
+    /// Number of its start.
     pub start: u64,
     pub role: Role,
-    /// The site or branch that it is at, for the floor of those that are shut out.
+    /// Its site or branch, for the limit on excluded members.
     pub site: String,
-    /// Its own clock.
+    /// Time by its own clock, Unix milliseconds.
     pub now_ms: u64,
     pub stamp: Stamp,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub links: Vec<Link>,
-    /// A version that it was given and can't take, and why.
+    /// A version that it was sent and rejected, and the reason.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "refuses")]
     pub rejected: Option<(u64, String)>,
 }
 
-/// How a straggler is brought up.
+/// How a lagging member is updated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Update {
-    /// Ties of single places, for whoever has the version `from`.
+    /// The changed upstream links of single places, for a process that has version `from`.
     Difference { from: u64, to: u64, ties: Vec<(String, Vec<String>)> },
-    /// The whole version as hubs and branches' feeds take it.
+    /// The whole version, in the form for hubs and branch feeds.
     #[serde(rename = "whole")]
     Full { shape: Box<ShapeForm>, plans: Vec<Planned> },
-    /// The whole list as routers take it: an event of the platform's feed, whose number says nothing.
+    /// The whole member list, in the form for routers: an event of the platform's feed. Its number has no meaning.
     #[serde(rename = "listing")]
     Membership { event: String },
-    /// Nothing else has helped.
+    /// The process should restart; sent when the other updates had no effect.
     Restart {
         #[serde(rename = "why")]
         reason: String,
     },
 }
 
-/// Who is refused by hubs, and what is.
+/// Whose pulls hubs refuse, and below which versions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionRules {
-    /// Members that are shut out, each with the share of its pulls that is let in all the same.
+    /// Excluded members, each with the share of its pulls that is admitted nevertheless.
     #[serde(rename = "shut")]
     pub excluded: Vec<(String, f64)>,
-    /// The least numbers that are not forbidden.
+    /// The lowest versions that are not forbidden.
     #[serde(rename = "shape")]
     pub min_shape: u64,
     #[serde(rename = "purge")]
     pub min_purge: u64,
 }
 
-/// The answer to a report.
+/// Answer of the keeper to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeeperMessage {
     Ack {
         term: u64,
         start: u64,
-        /// All links up to that number are on disk.
+        /// All links up to this number are on disk.
         upto: u64,
         lease_ms: u64,
-        /// It is shut out: it is to act no more until it has caught up.
+        /// Reason why the process is excluded. It must not act until it has caught up.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         #[serde(rename = "shut")]
         excluded: Option<String>,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         #[serde(rename = "bring")]
         update: Option<Update>,
-        /// For hubs.
+        /// For hubs only.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         #[serde(rename = "refuse")]
         admission: Option<AdmissionRules>,
     },
-    /// This member of the keeper does not speak for it; the one that does is there, if that is known.
+    /// This member of the keeper is not its leader; the address of the leader, if known.
     #[serde(rename = "elsewhere")]
     NotLeader {
         #[serde(rename = "serves")]
@@ -98,6 +99,7 @@
     },
 }
 
+/// Message of an audited process to the keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessMessage {
@@ -105,29 +107,30 @@
     Report(Box<Report>),
 }
 
-/// What an operator asks for.
+/// Request of an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OperatorRequest {
     AuditStatus,
-    /// Who acted on what between these, Unix milliseconds of the keeper.
+    /// Who acted on which versions in this period, Unix milliseconds by the keeper's clock.
     AuditWho {
         from_ms: u64,
         to_ms: u64,
     },
-    /// When each process took this version, or this purge, up.
+    /// When each process adopted this version or this purge.
     AuditWhen {
         shape: Option<u64>,
         purge: Option<u64>,
     },
     #[serde(rename = "audit_stragglers")]
     AuditLagging,
-    /// The download of this id.
+    /// Which versions a download may have been handled under.
     AuditExplain {
         id: u64,
     },
 }
 
+/// Response to an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OperatorResponse {
@@ -145,17 +148,18 @@
     },
 }
 
-/// When a process took a number up.
+/// When a process adopted a version or purge.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Adoption {
     pub member: String,
     pub start: u64,
-    /// None: it never did, as far as it has told.
+    /// None: not yet, as far as it has reported.
     pub at_ms: Option<u64>,
-    /// How long after it was due.
+    /// Time after it was due.
     pub after_ms: Option<u64>,
 }
 
+/// Status of the keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeeperStatus {
     pub term: u64,
@@ -169,9 +173,9 @@
     pub findings: Vec<Finding>,
 }
 
-/// One line, with its end.
-pub fn to_line(what: &impl Serialize) -> Vec<u8> {
-    let mut text = serde_json::to_vec(what).unwrap_or_default();
+/// Serializes a message to one line with its line end.
+pub fn to_line(message: &impl Serialize) -> Vec<u8> {
+    let mut text = serde_json::to_vec(message).unwrap_or_default();
     text.push(b'\n');
     text
 }
--- a/crates/audit/src/process.rs
+++ b/crates/audit/src/process.rs
@@ -1,5 +1,5 @@
-//! A process that is audited, as far as it decides: what it records, whether it may act, whom it refuses, and what it makes
-//! of the keeper's answers. Hubs, routers and feeds use the same.
+//! The audit decisions of a process: what it records, whether it may act, which pulls it refuses, and how it handles the
+//! answers of the keeper. Hubs, routers and branch feeds share this code.
 use crate::chain::Outcome;
 use crate::lease::Lease;
 use crate::messages::{AdmissionRules, KeeperMessage, Report, Role, Update};
@@ -8,154 +8,170 @@
 use harestage::time::{Moment, Span};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Who it is.
+/// Identity of an audited process.
 #[derive(Clone, Debug)]
 pub struct ProcessIdentity {
     pub member: String,
-    /// No other start of it has this number.
+    /// Number of its start, unique among its starts.
     pub start: u64,
     pub role: Role,
     /// Its site, or its branch.
     pub site: String,
-    /// The place of the shape that its pulls are made for.
+    /// Place of the shape that its pulls are for.
     pub place: String,
 }
 
-/// Why a pull is refused.
+/// The reason that is sent with a pull that was refused for its stamp.
 pub const OUTDATED: &str = "old";
 
+/// Audit state of a process.
 #[derive(Debug)]
 pub struct AuditedProcess {
     identity: ProcessIdentity,
     recorder: Recorder,
     lease: Lease,
-    refusals: AdmissionRules,
-    /// A version that it was given and can't take.
+    admission: AdmissionRules,
+    /// A version that it was sent and rejected, and the reason.
     rejected_version: Option<(u64, String)>,
-    /// It was told why it is shut out.
-    shut: Option<String>,
+    /// Reason why the keeper has excluded it, if it has.
+    exclusion: Option<String>,
+    /// Term of the keeper that has answered last.
     term: u64,
-    drawn: u64,
+    /// Number of random draws so far.
+    draws: u64,
 }
 
-/// What the keeper wants of it.
+/// What the keeper requires of the process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeeperRequest {
-    /// To take this over.
+    /// Apply this update.
     Apply(Update),
-    /// To end, so that it starts anew.
+    /// Exit in order to be restarted, for this reason.
     Restart(String),
 }
 
 impl AuditedProcess {
-    pub fn new(who: ProcessIdentity, contents: Vec<String>, goes: Versions, now: Moment) -> AuditedProcess {
-        let recorder = Recorder::new(&who.member, who.start, contents, goes, None, now);
+    /// A process that has just started, with its initial lease.
+    pub fn new(
+        identity: ProcessIdentity,
+        contents: Vec<String>,
+        versions: Versions,
+        now: Moment,
+    ) -> AuditedProcess {
+        let recorder = Recorder::new(&identity.member, identity.start, contents, versions, None, now);
         AuditedProcess {
-            identity: who,
+            identity,
             recorder,
             lease: Lease::initial(now),
-            refusals: AdmissionRules::default(),
+            admission: AdmissionRules::default(),
             rejected_version: None,
-            shut: None,
+            exclusion: None,
             term: 0,
-            drawn: 0,
+            draws: 0,
         }
     }
 
+    /// Its identity.
     pub fn identity(&self) -> &ProcessIdentity {
         &self.identity
     }
 
+    /// Its recorder.
     pub fn recorder(&mut self) -> &mut Recorder {
         &mut self.recorder
     }
 
+    /// Its current versions.
     pub fn versions(&self) -> &Versions {
         self.recorder.versions()
     }
 
+    /// Its current stamp.
     pub fn stamp(&self) -> Stamp {
         self.recorder.stamp()
     }
 
-    /// It goes by this from now on.
-    pub fn set_versions(&mut self, goes: Versions, now: Moment) {
-        // What it could not take is behind it.
-        if self.rejected_version.as_ref().is_some_and(|(version, _)| goes.shape >= *version) {
+    /// Changes its versions.
+    pub fn set_versions(&mut self, versions: Versions, now: Moment) {
+        // The rejected version is superseded.
+        if self.rejected_version.as_ref().is_some_and(|(version, _)| versions.shape >= *version) {
             self.rejected_version = None;
         }
-        self.recorder.set_versions(goes, now);
+        self.recorder.set_versions(versions, now);
     }
 
-    /// It was given a version that it can't take.
-    pub fn reject_version(&mut self, version: u64, why: &str) {
-        self.rejected_version = Some((version, why.chars().take(200).collect()));
+    /// It was sent a version that it can't use.
+    pub fn reject_version(&mut self, version: u64, reason: &str) {
+        self.rejected_version = Some((version, reason.chars().take(200).collect()));
     }
 
-    /// Whether it may give an order out now.
+    /// Whether it may act now.
     pub fn may_act(&self, now: Moment) -> bool {
         self.lease.may_act(now)
     }
 
+    /// Why it must not act, if so.
     pub fn exclusion_reason(&self, now: Moment) -> Option<String> {
-        match &self.shut {
-            Some(why) => Some(why.clone()),
-            None if !self.may_act(now) => Some("its lease has run out".into()),
+        match &self.exclusion {
+            Some(reason) => Some(reason.clone()),
+            None if !self.may_act(now) => Some("its lease has expired".into()),
             None => None,
         }
     }
 
-    /// Whether a pull under this stamp is taken: who is shut out is refused what is forbidden, and is let in again by
-    /// shares. It is counted either way.
-    pub fn admit_pull(&mut self, by: &str, place: &str, stamp: Stamp, now: Moment) -> bool {
-        let takes = match self.refusals.excluded.iter().find(|(name, _)| name == by) {
+    /// Whether a pull under this stamp is admitted. Of an excluded puller, pulls under forbidden versions are refused, and of
+    /// the others a share is admitted. The pull is recorded either way.
+    pub fn admit_pull(&mut self, puller: &str, place: &str, stamp: Stamp, now: Moment) -> bool {
+        let admitted = match self.admission.excluded.iter().find(|(name, _)| name == puller) {
             None => true,
-            Some(_) if stamp.shape < self.refusals.min_shape || stamp.purge < self.refusals.min_purge => {
+            Some(_) if stamp.shape < self.admission.min_shape || stamp.purge < self.admission.min_purge => {
                 false
             }
             Some((_, share)) => {
                 let share = *share;
-                self.chance(by) < share
+                self.random_fraction(puller) < share
             }
         };
-        self.recorder.pull_received(by, place, stamp, takes, now);
-        takes
+        self.recorder.pull_received(puller, place, stamp, admitted, now);
+        admitted
     }
 
-    /// Evenly from 0 to 1.
-    fn chance(&mut self, of: &str) -> f64 {
-        self.drawn += 1;
+    /// A pseudo-random number, uniform from 0 to 1.
+    fn random_fraction(&mut self, of: &str) -> f64 {
+        self.draws += 1;
         let mut hasher = DefaultHasher::new();
-        (&self.identity.member, of, self.drawn).hash(&mut hasher);
+        (&self.identity.member, of, self.draws).hash(&mut hasher);
         (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
     }
 
+    /// A download has ended under the current stamp.
     pub fn download_ended(&mut self, content: ContentIndex, outcome: Outcome, id: u64, now: Moment) {
         self.recorder.download_ended(content, outcome, id, now);
     }
 
-    /// One whose last pull went out under that stamp.
+    /// A download has ended whose last pull was sent under that stamp.
     pub fn download_ended_under(
         &mut self,
-        no: StampSequence,
+        sequence: StampSequence,
         content: ContentIndex,
         outcome: Outcome,
         id: u64,
         now: Moment,
     ) {
-        self.recorder.download_ended_under(no, content, outcome, id, now);
+        self.recorder.download_ended_under(sequence, content, outcome, id, now);
     }
 
-    /// Guards nothing and is never shut out: only measurements do, for their baseline.
+    /// Disables the lease, so that the process may always act. Only for the baseline of measurements.
     pub fn disable_lease(&mut self) {
         self.lease = Lease::Unlimited;
     }
 
-    /// To be called some times a second.
+    /// Closes due intervals; to be called several times a second.
     pub fn tick(&mut self, now: Moment) {
         self.recorder.tick(now);
     }
 
+    /// The next report.
     pub fn report(&self, now: Moment) -> Report {
         Report {
             member: self.identity.member.clone(),
@@ -169,18 +185,9 @@
         }
     }
 
-    /// The answer to the report that went out at `asked`. None of a keeper of an older term counts.
-    pub fn on_answer(&mut self, answer: KeeperMessage, asked: Moment) -> Option<KeeperRequest> {
-        let KeeperMessage::Ack {
-            term,
-            start,
-            upto,
-            lease_ms,
-            excluded: shut,
-            update: bring,
-            admission: refuse,
-        } = answer
-        else {
+    /// Handles the answer to the report that was sent at `requested`. Answers of a keeper with an older term are ignored.
+    pub fn on_answer(&mut self, answer: KeeperMessage, requested: Moment) -> Option<KeeperRequest> {
+        let KeeperMessage::Ack { term, start, upto, lease_ms, excluded, update, admission } = answer else {
             return None;
         };
         if term < self.term || start != self.identity.start {
@@ -188,14 +195,14 @@
         }
         self.term = term;
         self.recorder.acknowledged(start, upto);
-        self.lease = self.lease.renewed(asked, Span::millis(lease_ms), shut.is_some());
-        self.shut = shut;
-        if let Some(refuse) = refuse {
-            self.refusals = refuse;
+        self.lease = self.lease.renewed(requested, Span::millis(lease_ms), excluded.is_some());
+        self.exclusion = excluded;
+        if let Some(admission) = admission {
+            self.admission = admission;
         }
-        match bring? {
-            Update::Restart { reason: why } => Some(KeeperRequest::Restart(why)),
-            bring => Some(KeeperRequest::Apply(bring)),
+        match update? {
+            Update::Restart { reason } => Some(KeeperRequest::Restart(reason)),
+            update => Some(KeeperRequest::Apply(update)),
         }
     }
 }
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -1,51 +1,55 @@
-//! A process's own record: what it acted on, for every download, in links that are sent until they are acknowledged. On the
-//! ordinary path a download costs a count in a small table and an id in a list; everything else waits for the next beat.
+//! The recorder of a process: which versions each download was handled under, in links that are sent until they are
+//! acknowledged. For each download it only increments a counter and appends an id; everything else is done in
+//! [`Recorder::tick`].
 //!
-//! Bounded: a piece ends after a second, or when its list of ids is full; links that nobody acknowledges are kept up to a
-//! bound, and then the oldest are dropped, which shows as a gap in the chain and is never filled.
+//! Memory is bounded: an interval is closed after a second or when its list of ids is full. Unacknowledged links are kept up to
+//! a limit; then the oldest are dropped, which shows as a gap in the chain that is never filled.
 use crate::chain::{Body, DownloadCount, Interval, LastLink, Link, OUTCOMES, Outcome, ReceivedPulls};
 use crate::sketch::Ids;
 use crate::stamp::{Stamp, Versions};
 use harestage::time::{Moment, Span as Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A piece is closed after as long, if anything was counted in it.
-const PIECE: Time = Time::millis(1_000);
-/// Links that wait for their acknowledgement.
-const MOST_LINKS: usize = 1_024;
-/// Links in one report.
-const BATCH: usize = 32;
-/// Stamps of before whose downloads may still be under way: 85 s of them at twelve purges a second, longer than any deadline.
-const MOST_STAMPS: usize = 1_024;
-/// Pullers, and those pulled from, that one piece tells apart.
-const MOST_OTHERS: usize = 512;
-
-/// A content type, by its place in the list that the record was opened with.
+/// Duration after which an interval is closed, if anything was counted in it.
+const INTERVAL: Time = Time::millis(1_000);
+/// Most links that wait for their acknowledgement.
+const MAX_PENDING_LINKS: usize = 1_024;
+/// Most links in one report.
+const MAX_LINKS_PER_REPORT: usize = 32;
+/// Most previous stamps whose downloads may still be in progress: 85 s at twelve purges a second, longer than any download
+/// deadline.
+const MAX_PREVIOUS_STAMPS: usize = 1_024;
+/// Most pullers, and most receivers of pulls, in one interval.
+const MAX_PEERS: usize = 512;
+
+/// A content type, as its index in the list that was passed to the recorder.
 pub type ContentIndex = usize;
 
-/// A stamp, by the number of switches before it.
+/// A stamp, as the number of version changes before it.
 pub type StampSequence = u64;
 
+/// An interval that is still open.
 #[derive(Debug, Default)]
-struct Piece {
-    /// Numbers of its first and last download; 0: none yet.
+struct OpenInterval {
+    /// Sequence numbers of its first and last download; 0 if there are none yet.
     from: u64,
     to: u64,
     began: Moment,
     counts: Vec<[u64; OUTCOMES.len()]>,
     pulls: BTreeMap<String, u64>,
-    answered: BTreeMap<(String, String, Stamp), (u64, u64)>,
+    /// Admitted and refused pulls, by puller, its place and its stamp.
+    received: BTreeMap<(String, String, Stamp), (u64, u64)>,
     oldest_ms: u64,
     ids: Ids,
 }
 
-impl Piece {
-    fn new(contents: usize, began: Moment) -> Piece {
-        Piece { began, counts: vec![Default::default(); contents], ..Piece::default() }
+impl OpenInterval {
+    fn new(contents: usize, began: Moment) -> OpenInterval {
+        OpenInterval { began, counts: vec![Default::default(); contents], ..OpenInterval::default() }
     }
 
-    /// True: there is no room for another.
-    fn enter(&mut self, number: u64, content: ContentIndex, outcome: Outcome, id: u64) -> bool {
+    /// Counts a download. True if the interval is full and has to be closed.
+    fn add(&mut self, number: u64, content: ContentIndex, outcome: Outcome, id: u64) -> bool {
         if self.from == 0 {
             self.from = number;
         }
@@ -57,11 +61,11 @@
     }
 
     fn is_empty(&self) -> bool {
-        self.ids.is_empty() && self.pulls.is_empty() && self.answered.is_empty()
+        self.ids.is_empty() && self.pulls.is_empty() && self.received.is_empty()
     }
 }
 
-/// The record of one start of one process.
+/// The recorder of one start of one process.
 #[derive(Debug)]
 pub struct Recorder {
     member: String,
@@ -69,257 +73,265 @@
     versions: Versions,
     stamp: Stamp,
     contents: Vec<String>,
-    /// Downloads so far.
+    /// Number of downloads so far.
     downloads: u64,
-    piece: Piece,
-    /// What was acted on under stamps of before, and ended since; by their numbers.
-    late: BTreeMap<StampSequence, Piece>,
-    /// The stamps of before, and the number of the one in force.
-    stamps: VecDeque<(StampSequence, Stamp)>,
-    no: StampSequence,
+    open: OpenInterval,
+    /// Downloads under previous stamps that have ended since, by the number of the stamp.
+    late: BTreeMap<StampSequence, OpenInterval>,
+    /// Previous stamps, with consecutive numbers.
+    previous_stamps: VecDeque<(StampSequence, Stamp)>,
+    /// Number of the current stamp.
+    sequence: StampSequence,
+    /// Number and hash of the newest link.
     number: u64,
     hash: String,
-    waiting: VecDeque<Link>,
+    /// Links that are not acknowledged.
+    pending: VecDeque<Link>,
     dropped: u64,
 }
 
 impl Recorder {
-    /// `known`: the last link that is known of from before this start.
+    /// Starts a record. `known`: the last link of the previous start, if it is known.
     pub fn new(
         member: &str,
         start: u64,
         contents: Vec<String>,
-        goes: Versions,
+        versions: Versions,
         known: Option<LastLink>,
         now: Moment,
     ) -> Recorder {
-        let stamp = goes.stamp();
+        let stamp = versions.stamp();
         let mut recorder = Recorder {
             member: member.into(),
             start,
-            versions: goes.clone(),
+            versions: versions.clone(),
             stamp,
-            piece: Piece::new(contents.len(), now),
+            open: OpenInterval::new(contents.len(), now),
             contents,
             downloads: 0,
             late: BTreeMap::new(),
-            stamps: VecDeque::new(),
-            no: 0,
+            previous_stamps: VecDeque::new(),
+            sequence: 0,
             number: 0,
             hash: String::new(),
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             dropped: 0,
         };
-        recorder.link(Body::Began { versions: goes, last_link: known }, now);
+        recorder.add_link(Body::Began { versions, last_link: known }, now);
         recorder
     }
 
+    /// Name of the process.
     pub fn member(&self) -> &str {
         &self.member
     }
 
+    /// Number of its start.
     pub fn start(&self) -> u64 {
         self.start
     }
 
+    /// Its current versions.
     pub fn versions(&self) -> &Versions {
         &self.versions
     }
 
+    /// Its current stamp.
     pub fn stamp(&self) -> Stamp {
         self.stamp
     }
 
-    /// Downloads that were counted.
+    /// Number of counted downloads.
     pub fn downloads(&self) -> u64 {
         self.downloads
     }
 
-    /// Links that were dropped for want of room.
+    /// Number of links that were dropped because too many were pending.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// From here on it goes by this. What was counted before is closed under what it went by then.
-    pub fn set_versions(&mut self, goes: Versions, now: Moment) {
-        if goes == self.versions {
+    /// Changes the versions. Open intervals are closed under their own stamps.
+    pub fn set_versions(&mut self, versions: Versions, now: Moment) {
+        if versions == self.versions {
             return;
         }
         self.close(now);
-        self.stamps.push_back((self.no, self.stamp));
-        self.no += 1;
-        while self.stamps.len() > MOST_STAMPS {
-            self.stamps.pop_front();
+        self.previous_stamps.push_back((self.sequence, self.stamp));
+        self.sequence += 1;
+        while self.previous_stamps.len() > MAX_PREVIOUS_STAMPS {
+            self.previous_stamps.pop_front();
         }
-        (self.stamp, self.versions) = (goes.stamp(), goes.clone());
-        self.link(Body::Switched { versions: goes }, now);
+        (self.stamp, self.versions) = (versions.stamp(), versions.clone());
+        self.add_link(Body::Switched { versions }, now);
     }
 
-    /// The number of the stamp in force, for a download whose last pull goes out now.
+    /// Number of the current stamp, for a download whose last pull is sent now.
     pub fn stamp_sequence(&self) -> StampSequence {
-        self.no
+        self.sequence
     }
 
-    /// A download has ended; it counts under what the process goes by at this moment.
+    /// A download has ended; it counts under the current stamp.
     pub fn download_ended(&mut self, content: ContentIndex, outcome: Outcome, id: u64, now: Moment) {
         self.downloads += 1;
-        if self.piece.enter(self.downloads, content, outcome, id) {
+        if self.open.add(self.downloads, content, outcome, id) {
             self.close(now);
         }
     }
 
-    /// The same for one whose last pull went out under that stamp: it was acted on by that, whatever came since.
+    /// A download has ended whose last pull was sent under an earlier stamp; it counts under that one.
     pub fn download_ended_under(
         &mut self,
-        no: StampSequence,
+        sequence: StampSequence,
         content: ContentIndex,
         outcome: Outcome,
         id: u64,
         now: Moment,
     ) {
-        if no == self.no || self.stamp_of(no).is_none() {
+        if sequence == self.sequence || self.stamp_of(sequence).is_none() {
             return self.download_ended(content, outcome, id, now);
         }
         self.downloads += 1;
         let contents = self.contents.len();
-        let piece = self.late.entry(no).or_insert_with(|| Piece::new(contents, now));
-        if piece.enter(self.downloads, content, outcome, id) {
+        let open = self.late.entry(sequence).or_insert_with(|| OpenInterval::new(contents, now));
+        if open.add(self.downloads, content, outcome, id) {
             self.close(now);
         }
     }
 
-    /// A pull goes out, under the stamp of this moment.
-    pub fn pull_sent(&mut self, from: &str, now: Moment) {
-        match self.piece.pulls.get_mut(from) {
-            Some(many) => *many += 1,
+    /// A pull was sent under the current stamp.
+    pub fn pull_sent(&mut self, receiver: &str, now: Moment) {
+        match self.open.pulls.get_mut(receiver) {
+            Some(count) => *count += 1,
             None => {
-                if self.piece.pulls.len() >= MOST_OTHERS {
+                if self.open.pulls.len() >= MAX_PEERS {
                     self.close(now);
                 }
-                self.piece.pulls.insert(from.into(), 1);
+                self.open.pulls.insert(receiver.into(), 1);
             }
         }
     }
 
-    /// Somebody has pulled here, and says under what.
-    pub fn pull_received(&mut self, by: &str, place: &str, stamp: Stamp, taken: bool, now: Moment) {
-        if self.piece.answered.len() >= MOST_OTHERS {
+    /// A pull was received, with the stamp of its puller.
+    pub fn pull_received(&mut self, puller: &str, place: &str, stamp: Stamp, accepted: bool, now: Moment) {
+        if self.open.received.len() >= MAX_PEERS {
             self.close(now);
         }
-        let key = (by.to_string(), place.to_string(), stamp);
-        let (is_taken, is_refused) = (u64::from(taken), u64::from(!taken));
-        let counts = self.piece.answered.entry(key).or_default();
-        *counts = (counts.0 + is_taken, counts.1 + is_refused);
+        let key = (puller.to_string(), place.to_string(), stamp);
+        let (accepted_count, refused_count) = (u64::from(accepted), u64::from(!accepted));
+        let counts = self.open.received.entry(key).or_default();
+        *counts = (counts.0 + accepted_count, counts.1 + refused_count);
     }
 
-    /// A copy was given out that was made then.
+    /// A copy was served that was made at this time, Unix milliseconds.
     pub fn copy_served(&mut self, made_ms: u64) {
-        let oldest = &mut self.piece.oldest_ms;
+        let oldest = &mut self.open.oldest_ms;
         *oldest = if *oldest == 0 { made_ms } else { made_ms.min(*oldest) };
     }
 
-    /// To be called some times a second.
+    /// Closes due intervals; to be called several times a second.
     pub fn tick(&mut self, now: Moment) {
-        let due = |piece: &Piece| now.since(piece.began) >= PIECE;
-        if due(&self.piece) || self.late.values().any(due) {
+        let due = |open: &OpenInterval| now.since(open.began) >= INTERVAL;
+        if due(&self.open) || self.late.values().any(due) {
             self.close(now);
         }
     }
 
-    /// It ends in order: what is open is closed, and nothing follows.
+    /// Ends the record at an orderly shutdown: open intervals are closed and the last link is added.
     pub fn finish(&mut self, now: Moment) {
         self.close(now);
-        self.link(Body::Ended, now);
+        self.add_link(Body::Ended, now);
     }
 
-    /// A stamp of before, by its number: they stand there without gaps.
-    fn stamp_of(&self, no: StampSequence) -> Option<Stamp> {
-        let (first, _) = self.stamps.front()?;
-        let (_, stamp) = self.stamps.get(no.checked_sub(*first)? as usize)?;
+    /// A previous stamp, by its number; the stored numbers are consecutive.
+    fn stamp_of(&self, sequence: StampSequence) -> Option<Stamp> {
+        let (first, _) = self.previous_stamps.front()?;
+        let (_, stamp) = self.previous_stamps.get(sequence.checked_sub(*first)? as usize)?;
         Some(*stamp)
     }
 
-    /// Closes all that is open: what was acted on under stamps of before first.
+    /// Closes all open intervals, those of previous stamps first.
     fn close(&mut self, now: Moment) {
-        for (no, piece) in std::mem::take(&mut self.late) {
-            if let Some(stamp) = self.stamp_of(no) {
-                self.close_piece(piece, stamp, now);
+        for (sequence, open) in std::mem::take(&mut self.late) {
+            if let Some(stamp) = self.stamp_of(sequence) {
+                self.close_interval(open, stamp, now);
             }
         }
-        let piece = std::mem::replace(&mut self.piece, Piece::new(self.contents.len(), now));
-        self.close_piece(piece, self.stamp, now);
+        let open = std::mem::replace(&mut self.open, OpenInterval::new(self.contents.len(), now));
+        self.close_interval(open, self.stamp, now);
     }
 
-    fn close_piece(&mut self, mut piece: Piece, stamp: Stamp, now: Moment) {
-        if piece.is_empty() {
+    fn close_interval(&mut self, mut open: OpenInterval, stamp: Stamp, now: Moment) {
+        if open.is_empty() {
             return;
         }
-        let (first, last) = piece.ids.first_and_last();
-        let downloads = piece.counts.iter().zip(&self.contents).flat_map(|(counts, content)| {
-            let each = OUTCOMES.iter().zip(counts).filter(|(_, many)| **many > 0);
-            each.map(|(outcome, many)| DownloadCount {
+        let (first, last) = open.ids.first_and_last();
+        let downloads = open.counts.iter().zip(&self.contents).flat_map(|(counts, content)| {
+            let each = OUTCOMES.iter().zip(counts).filter(|(_, count)| **count > 0);
+            each.map(|(outcome, count)| DownloadCount {
                 content: content.clone(),
                 outcome: *outcome,
-                count: *many,
+                count: *count,
             })
         });
-        let answered = piece.answered.into_iter().map(|((by, place, stamp), (taken, refused))| {
-            ReceivedPulls { puller: by, place, stamp, accepted: taken, refused }
+        let received = open.received.into_iter().map(|((puller, place, stamp), (accepted, refused))| {
+            ReceivedPulls { puller, place, stamp, accepted, refused }
         });
-        let span = Interval {
+        let interval = Interval {
             stamp,
-            from: piece.from,
-            to: piece.to,
-            began_ms: piece.began.micros() / 1_000,
+            from: open.from,
+            to: open.to,
+            began_ms: open.began.micros() / 1_000,
             ended_ms: now.micros() / 1_000,
             downloads: downloads.collect(),
-            pulls: piece.pulls.into_iter().collect(),
-            received: answered.collect(),
-            oldest_ms: piece.oldest_ms,
+            pulls: open.pulls.into_iter().collect(),
+            received: received.collect(),
+            oldest_ms: open.oldest_ms,
             first,
             last,
-            ids: piece.ids.take_sketch(),
+            ids: open.ids.take_sketch(),
         };
-        self.link(Body::Interval(Box::new(span)), now);
+        self.add_link(Body::Interval(Box::new(interval)), now);
     }
 
-    fn link(&mut self, body: Body, now: Moment) {
+    fn add_link(&mut self, body: Body, now: Moment) {
         self.number += 1;
         let at_ms = now.micros() / 1_000;
         let link = Link::new(&self.member, self.start, self.number, &self.hash, at_ms, body);
         self.hash = link.hash.clone();
-        self.waiting.push_back(link);
-        while self.waiting.len() > MOST_LINKS {
-            self.waiting.pop_front();
+        self.pending.push_back(link);
+        while self.pending.len() > MAX_PENDING_LINKS {
+            self.pending.pop_front();
             self.dropped += 1;
         }
     }
 
-    /// The links of the next report: the same again until they are acknowledged.
+    /// The links of the next report; they are repeated until they are acknowledged.
     pub fn pending_links(&self) -> Vec<Link> {
-        self.waiting.iter().take(BATCH).cloned().collect()
+        self.pending.iter().take(MAX_LINKS_PER_REPORT).cloned().collect()
     }
 
-    /// Whether there is more than one report takes.
+    /// Whether more links are pending than fit in one report.
     pub fn has_more(&self) -> bool {
-        self.waiting.len() > BATCH
+        self.pending.len() > MAX_LINKS_PER_REPORT
     }
 
+    /// Whether the keeper has acknowledged all links.
     pub fn is_fully_acknowledged(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
-    /// The keeper has all up to that number on disk.
+    /// The keeper has all links up to this number on disk.
     pub fn acknowledged(&mut self, start: u64, upto: u64) {
         if start != self.start {
             return;
         }
-        while self.waiting.front().is_some_and(|link| link.number <= upto) {
-            self.waiting.pop_front();
+        while self.pending.front().is_some_and(|link| link.number <= upto) {
+            self.pending.pop_front();
         }
     }
 
-    /// The newest link, for whoever starts next.
+    /// The newest link, for the next start.
     pub fn last_link(&self) -> LastLink {
         LastLink { start: self.start, number: self.number, hash: self.hash.clone() }
     }
--- a/crates/audit/src/stamp.rs
+++ b/crates/audit/src/stamp.rs
@@ -1,26 +1,28 @@
-//! What a process goes by. Each number is that of whoever gives it: the shape's version, the last purge of the one order,
-//! the sites that a plan leaves out, the term of the group that told it.
+//! The versions that determine what a process does, and the stamp that identifies them. Each number is assigned by its
+//! source: the version of the shape, the number of the last purge, the sites that a plan excludes, the term of the group that
+//! sent the version.
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::str::FromStr;
 
-/// All that decides what a process does with a download.
+/// Everything that determines what a process does with a download.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Versions {
+    /// Version of the program.
     pub build: String,
-    /// Hash of its own file.
+    /// Hash of its configuration.
     pub settings: u64,
-    /// Version of the shape; 0: none yet.
+    /// Version of the shape; 0 if it has none yet.
     pub shape: u64,
-    /// The last purge that it has applied.
+    /// Number of the last applied purge.
     pub purge: u64,
-    /// Sites that it goes without by a plan, while no service speaks.
+    /// Sites that it excludes by a fallback plan while no control service has a leader.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub plan: String,
-    /// Term of the control service that told it the version.
+    /// Term of the control service that sent the version.
     pub term: u64,
-    /// Number of the keys that it checks by; 0: there are none.
+    /// Number of the set of keys that it verifies signatures with; 0 if there are none.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub keys: u64,
 }
@@ -29,7 +31,7 @@
     *n == 0
 }
 
-/// The compact form: a hash of all of it, and the two numbers that others judge by at once.
+/// Compact form of [`Versions`]: a hash of all fields, and the two numbers that others compare directly.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Stamp {
     pub digest: u64,
@@ -37,13 +39,14 @@
     pub purge: u64,
 }
 
-/// Bytes of a stamp's text, at most.
+/// Greatest length of the text of a stamp.
 pub const MAX_TEXT_BYTES: usize = 16 + 1 + 20 + 1 + 20;
 
 impl Versions {
+    /// The stamp of these versions.
     pub fn stamp(&self) -> Stamp {
         let mut hasher = blake3::Hasher::new();
-        // Lengths first, so that no two lists of fields read alike.
+        // Each text is prefixed with its length, so that different fields never give the same input.
         for text in [&self.build, &self.plan] {
             hasher.update(&(text.len() as u64).to_le_bytes());
             hasher.update(text.as_bytes());
@@ -57,7 +60,7 @@
     }
 }
 
-/// Hash of a file's bytes, for `settings`.
+/// Hash of a configuration, for [`Versions::settings`].
 pub fn settings_digest(text: &[u8]) -> u64 {
     let mut digest = [0; 8];
     digest.copy_from_slice(&blake3::hash(text).as_bytes()[..8]);
@@ -70,13 +73,13 @@
     }
 }
 
-/// The text is no stamp.
+/// A text is not a valid stamp.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseStampError;
 
 impl fmt::Display for ParseStampError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "no stamp: 16 hex digits and two numbers")
+        write!(f, "invalid stamp: expected 16 hex digits and two numbers separated by dots")
     }
 }
 
@@ -104,6 +107,6 @@
 impl<'de> Deserialize<'de> for Stamp {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Stamp, D::Error> {
         let text = String::deserialize(from)?;
-        text.parse().map_err(|why: ParseStampError| D::Error::custom(format!("{why}: {text:?}")))
+        text.parse().map_err(|error: ParseStampError| D::Error::custom(format!("{error}: {text:?}")))
     }
 }
--- a/crates/audit/tests/sketches.rs
+++ b/crates/audit/tests/sketches.rs
@@ -1,8 +1,8 @@
-//! Sets of ids that may hold a few others.
+//! Sketches of ids: no false negatives, few false positives.
 use harestage_audit::sketch::Ids;
 
 #[test]
-fn none_is_missed_and_few_others_seem_to_be_there() {
+fn a_sketch_contains_all_its_ids_and_few_others() {
     let mut ids = Ids::default();
     for id in 0..3_000u64 {
         ids.push(id * 7);
--- a/crates/group/tests/agreement.rs
+++ b/crates/group/tests/agreement.rs
@@ -158,7 +158,7 @@
                 }
                 let from = self.nodes[envelope.from].member.id();
                 let disk = self.nodes[envelope.from].disk_number;
-                // Both ends of a connection verify the disk of the other.
+                // Both ends of a connection verify the disk of the other. If the sender was killed since, only the receiver does.
                 let (other, known) = (self.nodes[to].member.id(), self.nodes[to].disk_number);
                 let sender = self.nodes[envelope.from].replica.as_mut();
                 let accepted =
