--- a/crates/audit/src/keeper.rs
+++ b/crates/audit/src/keeper.rs
@@ -240,13 +240,13 @@
     /// A compacted log with the current exclusions.
     pub fn snapshot(&self) -> Vec<Record> {
         let record = |entry| Record { term: self.term, entry };
-        let shut = self.members.excluded().into_iter().flat_map(|(member, share)| {
-            let why = self.exclusion_reasons.get(&member).cloned().unwrap_or_default();
-            let out = Decision::Excluded { member: member.clone(), reason: why };
+        let exclusions = self.members.excluded().into_iter().flat_map(|(member, share)| {
+            let reason = self.exclusion_reasons.get(&member).cloned().unwrap_or_default();
+            let exclusion = Decision::Excluded { member: member.clone(), reason };
             let eased = (share.0 > 0.0).then_some(Decision::ShareRaised { member, share });
-            std::iter::once(out).chain(eased)
+            std::iter::once(exclusion).chain(eased)
         });
-        std::iter::once(record(Entry::Opened)).chain(shut.map(|d| record(Entry::Decided(d)))).collect()
+        std::iter::once(record(Entry::Opened)).chain(exclusions.map(|d| record(Entry::Decided(d)))).collect()
     }
 
     /// Answers an operator.
--- a/crates/audit/src/messages.rs
+++ b/crates/audit/src/messages.rs
@@ -103,6 +103,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessMessage {
+    /// A report.
     #[serde(rename = "audited")]
     Report(Box<Report>),
 }
--- a/crates/audit/src/obligations.rs
+++ b/crates/audit/src/obligations.rs
@@ -25,7 +25,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionKind {
+    /// A version of the shape.
     Shape,
+    /// A purge, by its number in the order of all purges.
     Purge,
 }
 
@@ -33,9 +35,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Staleness {
+    /// The stamp has all due versions.
     UpToDate,
+    /// A version is missing, but for less than the limit for late.
     Harmless,
+    /// The member is to be updated by the keeper.
     Late,
+    /// The member is to be excluded.
     Forbidden,
 }
 
--- a/crates/copies/tests/crashes.rs
+++ b/crates/copies/tests/crashes.rs
@@ -68,7 +68,7 @@
                         }
                         Ok(())
                     }
-                    Err(why) => Err(why),
+                    Err(error) => Err(error),
                 }
             }
         };
@@ -89,7 +89,7 @@
 
 fn check(folders: Folders, expected: &Expected, capacity: u64, context: &str) -> Folders {
     let (mut store, found) =
-        DiskStore::open(folders.0, folders.1, capacity).unwrap_or_else(|why| panic!("{context}: {why}"));
+        DiskStore::open(folders.0, folders.1, capacity).unwrap_or_else(|error| panic!("{context}: {error}"));
     assert!(found.checkpoint.applied_purge >= expected.purges, "{context}");
     let unflushed: BTreeMap<CopyKey, Vec<Option<u64>>> =
         expected.unflushed.iter().fold(BTreeMap::new(), |mut all, (key, version)| {
--- a/crates/group/src/replica.rs
+++ b/crates/group/src/replica.rs
@@ -241,16 +241,16 @@
         let store = Store::new();
         let (mut known, mut peer_disks) = (None, BTreeMap::new());
         let (mut members, mut data) = (BTreeMap::new(), Vec::new());
-        let raft = |why: raft::Error| StartError::Raft(why.to_string());
+        let raft_error = |error: raft::Error| StartError::Raft(error.to_string());
         for (n, record) in records.iter().enumerate() {
             match Record::decode(record).ok_or(StartError::Unreadable { record: n })? {
                 Record::Identity { id, disk } => known = Some((id, disk)),
                 Record::PeerDisk { id, disk } => drop(peer_disks.insert(id, disk)),
                 Record::HardState(hard) => store.set_hard_state(hard),
-                Record::Entry(entry) => store.append(&[*entry]).map_err(raft)?,
+                Record::Entry(entry) => store.append(&[*entry]).map_err(raft_error)?,
                 Record::Snapshot(snapshot) => {
                     let hard = store.hard_state();
-                    store.restore(&snapshot).map_err(raft)?;
+                    store.restore(&snapshot).map_err(raft_error)?;
                     // A snapshot contains no vote, so a newer hard state from before it stays.
                     if hard.term > store.hard_state().term {
                         let mut merged = hard;
@@ -276,7 +276,7 @@
                         ConfState { voters: members.keys().copied().collect(), ..ConfState::default() };
                     // All founders start from the same snapshot, so that a member that joins later is sent a snapshot.
                     let snapshot = make_snapshot(&members, &founding_data, 1, 1, conf);
-                    store.restore(&snapshot).map_err(raft)?;
+                    store.restore(&snapshot).map_err(raft_error)?;
                     write.push(Record::Snapshot(Box::new(snapshot)).encode());
                     data = founding_data;
                 }
@@ -295,7 +295,7 @@
             ..Config::default()
         };
         // Raft draws election timeouts with its own random generator; correctness does not depend on them.
-        let node = RawNode::new(&config, store.clone(), &Logger::root(Discard, o!())).map_err(raft)?;
+        let node = RawNode::new(&config, store.clone(), &Logger::root(Discard, o!())).map_err(raft_error)?;
         Ok(Replica {
             id,
             disk: known.map_or(disk, |(_, disk)| disk),
--- a/crates/group/tests/agreement.rs
+++ b/crates/group/tests/agreement.rs
@@ -85,7 +85,7 @@
         let node = &mut self.nodes[n];
         let (name, incarnation) = (node.member.name.clone(), node.member.incarnation);
         let replica = Replica::open(&name, incarnation, &node.disk, start, node.disk_number, now);
-        let replica = replica.unwrap_or_else(|why| panic!("{name}: {why}"));
+        let replica = replica.unwrap_or_else(|error| panic!("{name}: {error}"));
         node.committed = replica.data().to_vec();
         (node.replica, node.stopped) = (Some(replica), false);
         self.step(n);
--- a/crates/restart/src/trust.rs
+++ b/crates/restart/src/trust.rs
@@ -21,17 +21,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoredItem {
+    /// The replicated log of a service, or the index log of a hub.
     Log,
+    /// Copies on disk.
     Copies,
+    /// Its name.
     Name,
+    /// The number of its previous start.
     StartNumber,
+    /// The last version of the shape.
     LastShape,
+    /// Fallback plans of sites.
     SitePlan,
+    /// Leases that were granted before.
     Leases,
-    ShutOuts,
+    /// Exclusions of members by the audit keeper.
+    #[serde(rename = "shut_outs")]
+    Exclusions,
+    /// The time of the machine.
     WallClock,
+    /// How long the process had been running, for its slow start.
     ColdAge,
-    Paces,
+    /// Usual durations of fills and fetches.
+    #[serde(rename = "paces")]
+    UsualDurations,
 }
 
 /// All kinds of stored state.
@@ -43,10 +56,10 @@
     StoredItem::LastShape,
     StoredItem::SitePlan,
     StoredItem::Leases,
-    StoredItem::ShutOuts,
+    StoredItem::Exclusions,
     StoredItem::WallClock,
     StoredItem::ColdAge,
-    StoredItem::Paces,
+    StoredItem::UsualDurations,
 ];
 
 /// Who has to confirm stored state before it is trusted.
@@ -55,7 +68,9 @@
 pub enum Authority {
     /// A majority of the members of its group.
     Majority,
+    /// The purge service.
     Purges,
+    /// The control service.
     Control,
     /// The time in an answer of the archive.
     Archive,
@@ -65,10 +80,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Trust {
+    /// Trusted from the start.
     #[serde(rename = "at_once")]
     Immediately,
+    /// Trusted once it is confirmed.
     #[serde(rename = "once")]
     ConfirmedBy(Authority),
+    /// Never trusted.
     Never,
     /// The process stores no such state.
     #[serde(rename = "none")]
@@ -112,7 +130,7 @@
     rule(ProcessKind::Service, StoredItem::Leases, Trust::Never, "a leader lease is shorter than any start"),
     rule(
         ProcessKind::Service,
-        StoredItem::ShutOuts,
+        StoredItem::Exclusions,
         Trust::ConfirmedBy(Authority::Majority),
         "they are in the keeper's log, and end on their own",
     ),
@@ -157,7 +175,7 @@
     rule(ProcessKind::Hub, StoredItem::ColdAge, Trust::Never, "it starts cold, whatever copies it has"),
     rule(
         ProcessKind::Hub,
-        StoredItem::Paces,
+        StoredItem::UsualDurations,
         Trust::Immediately,
         "the usual duration of a fill; it is only used for comparison",
     ),
@@ -171,7 +189,12 @@
         Trust::Never,
         "the initial lease lasts until the keeper's first answer",
     ),
-    rule(ProcessKind::Router, StoredItem::Paces, Trust::Never, "routers measure them again from nothing"),
+    rule(
+        ProcessKind::Router,
+        StoredItem::UsualDurations,
+        Trust::Never,
+        "routers measure them again from nothing",
+    ),
 ];
 
 /// Whether and when a kind of process trusts this state.
@@ -200,10 +223,10 @@
             StoredItem::LastShape => "last shape",
             StoredItem::SitePlan => "site plans",
             StoredItem::Leases => "leases",
-            StoredItem::ShutOuts => "shut-outs",
+            StoredItem::Exclusions => "shut-outs",
             StoredItem::WallClock => "wall clock",
             StoredItem::ColdAge => "cold age",
-            StoredItem::Paces => "usual times",
+            StoredItem::UsualDurations => "usual times",
         };
         let trust = match rule.trust {
             Trust::Immediately => "at once",
--- a/crates/segments/src/files.rs
+++ b/crates/segments/src/files.rs
@@ -81,9 +81,9 @@
     fn open_mirrored(path: &Path, mirror: Option<PathBuf>) -> io::Result<Folder> {
         std::fs::create_dir_all(path)?;
         let lock = OpenOptions::new().write(true).create(true).truncate(false).open(path.join("lock"))?;
-        lock.try_lock().map_err(|why| match why {
+        lock.try_lock().map_err(|error| match error {
             std::fs::TryLockError::WouldBlock => io::ErrorKind::WouldBlock.into(),
-            std::fs::TryLockError::Error(why) => why,
+            std::fs::TryLockError::Error(error) => error,
         })?;
         let mirror = mirror.map(|path| Mirror { path, renamed: Vec::new() });
         Ok(Folder { path: path.into(), open: None, mirror, _lock: lock })
@@ -203,7 +203,7 @@
     fn copy_synced_names(&mut self, from: &Path) -> io::Result<()> {
         for (new, synced_name) in self.renamed.drain(..) {
             match std::fs::rename(self.path.join(synced_name), self.path.join(new)) {
-                Err(why) if why.kind() != io::ErrorKind::NotFound => return Err(why),
+                Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
                 _ => {}
             }
         }
--- a/crates/segments/src/log.rs
+++ b/crates/segments/src/log.rs
@@ -228,8 +228,8 @@
         self.files.create(temporary)?;
         self.files.truncate(temporary, 0)?;
         let sum = checksum(upto, bytes).to_be_bytes();
-        let whole = [&SNAPSHOT_MAGIC[..], &upto.to_be_bytes(), &sum, bytes].concat();
-        self.files.append(temporary, &whole)?;
+        let contents = [&SNAPSHOT_MAGIC[..], &upto.to_be_bytes(), &sum, bytes].concat();
+        self.files.append(temporary, &contents)?;
         self.files.sync(temporary)?;
         self.files.rename(temporary, name)?;
         self.files.sync_folder()
@@ -320,8 +320,8 @@
     {
         return Err(LogError::UnknownFormat { file: name.into() });
     }
-    let whole = u64_at(bytes, 8).filter(|first| bytes.starts_with(&header(*first)));
-    let Some(first) = whole else {
+    let intact_header = u64_at(bytes, 8).filter(|first| bytes.starts_with(&header(*first)));
+    let Some(first) = intact_header else {
         // A header is synced before any record is written, so only the last segment can have an incomplete one.
         let begun = last && bytes.len() <= SEGMENT_HEADER_BYTES;
         let none = ReadSegment { first: None, records: Vec::new(), valid_bytes: 0 };
--- a/crates/segments/tests/crashes.rs
+++ b/crates/segments/tests/crashes.rs
@@ -46,7 +46,7 @@
         assert_eq!((*number, bytes), (covered + 1 + at as u64, &record(*number)), "{context}");
     }
     let last = covered + recovered.records.len() as u64;
-    assert!(last >= durable && last <= appended, "{context}: {last}, kept {durable}, taken {appended}");
+    assert!(last >= durable && last <= appended, "{context}: {last}, durable {durable}, appended {appended}");
     last
 }
 
@@ -61,14 +61,15 @@
             let Some(disk) = disk else { continue };
             let context = format!("power lost at {power_lost_at}, seed {seed}");
             let (log, recovered) =
-                Log::open(disk.after_crash(seed), 600).unwrap_or_else(|why| panic!("{context}: {why}"));
+                Log::open(disk.after_crash(seed), 600).unwrap_or_else(|error| panic!("{context}: {error}"));
             let last = check(&recovered, durable, appended, &context);
             // The recovered log continues, with another crash soon after.
             let again = log.into_files().losing_power_after(9 + seed * 3);
             let (disk, durable, appended) = append_until_failure(again, 120);
             if let Some(disk) = disk {
                 let after = disk.after_crash(seed + 1);
-                let (_, recovered) = Log::open(after, 600).unwrap_or_else(|why| panic!("{context}: {why}"));
+                let (_, recovered) =
+                    Log::open(after, 600).unwrap_or_else(|error| panic!("{context}: {error}"));
                 check(&recovered, durable.max(last), appended, &context);
             }
             tried += 1;
@@ -85,7 +86,7 @@
         let Some(disk) = disk else { continue };
         let freed = disk.clone().with_free_bytes(usize::MAX);
         let (_, recovered) =
-            Log::open(freed, 600).unwrap_or_else(|why| panic!("{free_bytes} free bytes: {why}"));
+            Log::open(freed, 600).unwrap_or_else(|error| panic!("{free_bytes} free bytes: {error}"));
         check(&recovered, durable, appended, &format!("{free_bytes} free bytes"));
     }
     for sync_fails_at in 1..60 {
--- a/crates/segments/tests/synced_copies.rs
+++ b/crates/segments/tests/synced_copies.rs
@@ -21,7 +21,7 @@
 #[test]
 fn a_mirrored_file_is_replaced_and_never_overwritten() {
     let outer = scratch("replaced");
-    let (real, mirror, linked) = (outer.join("disk"), outer.join("kept"), outer.join("linked"));
+    let (real, mirror, linked) = (outer.join("disk"), outer.join("mirror"), outer.join("linked"));
     mirror_synced_files(&mirror).expect("a mirror folder");
     let (mut log, _) = Log::open(Folder::open(&real).expect("a folder"), 1 << 20).expect("a log");
     log.append(b"the first").expect("appended");
