--- a/crates/audit/src/keeper.rs
+++ b/crates/audit/src/keeper.rs
@@ -243,8 +243,8 @@
         let exclusions = self.members.excluded().into_iter().flat_map(|(member, share)| {
             let reason = self.exclusion_reasons.get(&member).cloned().unwrap_or_default();
             let exclusion = Decision::Excluded { member: member.clone(), reason };
-            let eased = (share.0 > 0.0).then_some(Decision::ShareRaised { member, share });
-            std::iter::once(exclusion).chain(eased)
+            let share_raised = (share.0 > 0.0).then_some(Decision::ShareRaised { member, share });
+            std::iter::once(exclusion).chain(share_raised)
         });
         std::iter::once(record(Entry::Opened)).chain(exclusions.map(|d| record(Entry::Decided(d)))).collect()
     }
--- a/crates/copies/src/record.rs
+++ b/crates/copies/src/record.rs
@@ -25,7 +25,7 @@
 }
 
 impl Record {
-    /// Appends the encoded record to `to`.
+    /// Appends the encoded record to `output`.
     pub fn encode(&self, output: &mut Vec<u8>) {
         match self {
             Record::Put(metadata, location) => {
