--- a/crates/audit/src/keeper.rs
+++ b/crates/audit/src/keeper.rs
@@ -12,9 +12,9 @@
 use crate::obligations::{Obligations, VersionKind};
 use crate::stamp::Stamp;
 use harestage::time::{Moment, Span};
+use harestage_shape::config::ShapeConfig;
 use harestage_shape::feed;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::tree::{Place, Shape};
+use harestage_shape::topology::{Node, Shape};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -111,11 +111,11 @@
     }
 
     /// A version of the shape was published.
-    pub fn shape_published(&mut self, form: &ShapeForm, now: Moment) {
-        let Ok(shape) = Shape::of(form) else { return };
-        self.obligations.publish(VersionKind::Shape, form.version, now);
-        self.history.shape_published(form.version, may_pull_from(form));
-        self.shapes.insert(form.version, shape);
+    pub fn shape_published(&mut self, config: &ShapeConfig, now: Moment) {
+        let Ok(shape) = Shape::from_config(config) else { return };
+        self.obligations.publish(VersionKind::Shape, config.version, now);
+        self.history.shape_published(config.version, may_pull_from(config));
+        self.shapes.insert(config.version, shape);
         while self.shapes.len() > MAX_SHAPES {
             self.shapes.pop_first();
         }
@@ -182,11 +182,11 @@
         }
         match report.role {
             Role::Router => {
-                let event = feed::event(1, None, None, due, &report.site);
+                let event = feed::version_event(1, None, None, due, &report.site);
                 Some(Update::Membership { event: String::from_utf8_lossy(&event).trim_end().into() })
             }
             Role::Feed => {
-                let shape = Box::new(feed::for_branch(due, &report.site)?);
+                let shape = Box::new(feed::config_for_branch(due, &report.site)?);
                 Some(Update::Full { shape, plans: Vec::new() })
             }
             Role::Hub => {
@@ -194,7 +194,7 @@
                     self.shapes.get(&report.stamp.shape).filter(|_| method == UpdateMethod::Difference);
                 let difference = current.and_then(|current| difference(current, due));
                 Some(difference.unwrap_or_else(|| Update::Full {
-                    shape: Box::new(feed::for_hubs(due)),
+                    shape: Box::new(feed::config_for_hubs(due)),
                     plans: Vec::new(),
                 }))
             }
@@ -233,8 +233,8 @@
     }
 
     /// The newest version before this one, to return to when this one is withdrawn.
-    pub fn previous_version(&self, shape: u64) -> Option<ShapeForm> {
-        self.shapes.range(..shape).next_back().map(|(_, shape)| shape.form())
+    pub fn previous_version(&self, shape: u64) -> Option<ShapeConfig> {
+        self.shapes.range(..shape).next_back().map(|(_, shape)| shape.to_config())
     }
 
     /// A compacted log with the current exclusions.
@@ -311,18 +311,18 @@
     }
     let differs = due.hubs().filter_map(|(_, hub)| {
         let at = current.find(&hub.name)?;
-        let was = current.place(at).and_then(Place::hub)?;
+        let was = current.node(at).and_then(Node::as_hub)?;
         (was.up != hub.up).then(|| (hub.name.clone(), hub.up.clone()))
     });
     Some(Update::Difference { from: current.version(), to: due.version(), ties: differs.collect() })
 }
 
 /// For each branch, the hubs that its routers may pull from: its upstream links, and the hubs that serve as its caches.
-fn may_pull_from(form: &ShapeForm) -> BTreeMap<String, BTreeSet<String>> {
-    let of_branch = |branch: &harestage_shape::form::BranchForm| {
+fn may_pull_from(config: &ShapeConfig) -> BTreeMap<String, BTreeSet<String>> {
+    let of_branch = |branch: &harestage_shape::config::BranchConfig| {
         let is_cache = |address: &String| branch.caches.iter().any(|cache| cache.address == *address);
-        let caches = form.hubs.iter().filter(|hub| is_cache(&hub.address)).map(|hub| hub.name.clone());
+        let caches = config.hubs.iter().filter(|hub| is_cache(&hub.address)).map(|hub| hub.name.clone());
         (branch.name.clone(), branch.hubs.iter().cloned().chain(caches).collect())
     };
-    form.branches.iter().map(of_branch).collect()
+    config.branches.iter().map(of_branch).collect()
 }
--- a/crates/audit/src/messages.rs
+++ b/crates/audit/src/messages.rs
@@ -3,8 +3,8 @@
 use crate::history::{CandidateInterval, Finding, StampPeriod, Summary};
 use crate::lagging::{MemberStatus, Share};
 use crate::stamp::Stamp;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines::Planned;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::messages::FallbackPlan;
 use serde::{Deserialize, Serialize};
 
 /// Kind of an audited process.
@@ -45,7 +45,7 @@
     Difference { from: u64, to: u64, ties: Vec<(String, Vec<String>)> },
     /// The whole version, in the form for hubs and branch feeds.
     #[serde(rename = "whole")]
-    Full { shape: Box<ShapeForm>, plans: Vec<Planned> },
+    Full { shape: Box<ShapeConfig>, plans: Vec<FallbackPlan> },
     /// The whole member list, in the form for routers: an event of the platform's feed. Its number has no meaning.
     #[serde(rename = "listing")]
     Membership { event: String },
--- a/crates/branch/src/board.rs
+++ b/crates/branch/src/board.rs
@@ -7,15 +7,15 @@
 //! Purges have numbers of their own, those of the service's one order. By them a router that calls again says what it has
 //! ([`Had`]), whichever feed of the service told it.
 use harestage::time::{Moment, Span};
-use harestage_purge::scope::Checked;
+use harestage_purge::scope::CompiledScope;
+use harestage_shape::config::ShapeConfig;
 use harestage_shape::feed;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines::Planned;
-use harestage_shape::tree::{PlaceIx, Shape};
-use harestage_sites::sight::Sighting;
-use harestage_sites::standby::{Standby, Turn};
-use harestage_sites::watch::SILENCE;
-use harestage_wire::feed::Had;
+use harestage_shape::messages::FallbackPlan;
+use harestage_shape::topology::{NodeIndex, Shape};
+use harestage_sites::failure_detector::SILENCE_THRESHOLD;
+use harestage_sites::fallback::{FallbackChange, FallbackMode};
+use harestage_sites::liveness::SiteObservation;
+use harestage_wire::feed::AppliedPurges;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
 
@@ -55,10 +55,10 @@
     pub fn line(&self, number: u64, branch: &str) -> Vec<u8> {
         match self {
             Saying::Ties { long_before, before, now } => {
-                feed::event(number, long_before.as_deref(), before.as_deref(), now, branch)
+                feed::version_event(number, long_before.as_deref(), before.as_deref(), now, branch)
             }
-            Saying::Purge { object, group, at_ms } => feed::purge(number, *object, *group, *at_ms),
-            Saying::Marks { purges, at_ms, plan } => feed::marks(number, *purges, *at_ms, plan),
+            Saying::Purge { object, group, at_ms } => feed::purge_event(number, *object, *group, *at_ms),
+            Saying::Marks { purges, at_ms, plan } => feed::markers_event(number, *purges, *at_ms, plan),
         }
     }
 }
@@ -97,7 +97,7 @@
     /// Groups that the archive knows, from 0 on: what can't be told otherwise is told of each of them.
     groups: u32,
     version: Option<Shape>,
-    standby: Standby,
+    standby: FallbackMode,
     shown: VecDeque<Rc<Shape>>,
     /// In the order of their numbers, so that the oldest go first and what follows a number is found at once.
     live: VecDeque<Live>,
@@ -125,7 +125,7 @@
             branch: branch.into(),
             groups,
             version: None,
-            standby: Standby::new(now),
+            standby: FallbackMode::new(now),
             shown: VecDeque::new(),
             live: VecDeque::new(),
             purged_groups: BTreeMap::new(),
@@ -143,26 +143,31 @@
 
     /// The version in service, with the plans for this branch. One that does not hold, or does not name the branch, is
     /// passed over whole.
-    pub fn told(&mut self, form: &ShapeForm, plans: Vec<Planned>, now: Moment) -> Option<Turn> {
+    pub fn told(
+        &mut self,
+        form: &ShapeConfig,
+        plans: Vec<FallbackPlan>,
+        now: Moment,
+    ) -> Option<FallbackChange> {
         let turn = self.service_spoke(now);
         let shape = match &self.version {
             Some(version) if form.version <= version.version() => return turn,
-            Some(version) => version.followed_by(form),
-            None => Shape::of(form),
+            Some(version) => version.successor(form),
+            None => Shape::from_config(form),
         };
         let Ok(shape) = shape else { return turn };
         if shape.find(&self.branch).is_none() {
             return turn;
         }
-        self.standby.handed(shape.version(), shape.sites().into_iter(), plans, now);
+        self.standby.set_version(shape.version(), shape.sites().into_iter(), plans, now);
         self.version = Some(shape);
         self.show();
         turn
     }
 
     /// The control service has said something, whatever it was.
-    pub fn service_spoke(&mut self, now: Moment) -> Option<Turn> {
-        let turn = self.standby.service_spoke(now);
+    pub fn service_spoke(&mut self, now: Moment) -> Option<FallbackChange> {
+        let turn = self.standby.on_service_message(now);
         if turn.is_some() {
             self.show();
         }
@@ -172,22 +177,22 @@
     /// A hub has answered, and named the sites from which it hears nothing.
     pub fn seen(&mut self, hub: &str, unseen: &[String], leaving: bool, now: Moment) {
         let Some(shape) = &self.version else { return };
-        let Some(own) = shape.find(hub).and_then(|at| shape.place(at)?.hub()) else { return };
+        let Some(own) = shape.find(hub).and_then(|at| shape.node(at)?.as_hub()) else { return };
         let site = own.site.clone();
         let others = shape.sites().into_iter().filter(|other| *other != site);
-        let sightings = others.map(|other| Sighting {
+        let sightings = others.map(|other| SiteObservation {
             site: other.into(),
-            unanswered: if unseen.iter().any(|name| name == other) { SILENCE } else { 0 },
+            unanswered: if unseen.iter().any(|name| name == other) { SILENCE_THRESHOLD } else { 0 },
             known: true,
             slowness: 1.0,
             leaving,
         });
         let sightings = sightings.collect();
-        self.standby.hear(hub, &site, sightings, now);
+        self.standby.on_observations(hub, &site, sightings, now);
     }
 
     /// To be called some times a second.
-    pub fn beat(&mut self, now: Moment) -> Option<Turn> {
+    pub fn beat(&mut self, now: Moment) -> Option<FallbackChange> {
         let oldest_ms = (now.micros().saturating_sub(LIVES.as_micros())) / 1_000;
         // Clocks of members that gave numbers differ: one that is old behind one that is not stays a while longer.
         while self.live.front().is_some_and(|live| live.at_ms < oldest_ms) {
@@ -197,27 +202,27 @@
             self.groups_tidied = now;
             self.purged_groups.retain(|_, known| known.at_ms >= oldest_ms);
         }
-        let turn = self.standby.beat(now)?;
+        let turn = self.standby.tick(now)?;
         self.show();
         Some(turn)
     }
 
     /// The ties as they are to be shown: the version's, or while no service speaks those of the plan for what is lost; and
     /// where nobody made one, those that are left.
-    fn ties(&self, shape: &Shape) -> Option<Vec<PlaceIx>> {
-        if self.standby.without().is_empty() {
+    fn ties(&self, shape: &Shape) -> Option<Vec<NodeIndex>> {
+        if self.standby.excluded_sites().is_empty() {
             return None;
         }
-        let lost = |at: &PlaceIx| {
-            let hub = shape.place(*at).and_then(|place| place.hub());
-            hub.is_some_and(|hub| self.standby.without().contains(&hub.site))
+        let lost = |at: &NodeIndex| {
+            let hub = shape.node(*at).and_then(|place| place.as_hub());
+            hub.is_some_and(|hub| self.standby.excluded_sites().contains(&hub.site))
         };
-        let of_plan = self.standby.ties().map(|ties| {
+        let of_plan = self.standby.upstreams().map(|ties| {
             let found = ties.iter().filter_map(|tie| shape.find(tie));
             found.filter(|at| !lost(at)).collect::<Vec<_>>()
         });
         let own = || {
-            let own = shape.find(&self.branch).map(|at| shape.ties(at).to_vec()).unwrap_or_default();
+            let own = shape.find(&self.branch).map(|at| shape.upstreams(at).to_vec()).unwrap_or_default();
             own.into_iter().filter(|at| !lost(at)).collect::<Vec<_>>()
         };
         Some(of_plan.filter(|ties| !ties.is_empty()).unwrap_or_else(own)).filter(|ties| !ties.is_empty())
@@ -226,7 +231,9 @@
     fn show(&mut self) {
         let Some(version) = &self.version else { return };
         let now = match (self.ties(version), version.find(&self.branch)) {
-            (Some(ties), Some(branch)) => version.with_ties(version.version(), [(branch, ties.as_slice())]),
+            (Some(ties), Some(branch)) => {
+                version.with_upstreams(version.version(), [(branch, ties.as_slice())])
+            }
             _ => version.clone(),
         };
         let now = Rc::new(now);
@@ -244,7 +251,7 @@
 
     /// The sites that it goes without, for marks.
     pub fn plan(&self) -> String {
-        self.standby.without().iter().cloned().collect::<Vec<_>>().join("+")
+        self.standby.excluded_sites().iter().cloned().collect::<Vec<_>>().join("+")
     }
 
     fn say_marks(&mut self) {
@@ -270,7 +277,7 @@
     }
 
     /// Purges of the service in their order; `has` is the number up to which there is none beside them and those before.
-    pub fn take(&mut self, purges: &[(Checked, Moment)], has: u64) -> Took {
+    pub fn take(&mut self, purges: &[(CompiledScope, Moment)], has: u64) -> Took {
         // Each has a number of its own, and the last has this one at most.
         let behind = purges.len() as u64;
         // Told again, as all that lives is: what is known stays as it is.
@@ -292,7 +299,7 @@
             // Told late, or of another order: whoever has less than all of this is told it.
             let number = has.saturating_sub(behind);
             let number = if before > 0 && number <= before { has } else { number };
-            unknown |= !matches!(scope, Checked::Everything);
+            unknown |= !matches!(scope, CompiledScope::Everything);
             self.purge(scope, self.last_at_ms, number);
         }
         if has != before {
@@ -303,20 +310,24 @@
         if has < before || has == before && unknown { Took::Anew } else { Took::OnTop }
     }
 
-    fn has_taken(&self, scope: &Checked, at_ms: u64, known: &HashSet<(u64, u64)>) -> bool {
+    fn has_taken(&self, scope: &CompiledScope, at_ms: u64, known: &HashSet<(u64, u64)>) -> bool {
         let has_group = |group| self.purged_groups.get(&group).is_some_and(|known| known.at_ms >= at_ms);
         match scope {
-            Checked::Object(object) | Checked::Part(object, _) => known.contains(&(*object, at_ms)),
-            Checked::Group(group) => has_group(*group),
+            CompiledScope::Object(object) | CompiledScope::Part(object, _) => {
+                known.contains(&(*object, at_ms))
+            }
+            CompiledScope::Group(group) => has_group(*group),
             _ => (0..self.groups).all(has_group),
         }
     }
 
     /// Routers know objects and groups; anything wider is told of every group.
-    fn purge(&mut self, scope: &Checked, at_ms: u64, number: u64) {
+    fn purge(&mut self, scope: &CompiledScope, at_ms: u64, number: u64) {
         match scope {
-            Checked::Object(object) | Checked::Part(object, _) => self.purge_object(*object, at_ms, number),
-            Checked::Group(group) => self.purge_group(*group, at_ms, number),
+            CompiledScope::Object(object) | CompiledScope::Part(object, _) => {
+                self.purge_object(*object, at_ms, number)
+            }
+            CompiledScope::Group(group) => self.purge_group(*group, at_ms, number),
             _ => (0..self.groups).for_each(|group| self.purge_group(group, at_ms, number)),
         }
     }
@@ -382,14 +393,14 @@
     }
 
     /// The same for one that says what it has: without the purges that it was told, and those that no longer matter to it.
-    pub fn lacking(&self, had: &Had, now: Moment) -> Option<(Vec<Saying>, u64)> {
+    pub fn lacking(&self, had: &AppliedPurges, now: Moment) -> Option<(Vec<Saying>, u64)> {
         // Nothing is kept here for longer, whatever it says.
-        let matters = Span::millis(had.keeps_ms.min(LIVES.as_micros() / 1_000)) + CLOCKS_DIFFER;
+        let matters = Span::millis(had.retention_ms.min(LIVES.as_micros() / 1_000)) + CLOCKS_DIFFER;
         self.list(self.knows(had).then_some(had.number), now.before(matters).micros() / 1_000)
     }
 
     /// The number is one of this order: the purge that is the last up to it here was asked for at the same moment there.
-    fn knows(&self, had: &Had) -> bool {
+    fn knows(&self, had: &AppliedPurges) -> bool {
         let before = self.live.partition_point(|live| live.number <= had.number);
         let of_objects = before.checked_sub(1).and_then(|at| self.live.get(at));
         let of_objects = of_objects.map(|live| (live.number, live.at_ms));
--- a/crates/hub/src/desk/copies.rs
+++ b/crates/hub/src/desk/copies.rs
@@ -4,8 +4,8 @@
 use harestage::time::{Moment, Span};
 use harestage_copies::index::CopyMetadata;
 use harestage_copies::record::Checkpoint;
-use harestage_purge::scope::Checked;
-use harestage_shape::knots::Key;
+use harestage_purge::scope::CompiledScope;
+use harestage_shape::wait_cycles::Key;
 use std::collections::HashMap;
 
 /// A clock that is off by less counts as right.
@@ -119,7 +119,7 @@
         })
     }
 
-    pub fn purge_scope(&mut self, scope: &Checked, at: Moment, now: Moment) -> Option<Order> {
+    pub fn purge_scope(&mut self, scope: &CompiledScope, at: Moment, now: Moment) -> Option<Order> {
         self.store.purge_scope(scope, at, now);
         self.unkeep(at, |meta| store::covers(scope, meta.key, meta.group))
     }
--- a/crates/hub/src/desk/gauges.rs
+++ b/crates/hub/src/desk/gauges.rs
@@ -1,12 +1,12 @@
 //! What is told of this hub.
 use super::Desk;
-use harestage::ring::Ring;
 use harestage::time::{Moment, Span};
-use harestage_shape::control::Report;
+use harestage::window::SlidingWindow;
+use harestage_shape::control::HubReport;
 
 /// How long something takes now, against what it usually takes.
 pub(super) struct Pace {
-    recent: Ring,
+    recent: SlidingWindow,
     usual: Option<f64>,
 }
 
@@ -17,7 +17,7 @@
 
 impl Default for Pace {
     fn default() -> Pace {
-        Pace { recent: Ring::new(Span::millis(250), 4), usual: None }
+        Pace { recent: SlidingWindow::new(Span::millis(250), 4), usual: None }
     }
 }
 
@@ -36,9 +36,9 @@
 }
 
 pub(super) struct Gauges {
-    pub fetches: Ring,
-    pub asked: Ring,
-    pub hits: Ring,
+    pub fetches: SlidingWindow,
+    pub asked: SlidingWindow,
+    pub hits: SlidingWindow,
     /// How long fills took, and fetches at the archive among them.
     pub lasted: Pace,
     pub fetched: Pace,
@@ -47,9 +47,9 @@
 impl Gauges {
     pub fn new() -> Gauges {
         Gauges {
-            fetches: Ring::new(Span::millis(250), 4),
-            asked: Ring::new(Span::millis(250), 4),
-            hits: Ring::new(Span::millis(1_000), 4),
+            fetches: SlidingWindow::new(Span::millis(250), 4),
+            asked: SlidingWindow::new(Span::millis(250), 4),
+            hits: SlidingWindow::new(Span::millis(1_000), 4),
             lasted: Pace::default(),
             fetched: Pace::default(),
         }
@@ -63,25 +63,26 @@
 
 impl Desk {
     /// For the control service, some times a second.
-    pub fn report(&mut self, now: Moment) -> Report {
-        let ((wants, part), holds) = (self.archive.share.ask(now), self.archive.share.holds(now));
+    pub fn report(&mut self, now: Moment) -> HubReport {
+        let ((wants, part), holds) =
+            (self.archive.share.take_demand(now), self.archive.share.granted_rate(now));
         let (slowness, archive_slowness) =
             (self.gauges.lasted.slowness(now), self.gauges.fetched.slowness(now));
         let (fetches, asked) = (self.gauges.fetches.count(now), self.gauges.asked.count(now));
         let loops = self.circles.take_loops();
         let (site, sightings) = (self.sites.name().to_string(), self.sites.sightings());
-        Report {
+        HubReport {
             version: self.version(),
             slowness,
             archive_slowness,
-            asked,
-            fetches,
-            wants,
-            part,
-            holds,
-            loops,
+            request_rate: asked,
+            fetch_rate: fetches,
+            wanted_rate: wants,
+            share_number: part,
+            granted_rate: holds,
+            wait_cycles: loops,
             site,
-            sightings,
+            observations: sightings,
         }
     }
 
--- a/crates/hub/src/desk/mod.rs
+++ b/crates/hub/src/desk/mod.rs
@@ -31,7 +31,7 @@
 use gauges::Gauges;
 use harestage::time::{Moment, Span};
 use harestage_restart::stage::StartEvent;
-use harestage_shape::tree::Versions;
+use harestage_shape::topology::Versions;
 use rationing::{Chance, Rationing};
 use sites::Sites;
 use starting::Starting;
@@ -129,7 +129,7 @@
             }
             News::Part { part, asked } => {
                 self.service_spoke(now);
-                self.archive.share.told(part, asked, now);
+                self.archive.share.on_share(part, asked, now);
             }
             News::Plans { version, term, plans } => {
                 self.term = self.term.max(term);
@@ -154,7 +154,7 @@
                 self.start.hear(StartEvent::PurgesKnown);
             }
             News::Seen { ask, leaving, unseen } => self.seen(ask, leaving, &unseen, now),
-            News::Named { addressed, own } => self.circles.knots.known_as(&addressed, &own),
+            News::Named { addressed, own } => self.circles.knots.add_alias(&addressed, &own),
         }
     }
 
--- a/crates/hub/src/net/mod.rs
+++ b/crates/hub/src/net/mod.rs
@@ -13,9 +13,9 @@
 use event_listener::Event;
 use futures_lite::future::or;
 use harestage_following::{self as following, control};
-use harestage_purge::lines::Past;
-use harestage_sites::ration::Tally;
-use harestage_sites::standby::Turn;
+use harestage_purge::messages::Past;
+use harestage_sites::fallback::FallbackChange;
+use harestage_sites::quota::QuotaStats;
 use harestage_sockets::Spawner;
 use harestage_sockets::clock::Clock;
 use slog::{Logger, info, warn};
@@ -217,13 +217,13 @@
 
 /// Says what was refused for want of room, where anything was.
 async fn tell_refused(shared: Rc<Shared>, log: Logger) {
-    let mut before = Tally::default();
+    let mut before = QuotaStats::default();
     loop {
         Timer::after(TELLS_REFUSED).await;
         let tally = shared.desk.borrow().refused();
         if tally.refused > before.refused {
             info!(log, "refused"; "refused" => tally.refused - before.refused,
-                "taken" => tally.taken - before.taken, "second_tries" => tally.second_tries - before.second_tries,
+                "taken" => tally.admitted - before.admitted, "second_tries" => tally.retries - before.retries,
                 "out_of_order" => tally.out_of_order - before.out_of_order);
             before = tally;
         }
@@ -298,8 +298,8 @@
                     shared.ends.notify(usize::MAX);
                     shared.anew.set(true);
                 }
-                Order::Turned(Turn::Back) => info!(log, "goes by its version again"),
-                Order::Turned(Turn::Without { lost, planned }) => {
+                Order::Turned(FallbackChange::Left) => info!(log, "goes by its version again"),
+                Order::Turned(FallbackChange::Entered { lost, planned }) => {
                     let lost = lost.into_iter().collect::<Vec<_>>().join(" ");
                     warn!(log, "goes without a site, with no service"; "lost" => lost, "planned" => planned);
                 }
@@ -307,7 +307,7 @@
                     let (path, object) = (knot.path.join(" -> "), format!("{:016x}", knot.key.0));
                     let waited_ms = knot.waited.as_micros() as f64 / 1e3;
                     warn!(log, "loop broken"; "path" => path, "object" => object, "waited_ms" => waited_ms,
-                        "seen_before" => knot.before);
+                        "seen_before" => knot.seen_before);
                 }
             }
         }
--- a/crates/keeper/src/serve.rs
+++ b/crates/keeper/src/serve.rs
@@ -12,17 +12,17 @@
 use harestage_audit::messages::{KeeperMessage, OperatorRequest, OperatorResponse, ProcessMessage, Report};
 use harestage_following::control::{Heard, Member};
 use harestage_following::{Line, control, purges, subscribe};
-use harestage_purge::follow::Act;
-use harestage_purge::lines::Past;
+use harestage_purge::follower::Action;
+use harestage_purge::messages::Past;
 use harestage_seats::host::{Host, Hosted, LOOK, Listening, STALL, say};
 use harestage_seats::{Council, CouncilStart, until};
-use harestage_shape::control::Report as ShapeReport;
-use harestage_shape::form::ShapeForm;
-use harestage_shape::lines as shape_lines;
+use harestage_shape::config::ShapeConfig;
+use harestage_shape::control::HubReport as ShapeReport;
+use harestage_shape::messages as shape_lines;
 use harestage_sockets::Spawner;
-use harestage_sockets::accept::Open;
+use harestage_sockets::accept::ConnectionLimit;
 use harestage_sockets::clock::Clock;
-use harestage_sockets::lines::{Lines, within};
+use harestage_sockets::lines::{LineReader, with_timeout};
 use slog::{Logger, error, info, warn};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -68,7 +68,7 @@
     /// All links that the disk held at the start, until the first time that this member leads.
     held: RefCell<Vec<Link>>,
     /// The last version that was heard, for whoever takes the keeper up.
-    version: RefCell<Option<Box<ShapeForm>>>,
+    version: RefCell<Option<Box<ShapeConfig>>>,
     purges: Cell<u64>,
     follows: Follows,
 }
@@ -122,7 +122,7 @@
             purges: Cell::new(0),
             follows,
         };
-        Listening::at(listen, council, links, Open::new(MOST_CONNECTIONS)).map(Keeper)
+        Listening::at(listen, council, links, ConnectionLimit::new(MOST_CONNECTIONS)).map(Keeper)
     }
 
     /// Serves until `stop` says so; an error if the disk takes nothing more.
@@ -211,7 +211,7 @@
         turns(host, spawner).await;
     }
 
-    async fn serve(host: &Service, lines: &mut Lines<'_>, first: Vec<u8>) -> Result<(), String> {
+    async fn serve(host: &Service, lines: &mut LineReader<'_>, first: Vec<u8>) -> Result<(), String> {
         serve(host, lines, first).await
     }
 }
@@ -306,30 +306,30 @@
 }
 
 /// Asks the control service for the version before the one that is withdrawn.
-async fn take_back(service: Rc<Service>, shape: u64, before: ShapeForm) {
-    let form = Box::new(ShapeForm { version: 0, ..before });
+async fn take_back(service: Rc<Service>, shape: u64, before: ShapeConfig) {
+    let form = Box::new(ShapeConfig { version: 0, ..before });
     let call =
-        shape_lines::Call::Apply { form, expect: Some(shape), by: format!("audit, withdrawing {shape}") };
+        shape_lines::Request::Apply { form, expect: Some(shape), by: format!("audit, withdrawing {shape}") };
     let controls = &service.hosted.follows.controls;
     for n in 0..TRIES * controls.len().max(1) {
         let at = controls[n % controls.len()];
         let said = async {
-            let stream = subscribe(at, &shape_lines::line(&call), terms().connect).await?;
-            let mut lines = Lines::new(&stream, terms().bytes);
-            let line = within(terms().silence, "silent", lines.next()).await?;
-            serde_json::from_slice::<shape_lines::Answer>(&line).map_err(|why| why.to_string())
+            let stream = subscribe(at, &shape_lines::encode_line(&call), terms().connect).await?;
+            let mut lines = LineReader::new(&stream, terms().bytes);
+            let line = with_timeout(terms().silence, "silent", lines.next_line()).await?;
+            serde_json::from_slice::<shape_lines::Response>(&line).map_err(|why| why.to_string())
         };
         match said.await {
-            Ok(shape_lines::Answer::Said(_)) => {
+            Ok(shape_lines::Response::Event(_)) => {
                 info!(service.log(), "goes back"; "from" => shape);
                 return;
             }
             // Another change has to end first; it may be the one that brought this version.
-            Ok(shape_lines::Answer::Refused(why)) if why.iter().any(|why| why.contains("under way")) => {
+            Ok(shape_lines::Response::Refused(why)) if why.iter().any(|why| why.contains("under way")) => {
                 Timer::after(LOOK * 5).await;
                 continue;
             }
-            Ok(shape_lines::Answer::Refused(why)) => {
+            Ok(shape_lines::Response::Refused(why)) => {
                 warn!(service.log(), "not gone back"; "from" => shape, "why" => why.join("; "));
                 return;
             }
@@ -343,7 +343,7 @@
 
 impl Member for Follower {
     fn hello(&self) -> String {
-        shape_lines::subscribe_all(self.version(), self.0.name())
+        shape_lines::subscribe_all_line(self.version(), self.0.name())
     }
 
     fn version(&self) -> u64 {
@@ -370,7 +370,7 @@
 struct Purges(Rc<Service>);
 
 impl purges::Hands for Purges {
-    async fn apply(&mut self, _: Vec<Act>, has: u64, _: bool) {
+    async fn apply(&mut self, _: Vec<Action>, has: u64, _: bool) {
         if has > self.0.hosted.purges.replace(has) {
             let now = self.0.now();
             self.0.while_leading(|keep| keep.purges_published(has, now));
@@ -378,7 +378,7 @@
     }
 }
 
-async fn serve(service: &Service, lines: &mut Lines<'_>, first: Vec<u8>) -> Result<(), String> {
+async fn serve(service: &Service, lines: &mut LineReader<'_>, first: Vec<u8>) -> Result<(), String> {
     let (mut next, stream) = (first, lines.stream());
     loop {
         if let Ok(ProcessMessage::Report(report)) = serde_json::from_slice(&next) {
@@ -388,7 +388,7 @@
             if elsewhere {
                 return Ok(());
             }
-            next = within(STALL, "silent", lines.next()).await?;
+            next = with_timeout(STALL, "silent", lines.next_line()).await?;
             continue;
         }
         // Staff may ask for the group on a line that reports came on.
--- a/crates/purger/src/gather.rs
+++ b/crates/purger/src/gather.rs
@@ -7,14 +7,14 @@
 use event_listener::Event;
 use futures_lite::future::or;
 use harestage_following::{Line, subscribe};
-use harestage_purge::gather::{Gatherer, PACE, Refused};
-use harestage_purge::lines::{Confirm, ToMember, line};
+use harestage_purge::gather::{GatherError, Gatherer, MIN_REPORT_INTERVAL};
+use harestage_purge::messages::{Ack, ToMember, to_line};
 use harestage_seats::host::{STALL, say};
 use harestage_seats::until;
-use harestage_sockets::accept::{Open, accept};
+use harestage_sockets::accept::{ConnectionLimit, accept};
 use harestage_sockets::clock::Clock;
-use harestage_sockets::leader::Leader;
-use harestage_sockets::lines::{Lines, within, write_text};
+use harestage_sockets::leader::LeaderFinder;
+use harestage_sockets::lines::{LineReader, with_timeout, write_text};
 use harestage_sockets::{Spawner, Stream};
 use slog::{Logger, info, warn};
 use std::cell::RefCell;
@@ -69,7 +69,7 @@
 impl SiteGatherer {
     /// Takes the address; an error is one line, and nothing listens then.
     pub fn bind(start: GatherStart) -> Result<SiteGatherer, String> {
-        if !harestage_purge::lines::is_name(&start.name) {
+        if !harestage_purge::messages::is_valid_name(&start.name) {
             return Err(format!(
                 "key name: {:?} is not a name of letters, digits, dots and dashes",
                 start.name
@@ -110,7 +110,7 @@
             }
         };
         let failed = move |why| warn!(failing, "accept failed"; "why" => %why);
-        spawner.spawn(accept(listener, Open::new(MOST_CONNECTIONS), spawner.clone(), one, failed));
+        spawner.spawn(accept(listener, ConnectionLimit::new(MOST_CONNECTIONS), spawner.clone(), one, failed));
         spawner.block_on(async {
             let _ = stop.recv().await;
         });
@@ -129,24 +129,24 @@
 /// Keeps a line to whoever speaks for the service.
 async fn follow(site: Rc<Site>, services: Vec<SocketAddr>) {
     let mut down = false;
-    let Some(mut leader) = Leader::among(services) else { return };
+    let Some(mut leader) = LeaderFinder::from_addresses(services) else { return };
     loop {
         let why = stay(&site, &mut leader, &mut down).await.err().unwrap_or_default();
         if !std::mem::replace(&mut down, true) {
             warn!(site.log, "purges down"; "why" => why, "has" => site.gatherer.borrow().last());
         }
-        Timer::after(terms().pause * leader.wait()).await;
+        Timer::after(terms().pause * leader.backoff_factor()).await;
     }
 }
 
-async fn stay(site: &Site, leader: &mut Leader, down: &mut bool) -> Result<(), String> {
-    let at = leader.next();
+async fn stay(site: &Site, leader: &mut LeaderFinder, down: &mut bool) -> Result<(), String> {
+    let at = leader.next_address();
     // Where it breaks without a word of who speaks, the next one is tried.
-    leader.missed();
-    site.gatherer.borrow_mut().connected();
-    let first = site.gatherer.borrow_mut().line(site.clock.now());
+    leader.on_failure();
+    site.gatherer.borrow_mut().on_connected();
+    let first = site.gatherer.borrow_mut().next_report(site.clock.now());
     let first = first.ok_or("nothing to say at first")?;
-    let stream = subscribe(at, &line(&first), terms().connect).await?;
+    let stream = subscribe(at, &to_line(&first), terms().connect).await?;
     or(hear(site, &stream, at, leader, down), speak(site, &stream)).await
 }
 
@@ -154,24 +154,24 @@
     site: &Site,
     stream: &Stream,
     at: SocketAddr,
-    leader: &mut Leader,
+    leader: &mut LeaderFinder,
     down: &mut bool,
 ) -> Result<(), String> {
-    let mut lines = Lines::new(stream, terms().bytes);
+    let mut lines = LineReader::new(stream, terms().bytes);
     let mut up = false;
     loop {
-        let told = within(terms().silence, "silent", lines.next()).await?;
+        let told = with_timeout(terms().silence, "silent", lines.next_line()).await?;
         let told: ToMember =
             serde_json::from_slice(&told).map_err(|why| format!("an unreadable line: {why}"))?;
-        if let ToMember::Elsewhere { serves } = &told {
-            leader.elsewhere(serves.as_deref());
+        if let ToMember::NotLeader { leader: serves } = &told {
+            leader.on_redirect(serves.as_deref());
             return Err("this member does not speak".into());
         }
         let before = site.gatherer.borrow().last();
-        let heard = site.gatherer.borrow_mut().hear(told, site.clock.now());
+        let heard = site.gatherer.borrow_mut().handle(told, site.clock.now());
         heard.map_err(|why| format!("{why:?}"))?;
         if !std::mem::replace(&mut up, true) {
-            leader.found(at);
+            leader.on_leader(at);
             *down = false;
             info!(site.log, "purges up"; "has" => site.gatherer.borrow().last());
         }
@@ -184,31 +184,31 @@
 
 async fn speak(site: &Site, stream: &Stream) -> Result<(), String> {
     loop {
-        let due = site.gatherer.borrow_mut().line(site.clock.now());
+        let due = site.gatherer.borrow_mut().next_report(site.clock.now());
         match due {
             Some(due) => {
-                write_text(stream, &line(&due), STALL).await?;
-                Timer::after(PACE.into()).await;
+                write_text(stream, &to_line(&due), STALL).await?;
+                Timer::after(MIN_REPORT_INTERVAL.into()).await;
             }
             None => {
                 until(&site.said, IDLE).await;
                 // What others say in the same moment goes up in the same line.
-                Timer::after(Duration::from(PACE) / 3).await;
+                Timer::after(Duration::from(MIN_REPORT_INTERVAL) / 3).await;
             }
         }
     }
 }
 
 async fn member(site: &Site, stream: &Stream) -> Result<(), String> {
-    let mut lines = Lines::new(stream, LONGEST_LINE);
-    let first = within(STALL, "too slow", lines.next()).await?;
-    let Ok(first) = serde_json::from_slice::<Confirm>(&first) else {
-        return say(stream, &ToMember::Elsewhere { serves: None }).await;
+    let mut lines = LineReader::new(stream, LONGEST_LINE);
+    let first = with_timeout(STALL, "too slow", lines.next_line()).await?;
+    let Ok(first) = serde_json::from_slice::<Ack>(&first) else {
+        return say(stream, &ToMember::NotLeader { leader: None }).await;
     };
-    let below = Below { site, is: RefCell::new((first.member.clone(), first.start)) };
+    let below = Below { site, is: RefCell::new((first.member.clone(), first.incarnation)) };
     let done = below::serve(&below, &mut lines, first).await;
     let (name, start) = below.is.into_inner();
-    site.gatherer.borrow_mut().end(&name, start);
+    site.gatherer.borrow_mut().on_disconnect(&name, start);
     site.said.notify(usize::MAX);
     done
 }
@@ -220,14 +220,14 @@
 }
 
 impl Teller for Below<'_> {
-    async fn answer(&self, said: &Confirm) -> Option<ToMember> {
-        self.is.replace((said.member.clone(), said.start));
-        let answer = self.site.gatherer.borrow_mut().confirm(said, self.site.clock.now());
+    async fn answer(&self, said: &Ack) -> Option<ToMember> {
+        self.is.replace((said.member.clone(), said.incarnation));
+        let answer = self.site.gatherer.borrow_mut().on_ack(said, self.site.clock.now());
         self.site.said.notify(usize::MAX);
         match answer {
             Ok(told) => Some(told),
-            Err(Refused::Elsewhere) => None,
-            Err(Refused::TooMany) => {
+            Err(GatherError::NotServing) => None,
+            Err(GatherError::TooManyMembers) => {
                 warn!(self.site.log, "too many below"; "member" => &said.member);
                 None
             }
@@ -235,17 +235,17 @@
     }
 
     fn elsewhere(&self) -> ToMember {
-        ToMember::Elsewhere { serves: None }
+        ToMember::NotLeader { leader: None }
     }
 
     fn told(&self) -> Option<u64> {
         let gatherer = self.site.gatherer.borrow();
-        gatherer.speaks(self.site.clock.now()).then(|| gatherer.last())
+        gatherer.is_serving(self.site.clock.now()).then(|| gatherer.last())
     }
 
     fn after(&self, number: u64) -> Option<ToMember> {
         let (term, missing) = self.site.gatherer.borrow().after(number)?;
-        Some(ToMember::of(term, missing))
+        Some(ToMember::from_catch_up(term, missing))
     }
 
     async fn until_news(&self, at_most: Duration) {
--- a/crates/restart/src/ramp.rs
+++ b/crates/restart/src/ramp.rs
@@ -2,8 +2,8 @@
 //! is cold the archive is cold too, and may have less capacity than before. So a hub starts with a small share of its part.
 //! The share grows while answers are about as fast as the fastest so far, and shrinks immediately when they are not. While
 //! the share is small, only the content with the highest worth is fetched.
-use harestage::ring::Ring;
 use harestage::time::{Moment, Span};
+use harestage::window::SlidingWindow;
 
 /// The share of its part of the concurrency limit that a hub starts with.
 pub const INITIAL_SHARE: f64 = 0.1;
@@ -35,8 +35,8 @@
 pub struct FetchRamp {
     share: f64,
     fastest: Option<f64>,
-    durations: Ring,
-    failures: Ring,
+    durations: SlidingWindow,
+    failures: SlidingWindow,
     next_step: Moment,
     archive_capacity: ArchiveCapacity,
     /// Whether a fetch was withheld since the last step.
@@ -46,7 +46,7 @@
 impl FetchRamp {
     /// Starts with [`INITIAL_SHARE`].
     pub fn new(now: Moment) -> FetchRamp {
-        let window = || Ring::new(Span::millis(250), 4);
+        let window = || SlidingWindow::new(Span::millis(250), 4);
         FetchRamp {
             share: INITIAL_SHARE,
             fastest: None,
@@ -124,6 +124,6 @@
     pub fn retry_after(&self, chance: f64) -> Span {
         let seconds_left = (1.0 / self.share).ln().max(0.0) / GROWTH_PER_SECOND.ln();
         let seconds = 0.4 + seconds_left * chance;
-        Span::of_seconds(seconds.min(10.0))
+        Span::from_seconds(seconds.min(10.0))
     }
 }
--- a/crates/shape/src/control.rs
+++ b/crates/shape/src/control.rs
@@ -1,12 +1,12 @@
 //! The service that numbers versions and hands them out, without its sockets and its file. What comes in are calls
 //! with a moment; what is to be done comes back as effects in their order. A record is on disk before any effect that
 //! follows it is carried out, so that what anyone was told is never forgotten.
-use crate::check::Complaint;
-use crate::form::ShapeForm;
-use crate::parts::{Part, Sharing};
-use crate::plan::{self, NoPlan, Plan};
-use crate::run::{Heard, Hold, Runner, Stage, Turn, View};
-use crate::tree::{self, Shape};
+use crate::archive_share::{RateShare, ShareAllocator};
+use crate::config::ShapeConfig;
+use crate::plan::{self, Plan, PlanError};
+use crate::rollout::{Decision, HealthView, HoldReason, MemberHealth, Rollout, Transition};
+use crate::topology::{self, Shape};
+use crate::validation::Violation;
 use harestage::time::{Moment, Span};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -34,12 +34,14 @@
 pub enum Entry {
     Opened,
     /// The first shape, or what stands after a change: all before it may be forgotten.
-    Shape(Box<ShapeForm>),
-    Begun {
+    Shape(Box<ShapeConfig>),
+    #[serde(rename = "begun")]
+    ChangeStarted {
         plan: Box<Plan>,
         by: String,
     },
-    Stage(Stage),
+    #[serde(rename = "stage")]
+    Transition(Transition),
     /// How the sites stand from now on.
     Sites(Box<SitesRecord>),
 }
@@ -47,10 +49,11 @@
 /// What has to outlive a service about its sites.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SitesRecord {
-    pub standings: BTreeMap<String, Standing>,
+    #[serde(rename = "standings")]
+    pub states: BTreeMap<String, SiteState>,
     /// The shape that operators want, where the one in service leaves sites out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub wanted: Option<ShapeForm>,
+    pub wanted: Option<ShapeConfig>,
     /// When each site was lost lately, Unix milliseconds: what flaps is held for longer, whoever leads.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub losses: BTreeMap<String, Vec<u64>>,
@@ -59,7 +62,7 @@
 /// Where a site is on its way out of service and back; `harestage_sites` decides on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum SiteState {
     #[default]
     InService,
     /// Nobody is tied to it any more.
@@ -76,7 +79,7 @@
 
 /// What a witness says of a site, in its report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct SiteObservation {
     pub site: String,
     /// Questions in a row that nobody there has answered.
     pub unanswered: u32,
@@ -96,19 +99,21 @@
     Write(Record),
     /// Members are to be told this version.
     Publish(u64),
-    Say(Said),
+    Announce(ChangeEvent),
 }
 
 /// For the log, and for whoever watches a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
-pub enum Said {
-    Begun {
+pub enum ChangeEvent {
+    #[serde(rename = "begun")]
+    Started {
         from: u64,
         steps: usize,
         by: String,
     },
-    StepOut {
+    #[serde(rename = "step_out")]
+    StepPublished {
         step: usize,
         of: usize,
         version: u64,
@@ -117,15 +122,18 @@
         step: usize,
         of: usize,
     },
-    StepUndone {
+    #[serde(rename = "step_undone")]
+    StepReverted {
         step: usize,
         version: u64,
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     Held {
         step: usize,
         of: usize,
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     Ended {
         complete: bool,
@@ -134,28 +142,33 @@
     /// A site stands so from now on.
     Site {
         site: String,
-        is: Standing,
-        why: String,
+        #[serde(rename = "is")]
+        state: SiteState,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// What is held of a site, before anything is done about it.
-    Seen {
+    #[serde(rename = "seen")]
+    ViewChanged {
         site: String,
         view: String,
         seen_ms: u64,
     },
-    Loop {
+    #[serde(rename = "loop")]
+    WaitCycle {
         hub: String,
         object: String,
         path: Vec<String>,
         waited_ms: f64,
-        before: u32,
+        #[serde(rename = "before")]
+        seen_before: u32,
     },
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refused {
-    Wrong(Vec<Complaint>),
-    NoPlan(NoPlan),
+pub enum ChangeError {
+    Invalid(Vec<Violation>),
+    NoPlan(PlanError),
     /// Another change is under way.
     Busy {
         by: String,
@@ -163,33 +176,35 @@
         of: usize,
     },
     /// The shape is another than the one that the operator looked at.
-    Moved {
+    VersionMismatch {
         expected: u64,
-        is: u64,
+        actual: u64,
     },
-    Same {
+    Unchanged {
         version: u64,
     },
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for ChangeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Wrong(complaints) => {
+            Self::Invalid(complaints) => {
                 let lines: Vec<_> = complaints.iter().map(|c| c.to_string()).collect();
                 write!(f, "{}", lines.join("\n"))
             }
             Self::NoPlan(why) => write!(f, "{why}"),
             Self::Busy { by, step, of } => write!(f, "a change by {by} is under way, at step {step} of {of}"),
-            Self::Moved { expected, is } => write!(f, "version {expected} was expected, and it is {is}"),
-            Self::Same { version } => write!(f, "version {version} is that shape already"),
+            Self::VersionMismatch { expected, actual: is } => {
+                write!(f, "version {expected} was expected, and it is {is}")
+            }
+            Self::Unchanged { version } => write!(f, "version {version} is that shape already"),
         }
     }
 }
 
 /// What a hub says of itself, some times a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct HubReport {
     /// The version that it goes by.
     pub version: u64,
     pub slowness: f64,
@@ -198,29 +213,37 @@
     pub archive_slowness: f64,
     /// Pulls a second that came to it, from branches and from other hubs.
     #[serde(default)]
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub request_rate: f64,
     /// Fetches a second at the archive, those that it would have begun, and the part it has taken in last.
-    pub fetches: f64,
-    pub wants: f64,
-    pub part: u64,
+    #[serde(rename = "fetches")]
+    pub fetch_rate: f64,
+    #[serde(rename = "wants")]
+    pub wanted_rate: f64,
+    #[serde(rename = "part")]
+    pub share_number: u64,
     /// Fetches a second that it may begin by that part, as long as it lasts.
     #[serde(default)]
-    pub holds: f64,
+    #[serde(rename = "holds")]
+    pub granted_rate: f64,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub loops: Vec<LoopSeen>,
+    #[serde(rename = "loops")]
+    pub wait_cycles: Vec<CycleReport>,
     /// Where it is, and what it sees of other sites.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub site: String,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub sightings: Vec<Sighting>,
+    #[serde(rename = "sightings")]
+    pub observations: Vec<SiteObservation>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LoopSeen {
+pub struct CycleReport {
     pub object: String,
     pub path: Vec<String>,
     pub waited_ms: f64,
-    pub before: u32,
+    #[serde(rename = "before")]
+    pub seen_before: u32,
 }
 
 /// The state of the service.
@@ -228,16 +251,16 @@
     term: u64,
     shape: Shape,
     /// The versions that went out lately, by their numbers.
-    kept: BTreeMap<u64, Shape>,
+    retained: BTreeMap<u64, Shape>,
     /// The shape that the plan under way starts from.
     base: Option<Shape>,
-    runner: Option<(Runner, String)>,
-    held: Option<Hold>,
-    last: Option<Said>,
-    members: BTreeMap<String, Heard>,
-    sharing: Sharing,
-    loops: VecDeque<Said>,
-    loops_seen: u64,
+    rollout: Option<(Rollout, String)>,
+    hold: Option<HoldReason>,
+    last_event: Option<ChangeEvent>,
+    members: BTreeMap<String, MemberHealth>,
+    shares: ShareAllocator,
+    recent_cycles: VecDeque<ChangeEvent>,
+    cycles_seen: u64,
 }
 
 impl Control {
@@ -245,55 +268,56 @@
     /// record of the new term.
     pub fn open(
         journal: &[Record],
-        first: Option<&ShapeForm>,
+        first: Option<&ShapeConfig>,
         now: Moment,
-    ) -> Result<(Control, Vec<Effect>), Refused> {
+    ) -> Result<(Control, Vec<Effect>), ChangeError> {
         let journal = fenced(journal);
         let term = journal.last().map_or(0, |record| record.term) + 1;
-        let fallback = first.cloned().map(|form| ShapeForm { version: form.version.max(1), ..form });
+        let fallback = first.cloned().map(|form| ShapeConfig { version: form.version.max(1), ..form });
         let shape = journal.iter().rev().find_map(|record| match &record.entry {
             Entry::Shape(form) => Some(form.as_ref().clone()),
             _ => None,
         });
         let recovered = shape.is_some();
-        let form = shape.or(fallback).ok_or(Refused::Same { version: 0 })?;
+        let form = shape.or(fallback).ok_or(ChangeError::Unchanged { version: 0 })?;
         // What was taken once is taken again: a check that has become stricter must not stop the service.
-        let shape = if recovered { Shape::of(&form) } else { tree::take(&form) }.map_err(Refused::Wrong)?;
+        let shape = if recovered { Shape::from_config(&form) } else { topology::validated_shape(&form) }
+            .map_err(ChangeError::Invalid)?;
         let archive = &form.archive;
         let mut control = Control {
             term,
             shape: shape.clone(),
-            kept: BTreeMap::from([(shape.version(), shape)]),
+            retained: BTreeMap::from([(shape.version(), shape)]),
             base: None,
-            runner: None,
-            held: None,
-            last: None,
+            rollout: None,
+            hold: None,
+            last_event: None,
             members: BTreeMap::new(),
-            sharing: Sharing::new(archive.capacity * archive.stops_at),
-            loops: VecDeque::new(),
-            loops_seen: 0,
+            shares: ShareAllocator::new(archive.capacity * archive.stops_at),
+            recent_cycles: VecDeque::new(),
+            cycles_seen: 0,
         };
         let mut effects = vec![control.record(Entry::Opened)];
         if !recovered {
-            effects.push(control.record(Entry::Shape(Box::new(control.shape.form()))));
+            effects.push(control.record(Entry::Shape(Box::new(control.shape.to_config()))));
         }
-        control.recall(&journal, now);
-        control.sharing.begin_after(now);
+        control.replay(&journal, now);
+        control.shares.start_after_predecessor(now);
         effects.push(Effect::Publish(control.shape.version()));
         Ok((control, effects))
     }
 
     /// Goes through what a forerunner wrote after the last whole shape.
-    fn recall(&mut self, journal: &[&Record], now: Moment) {
+    fn replay(&mut self, journal: &[&Record], now: Moment) {
         let after = journal.iter().rposition(|r| matches!(r.entry, Entry::Shape(_))).map_or(0, |at| at + 1);
         for record in &journal[after..] {
             match &record.entry {
-                Entry::Begun { plan, by } => {
+                Entry::ChangeStarted { plan, by } => {
                     self.base = Some(self.shape.clone());
-                    let runner = Runner::begin(plan.as_ref().clone(), self.shape.version(), now);
-                    self.runner = Some((runner, by.clone()));
+                    let runner = Rollout::start(plan.as_ref().clone(), self.shape.version(), now);
+                    self.rollout = Some((runner, by.clone()));
                 }
-                Entry::Stage(stage) => self.enter(stage, now),
+                Entry::Transition(stage) => self.apply_transition(stage, now),
                 Entry::Opened | Entry::Shape(_) | Entry::Sites(_) => {}
             }
         }
@@ -304,162 +328,193 @@
     }
 
     /// A stage is taken in, whether it was just written down or recalled.
-    fn enter(&mut self, stage: &Stage, now: Moment) {
-        let Some((runner, _)) = &mut self.runner else { return };
-        runner.enter(stage, now);
+    fn apply_transition(&mut self, stage: &Transition, now: Moment) {
+        let Some((runner, _)) = &mut self.rollout else { return };
+        runner.apply(stage, now);
         let version = match stage {
-            Stage::Out { version, .. } | Stage::Undone { version, .. } => *version,
-            Stage::Settled { .. } => return,
-            Stage::Ended { .. } => {
-                (self.runner, self.base) = (None, None);
+            Transition::Published { version, .. } | Transition::Reverted { version, .. } => *version,
+            Transition::Settled { .. } => return,
+            Transition::Ended { .. } => {
+                (self.rollout, self.base) = (None, None);
                 return;
             }
         };
         let Some(base) = &self.base else { return };
-        self.shape = runner.plan.shape_after(base, runner.done(), version);
-        self.keep();
+        self.shape = runner.plan.shape_after(base, runner.published_steps(), version);
+        self.retain_version();
     }
 
-    fn keep(&mut self) {
-        self.kept.insert(self.shape.version(), self.shape.clone());
-        while self.kept.len() > MOST_KEPT {
-            self.kept.pop_first();
+    fn retain_version(&mut self) {
+        self.retained.insert(self.shape.version(), self.shape.clone());
+        while self.retained.len() > MOST_KEPT {
+            self.retained.pop_first();
         }
         let archive = self.shape.archive();
-        self.sharing.set_stopping(archive.capacity * archive.stops_at);
+        self.shares.set_stop_rate(archive.capacity * archive.stops_at);
     }
 
     /// Begins a change. `expect` is the version that the operator looked at.
     pub fn apply(
         &mut self,
-        form: &ShapeForm,
+        form: &ShapeConfig,
         expect: Option<u64>,
         by: &str,
         now: Moment,
-    ) -> Result<Vec<Effect>, Refused> {
-        if let Some((runner, by)) = &self.runner {
-            let (step, of) = (runner.done(), runner.plan.steps.len());
-            return Err(Refused::Busy { by: by.clone(), step, of });
+    ) -> Result<Vec<Effect>, ChangeError> {
+        if let Some((runner, by)) = &self.rollout {
+            let (step, of) = (runner.published_steps(), runner.plan.steps.len());
+            return Err(ChangeError::Busy { by: by.clone(), step, of });
         }
         let is = self.shape.version();
         if let Some(expected) = expect.filter(|expected| *expected != is) {
-            return Err(Refused::Moved { expected, is });
+            return Err(ChangeError::VersionMismatch { expected, actual: is });
         }
-        let plan = plan::plan(&self.shape, form, now).map_err(|why| match why {
-            NoPlan::Wrong(complaints) => Refused::Wrong(complaints),
-            why => Refused::NoPlan(why),
+        let plan = plan::plan_change(&self.shape, form, now).map_err(|why| match why {
+            PlanError::Invalid(complaints) => ChangeError::Invalid(complaints),
+            why => ChangeError::NoPlan(why),
         })?;
         if plan.steps.is_empty() {
-            return Err(Refused::Same { version: is });
+            return Err(ChangeError::Unchanged { version: is });
         }
-        let said = Said::Begun { from: is, steps: plan.steps.len(), by: by.into() };
-        let record = self.record(Entry::Begun { plan: Box::new(plan.clone()), by: by.into() });
+        let said = ChangeEvent::Started { from: is, steps: plan.steps.len(), by: by.into() };
+        let record = self.record(Entry::ChangeStarted { plan: Box::new(plan.clone()), by: by.into() });
         self.base = Some(self.shape.clone());
-        self.runner = Some((Runner::begin(plan, is, now), by.into()));
-        Ok(vec![record, self.say(said)])
+        self.rollout = Some((Rollout::start(plan, is, now), by.into()));
+        Ok(vec![record, self.announce(said)])
     }
 
     /// Goes over to another shape at once, whatever is under way: a site is lost, and there is no time for steps.
-    pub fn jump(&mut self, shape: Shape) -> Vec<Effect> {
+    pub fn replace_shape(&mut self, shape: Shape) -> Vec<Effect> {
         let mut effects = Vec::new();
-        if self.runner.take().is_some() {
-            (self.base, self.held) = (None, None);
+        if self.rollout.take().is_some() {
+            (self.base, self.hold) = (None, None);
             let version = self.shape.version();
-            effects.push(self.record(Entry::Stage(Stage::Ended { complete: false })));
-            effects.push(self.say(Said::Ended { complete: false, version }));
+            effects.push(self.record(Entry::Transition(Transition::Ended { complete: false })));
+            effects.push(self.announce(ChangeEvent::Ended { complete: false, version }));
         }
         self.shape = shape;
-        self.keep();
-        effects.push(self.record(Entry::Shape(Box::new(self.shape.form()))));
+        self.retain_version();
+        effects.push(self.record(Entry::Shape(Box::new(self.shape.to_config()))));
         effects.push(Effect::Publish(self.shape.version()));
         effects
     }
 
     /// A record of this term, for what is decided beside it.
-    pub fn note(&self, entry: Entry) -> Effect {
+    pub fn journal_entry(&self, entry: Entry) -> Effect {
         self.record(entry)
     }
 
-    fn say(&mut self, said: Said) -> Effect {
-        self.last = Some(said.clone());
-        Effect::Say(said)
+    fn announce(&mut self, said: ChangeEvent) -> Effect {
+        self.last_event = Some(said.clone());
+        Effect::Announce(said)
     }
 
     /// A hub has reported; it gets its part of the archive.
-    pub fn hear(&mut self, hub: &str, report: &Report, now: Moment) -> (Option<Part>, Vec<Effect>) {
+    pub fn on_report(
+        &mut self,
+        hub: &str,
+        report: &HubReport,
+        now: Moment,
+    ) -> (Option<RateShare>, Vec<Effect>) {
         if !self.members.contains_key(hub) && self.members.len() >= MOST_MEMBERS {
             return (None, Vec::new());
         }
         let finite = |n: f64| if n.is_finite() { n.max(0.0) } else { 0.0 };
-        let (slowness, fetches) = (finite(report.slowness), finite(report.fetches));
-        let (asked, archive_slowness) = (finite(report.asked), finite(report.archive_slowness));
-        let heard = Heard { version: report.version, at: now, slowness, archive_slowness, asked, fetches };
+        let (slowness, fetches) = (finite(report.slowness), finite(report.fetch_rate));
+        let (asked, archive_slowness) = (finite(report.request_rate), finite(report.archive_slowness));
+        let heard = MemberHealth {
+            version: report.version,
+            last_report: now,
+            slowness,
+            archive_slowness,
+            request_rate: asked,
+            fetch_rate: fetches,
+        };
         self.members.insert(hub.into(), heard);
         let mut effects = Vec::new();
-        for seen in report.loops.iter().take(MOST_LOOPS) {
+        for seen in report.wait_cycles.iter().take(MOST_LOOPS) {
             let (object, path) = (seen.object.clone(), seen.path.clone());
-            let said =
-                Said::Loop { hub: hub.into(), object, path, waited_ms: seen.waited_ms, before: seen.before };
-            self.loops_seen += 1;
-            self.loops.push_back(said.clone());
-            effects.push(Effect::Say(said));
+            let said = ChangeEvent::WaitCycle {
+                hub: hub.into(),
+                object,
+                path,
+                waited_ms: seen.waited_ms,
+                seen_before: seen.seen_before,
+            };
+            self.cycles_seen += 1;
+            self.recent_cycles.push_back(said.clone());
+            effects.push(Effect::Announce(said));
         }
-        while self.loops.len() > MOST_LOOPS {
-            self.loops.pop_front();
+        while self.recent_cycles.len() > MOST_LOOPS {
+            self.recent_cycles.pop_front();
         }
         // Who is at no top needs no part: it asks other hubs only.
-        let at_top = self.shape.find(hub).is_some_and(|at| self.shape.tops().contains(&at));
-        let most = self.shape.tops().len();
-        let part = at_top.then(|| self.sharing.ask(hub, report.wants, report.part, report.holds, most, now));
+        let at_top = self.shape.find(hub).is_some_and(|at| self.shape.top_hubs().contains(&at));
+        let most = self.shape.top_hubs().len();
+        let part = at_top.then(|| {
+            self.shares.request(hub, report.wanted_rate, report.share_number, report.granted_rate, most, now)
+        });
         (part, effects)
     }
 
     /// To be called some times a second.
-    pub fn beat(&mut self, now: Moment) -> Vec<Effect> {
-        self.members.retain(|_, heard| now.since(heard.at) < MEMBER_SILENCE);
-        let Some((mut runner, by)) = self.runner.take() else { return Vec::new() };
-        let ages = self.ages(now);
+    pub fn tick(&mut self, now: Moment) -> Vec<Effect> {
+        self.members.retain(|_, heard| now.since(heard.last_report) < MEMBER_SILENCE);
+        let Some((mut runner, by)) = self.rollout.take() else { return Vec::new() };
+        let ages = self.hub_ages(now);
         let archive = self.shape.archive();
         let stopping = archive.capacity * archive.stops_at;
-        let view = View { members: &self.members, stopping, ages: &ages };
-        runner.look(&view, now);
-        let turn = runner.turn(&view, now);
-        let (done, of) = (runner.done(), runner.plan.steps.len());
-        self.runner = Some((runner, by));
+        let view = HealthView { members: &self.members, archive_stop_rate: stopping, ages: &ages };
+        runner.observe(&view, now);
+        let turn = runner.decide(&view, now);
+        let (done, of) = (runner.published_steps(), runner.plan.steps.len());
+        self.rollout = Some((runner, by));
         match turn {
-            Turn::Hold(hold) => {
+            Decision::Hold(hold) => {
                 let new =
-                    self.held.as_ref().map(std::mem::discriminant) != Some(std::mem::discriminant(&hold));
+                    self.hold.as_ref().map(std::mem::discriminant) != Some(std::mem::discriminant(&hold));
                 let why = hold.to_string();
-                self.held = Some(hold);
-                if new { vec![self.say(Said::Held { step: done, of, why })] } else { Vec::new() }
+                self.hold = Some(hold);
+                if new {
+                    vec![self.announce(ChangeEvent::Held { step: done, of, reason: why })]
+                } else {
+                    Vec::new()
+                }
             }
-            Turn::Do(stage) => self.carry_out(stage, of, now),
+            Decision::Apply(stage) => self.commit(stage, of, now),
         }
     }
 
-    fn carry_out(&mut self, stage: Stage, of: usize, now: Moment) -> Vec<Effect> {
-        self.held = None;
-        let mut effects = vec![self.record(Entry::Stage(stage.clone()))];
-        self.enter(&stage, now);
+    fn commit(&mut self, stage: Transition, of: usize, now: Moment) -> Vec<Effect> {
+        self.hold = None;
+        let mut effects = vec![self.record(Entry::Transition(stage.clone()))];
+        self.apply_transition(&stage, now);
         match stage {
-            Stage::Out { step, version } => {
-                effects.extend([Effect::Publish(version), self.say(Said::StepOut { step, of, version })]);
+            Transition::Published { step, version } => {
+                effects.extend([
+                    Effect::Publish(version),
+                    self.announce(ChangeEvent::StepPublished { step, of, version }),
+                ]);
+            }
+            Transition::Settled { step } => {
+                effects.push(self.announce(ChangeEvent::StepSettled { step, of }))
             }
-            Stage::Settled { step } => effects.push(self.say(Said::StepSettled { step, of })),
-            Stage::Undone { step, version, why } => {
-                effects.extend([Effect::Publish(version), self.say(Said::StepUndone { step, version, why })]);
+            Transition::Reverted { step, version, reason } => {
+                effects.extend([
+                    Effect::Publish(version),
+                    self.announce(ChangeEvent::StepReverted { step, version, reason }),
+                ]);
             }
-            Stage::Ended { complete } => {
-                effects.push(self.record(Entry::Shape(Box::new(self.shape.form()))));
+            Transition::Ended { complete } => {
+                effects.push(self.record(Entry::Shape(Box::new(self.shape.to_config()))));
                 let version = self.shape.version();
-                effects.push(self.say(Said::Ended { complete, version }));
+                effects.push(self.announce(ChangeEvent::Ended { complete, version }));
             }
         }
         effects
     }
 
-    fn ages(&self, now: Moment) -> BTreeMap<String, Span> {
+    fn hub_ages(&self, now: Moment) -> BTreeMap<String, Span> {
         let fresh = self.shape.hubs().filter(|(_, hub)| hub.since_ms > 0);
         let age = |since_ms: u64| now.since(Moment::at_micros(since_ms.saturating_mul(1_000)));
         fresh.map(|(_, hub)| (hub.name.clone(), age(hub.since_ms))).collect()
@@ -475,42 +530,42 @@
 
     /// A version that is still kept.
     pub fn version(&self, number: u64) -> Option<&Shape> {
-        self.kept.get(&number)
+        self.retained.get(&number)
     }
 
     pub fn is_changing(&self) -> bool {
-        self.runner.is_some()
+        self.rollout.is_some()
     }
 
     pub fn status(&self, now: Moment) -> Status {
-        let change = self.runner.as_ref().map(|(runner, by)| ChangeStatus {
+        let change = self.rollout.as_ref().map(|(runner, by)| ChangeStatus {
             by: by.clone(),
-            step: runner.done(),
+            step: runner.published_steps(),
             of: runner.plan.steps.len(),
-            undone: runner.undone(),
-            lasted_ms: runner.lasted(now).as_micros() / 1_000,
-            held: self.held.as_ref().map(Hold::to_string),
+            undone: runner.reverted_count(),
+            lasted_ms: runner.elapsed(now).as_micros() / 1_000,
+            held: self.hold.as_ref().map(HoldReason::to_string),
         });
         let members = self.members.iter().map(|(name, heard)| MemberStatus {
             name: name.clone(),
             version: heard.version,
-            silent_ms: now.since(heard.at).as_micros() / 1_000,
+            silent_ms: now.since(heard.last_report).as_micros() / 1_000,
             slowness: heard.slowness,
-            asked: heard.asked,
+            asked: heard.request_rate,
             allowance: self.shape.find(name).map_or(0.0, |at| self.shape.allowance(at, now)),
-            fetches: heard.fetches,
+            fetches: heard.fetch_rate,
         });
         let archive = self.shape.archive();
-        let asked: f64 = self.members.values().map(|heard| heard.fetches).sum();
+        let asked: f64 = self.members.values().map(|heard| heard.fetch_rate).sum();
         Status {
             term: self.term,
             version: self.shape.version(),
             change,
             members: members.collect(),
             archive_share: asked / (archive.capacity * archive.stops_at).max(1e-9),
-            given_out: self.sharing.given_out(now),
-            loops: self.loops_seen,
-            last_loops: self.loops.iter().rev().take(8).cloned().collect(),
+            allocated: self.shares.allocated(now),
+            wait_cycles: self.cycles_seen,
+            last_wait_cycles: self.recent_cycles.iter().rev().take(8).cloned().collect(),
         }
     }
 }
@@ -536,9 +591,12 @@
     pub members: Vec<MemberStatus>,
     /// Fetches a second against the archive's stopping point, by what hubs report.
     pub archive_share: f64,
-    pub given_out: f64,
-    pub loops: u64,
-    pub last_loops: Vec<Said>,
+    #[serde(rename = "given_out")]
+    pub allocated: f64,
+    #[serde(rename = "loops")]
+    pub wait_cycles: u64,
+    #[serde(rename = "last_loops")]
+    pub last_wait_cycles: Vec<ChangeEvent>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
