--- a/crates/audit/src/keeper.rs
+++ b/crates/audit/src/keeper.rs
@@ -314,7 +314,7 @@
         let was = current.node(at).and_then(Node::as_hub)?;
         (was.up != hub.up).then(|| (hub.name.clone(), hub.up.clone()))
     });
-    Some(Update::Difference { from: current.version(), to: due.version(), ties: differs.collect() })
+    Some(Update::Difference { from: current.version(), to: due.version(), upstreams: differs.collect() })
 }
 
 /// For each branch, the hubs that its routers may pull from: its upstream links, and the hubs that serve as its caches.
--- a/crates/audit/src/messages.rs
+++ b/crates/audit/src/messages.rs
@@ -42,7 +42,12 @@
 #[serde(rename_all = "snake_case")]
 pub enum Update {
     /// The changed upstream links of single places, for a process that has version `from`.
-    Difference { from: u64, to: u64, ties: Vec<(String, Vec<String>)> },
+    Difference {
+        from: u64,
+        to: u64,
+        #[serde(rename = "ties")]
+        upstreams: Vec<(String, Vec<String>)>,
+    },
     /// The whole version, in the form for hubs and branch feeds.
     #[serde(rename = "whole")]
     Full { shape: Box<ShapeConfig>, plans: Vec<FallbackPlan> },
--- a/crates/hub/src/desk/versions.rs
+++ b/crates/hub/src/desk/versions.rs
@@ -50,7 +50,7 @@
                 self.told(&shape, now);
                 self.handed(version, plans, now);
             }
-            Update::Difference { from, to, ties } => {
+            Update::Difference { from, to, upstreams: ties } => {
                 let Some(own) = self.versions.newest().filter(|own| own.version() == from) else { return };
                 let mut form = own.to_config();
                 form.version = to;
--- a/crates/hub/tests/audited.rs
+++ b/crates/hub/tests/audited.rs
@@ -176,7 +176,8 @@
     };
     desk.step(at(50), std::iter::once(whole(shape(6))));
     assert_eq!(desk.version(), 6);
-    let difference = Update::Difference { from: 6, to: 7, ties: vec![("a".into(), vec!["archive".into()])] };
+    let difference =
+        Update::Difference { from: 6, to: 7, upstreams: vec![("a".into(), vec!["archive".into()])] };
     desk.step(at(60), std::iter::once(News::Wanted(Box::new(KeeperRequest::Apply(difference)))));
     assert_eq!(desk.version(), 7);
     let mut wrong = shape(8);
