--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -18,7 +18,7 @@
 use harestage_hub::net::Hub;
 use harestage_hub::start::HubFile;
 use harestage_keeper::serve::Follows;
-use harestage_purger::gather::{GatherStart, SiteGatherer};
+use harestage_purger::gatherer::{GathererConfig, GathererServer};
 use harestage_shape::config;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -194,7 +194,9 @@
         What::Feed { file } => feed(&file, log),
         What::Control { listen, journal, first, group } => control(listen, &journal, first, &group, log),
         What::Purges { listen, folder, group } => purges(listen, &folder, &group, log),
-        What::Gather { name, listen, purges } => gather(GatherStart { name, listen, services: purges }, log),
+        What::Gather { name, listen, purges } => {
+            gather(GathererConfig { name, listen, services: purges }, log)
+        }
         What::Group { what } => return group::run(what),
         What::Purge { what } => return purge::run(what),
         What::Keeper { listen, folder, controls, purges, group } => {
@@ -271,12 +273,12 @@
 ) -> Result<(), String> {
     let start = group.checked("purges")?;
     let (log, _written_at_end) = log::open(&start.name, form);
-    harestage_purger::Purger::open_member(listen, folder, &start, log)?.serve(log::until_signal()?)
+    harestage_purger::PurgeServer::open_member(listen, folder, &start, log)?.serve(log::until_signal()?)
 }
 
-fn gather(start: GatherStart, form: log::Form) -> Result<(), String> {
+fn gather(start: GathererConfig, form: log::Form) -> Result<(), String> {
     let (logger, _written_at_end) = log::open(&start.name, form);
-    SiteGatherer::bind(start)?.serve(logger, log::until_signal()?);
+    GathererServer::bind(start)?.serve(logger, log::until_signal()?);
     Ok(())
 }
 
--- a/crates/measure/src/capacity/slopes.rs
+++ b/crates/measure/src/capacity/slopes.rs
@@ -743,7 +743,7 @@
         drop(tell(&mut service, &mut near, now));
         drop(service.tick(now));
         if n % (10 * PURGES_A_SECOND) == 0 {
-            drop(service.forget_before(now.before(harestage_purger::KEPT).micros() / 1_000, now));
+            drop(service.forget_before(now.before(harestage_purger::RETENTION).micros() / 1_000, now));
         }
     }
     let (mut told, mut lines) = (0, 0);
--- a/crates/measure/src/purge.rs
+++ b/crates/measure/src/purge.rs
@@ -6,7 +6,7 @@
 use harestage_purge::index::{Index, LinearIndex};
 use harestage_purge::messages::{Request, Response, to_line};
 use harestage_purge::scope::{CopyAttributes, Scope};
-use harestage_purger::Purger;
+use harestage_purger::PurgeServer;
 use harestage_segments::simulated::SimulatedDisk;
 use harestage_segments::{Folder, Log};
 use harestage_shape::config::ShapeConfig;
@@ -198,7 +198,7 @@
     let run = move |stop: async_channel::Receiver<()>, folder: std::path::PathBuf, log: slog::Logger| {
         let until = Instant::now() + Duration::from_secs(10);
         loop {
-            match Purger::open(listen, &folder, log.clone()) {
+            match PurgeServer::open(listen, &folder, log.clone()) {
                 Ok(purger) => return drop(purger.serve(stop)),
                 Err(why) => assert!(Instant::now() < until, "{why}"),
             }
--- a/crates/purger/src/gather.rs
+++ b/crates/purger/src/gatherer.rs
@@ -1,7 +1,7 @@
 //! A site's gatherer on sockets: one thread, one task for the line to the service and one for each member of the site.
 //! Nothing here decides: see `harestage_purge::gather`.
-use crate::KEPT;
-use crate::below::{self, Teller};
+use crate::RETENTION;
+use crate::member_connection::{self, UpdateSource};
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use event_listener::Event;
@@ -53,7 +53,7 @@
 
 /// What is set for a gatherer.
 #[derive(Clone, Debug)]
-pub struct GatherStart {
+pub struct GathererConfig {
     pub name: String,
     pub listen: SocketAddr,
     /// The members of the service of purges.
@@ -61,14 +61,14 @@
 }
 
 /// A gatherer that listens already.
-pub struct SiteGatherer {
-    start: GatherStart,
+pub struct GathererServer {
+    start: GathererConfig,
     listener: Async<TcpListener>,
 }
 
-impl SiteGatherer {
+impl GathererServer {
     /// Takes the address; an error is one line, and nothing listens then.
-    pub fn bind(start: GatherStart) -> Result<SiteGatherer, String> {
+    pub fn bind(start: GathererConfig) -> Result<GathererServer, String> {
         if !harestage_purge::messages::is_valid_name(&start.name) {
             return Err(format!(
                 "key name: {:?} is not a name of letters, digits, dots and dashes",
@@ -80,13 +80,13 @@
         }
         let listener = Async::<TcpListener>::bind(start.listen)
             .map_err(|why| format!("key listen: {} can't be listened on: {why}", start.listen))?;
-        Ok(SiteGatherer { start, listener })
+        Ok(GathererServer { start, listener })
     }
 
     /// Serves until `stop` says so.
     pub fn serve(self, log: Logger, stop: Receiver<()>) {
         let (spawner, clock) = (Spawner::default(), Clock::start());
-        let SiteGatherer { start, listener } = self;
+        let GathererServer { start, listener } = self;
         // No other start of it has this number: clocks go on between two of them.
         let gatherer = Gatherer::new(&start.name, clock.now().micros());
         let site = Rc::new(Site {
@@ -121,7 +121,7 @@
 async fn forget(site: Rc<Site>) {
     loop {
         Timer::after(LOOK_BACK).await;
-        let before = site.clock.now().before(KEPT).micros() / 1_000;
+        let before = site.clock.now().before(RETENTION).micros() / 1_000;
         site.gatherer.borrow_mut().forget_before(before);
     }
 }
@@ -206,7 +206,7 @@
         return say(stream, &ToMember::NotLeader { leader: None }).await;
     };
     let below = Below { site, is: RefCell::new((first.member.clone(), first.incarnation)) };
-    let done = below::serve(&below, &mut lines, first).await;
+    let done = member_connection::serve_member(&below, &mut lines, first).await;
     let (name, start) = below.is.into_inner();
     site.gatherer.borrow_mut().on_disconnect(&name, start);
     site.said.notify(usize::MAX);
@@ -219,8 +219,8 @@
     is: RefCell<(String, u64)>,
 }
 
-impl Teller for Below<'_> {
-    async fn answer(&self, said: &Ack) -> Option<ToMember> {
+impl UpdateSource for Below<'_> {
+    async fn on_ack(&self, said: &Ack) -> Option<ToMember> {
         self.is.replace((said.member.clone(), said.incarnation));
         let answer = self.site.gatherer.borrow_mut().on_ack(said, self.site.clock.now());
         self.site.said.notify(usize::MAX);
@@ -234,21 +234,21 @@
         }
     }
 
-    fn elsewhere(&self) -> ToMember {
+    fn redirect(&self) -> ToMember {
         ToMember::NotLeader { leader: None }
     }
 
-    fn told(&self) -> Option<u64> {
+    fn last_published(&self) -> Option<u64> {
         let gatherer = self.site.gatherer.borrow();
         gatherer.is_serving(self.site.clock.now()).then(|| gatherer.last())
     }
 
-    fn after(&self, number: u64) -> Option<ToMember> {
+    fn updates_after(&self, number: u64) -> Option<ToMember> {
         let (term, missing) = self.site.gatherer.borrow().after(number)?;
         Some(ToMember::from_catch_up(term, missing))
     }
 
-    async fn until_news(&self, at_most: Duration) {
+    async fn wait_for_update(&self, at_most: Duration) {
         until(&self.site.news, at_most).await;
     }
 }
--- a/crates/purger/src/lib.rs
+++ b/crates/purger/src/lib.rs
@@ -1,14 +1,13 @@
 //! The service of purges on sockets and disk: one thread; one task turns the state machine of `harestage_purge`, and
 //! one for each connection of a member or a client. Nothing here decides.
 //!
-//! Members call it themselves, or their site's gatherer does for them ([`gather`]). It is a member of a group, alone or with others: whoever leads runs the state machine on what the group has agreed on.
+//! Members call it themselves, or their site's gatherer does for them ([`gatherer`]). It is a member of a group, alone or with others: whoever leads runs the state machine on what the group has agreed on.
 //! All that came within a turn is written with one sync, and told once it is agreed on: nobody hears of it before.
-pub mod below;
-pub mod gather;
+pub mod gatherer;
+pub mod member_connection;
 
 use async_channel::Receiver;
 use async_io::Timer;
-use below::Teller;
 use futures_lite::future::or;
 use harestage::time::{Moment, Span};
 use harestage_purge::members::MessageError;
@@ -25,6 +24,7 @@
 use harestage_sockets::clock::Clock;
 use harestage_sockets::lines::LineReader;
 use harestage_sockets::{Spawner, Stream};
+use member_connection::UpdateSource;
 use slog::{Logger, info, warn};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
 const MOST_REPORTS: usize = 65_536;
 /// Purges are kept for members that were away; one that was away for longer drops all that is older. Regions lose each
 /// other for an hour: one that comes back after it, and after half an hour more, is told what it missed.
-pub const KEPT: Span = Span::millis(90 * 60_000);
+pub const RETENTION: Span = Span::millis(90 * 60_000);
 /// Purges on a page of a list.
 const PAGE: usize = 4_096;
 /// What is old is looked for so often.
@@ -59,7 +59,7 @@
 type Keeper = Host<Purges>;
 
 /// A service that listens already.
-pub struct Purger(Listening<Purges>);
+pub struct PurgeServer(Listening<Purges>);
 
 fn read_entries(data: &[Vec<u8>]) -> Result<Vec<LogEntry>, String> {
     let read = |(n, bytes): (usize, &Vec<u8>)| {
@@ -85,10 +85,10 @@
     Ok(data)
 }
 
-impl Purger {
+impl PurgeServer {
     /// A group of one: takes the service up from its log. An error is one line.
-    pub fn open(listen: SocketAddr, folder: &Path, logger: Logger) -> Result<Purger, String> {
-        Purger::open_member(listen, folder, &CouncilStart::alone("purges"), logger)
+    pub fn open(listen: SocketAddr, folder: &Path, logger: Logger) -> Result<PurgeServer, String> {
+        PurgeServer::open_member(listen, folder, &CouncilStart::alone("purges"), logger)
     }
 
     /// One member of a group.
@@ -97,14 +97,14 @@
         folder: &Path,
         start: &CouncilStart,
         logger: Logger,
-    ) -> Result<Purger, String> {
+    ) -> Result<PurgeServer, String> {
         let clock = Clock::start();
         let council = Council::open(start, folder, Vec::new(), read_old, clock, logger.clone())
             .map_err(|why| why.to_string())?;
         read_entries(&council.data()).map_err(|why| format!("{}: {why}", folder.display()))?;
         let told = RefCell::new(Recent::new(MOST_REPORTS));
         let purges = Purges { told, reports: RefCell::default() };
-        Listening::at(listen, council, purges, ConnectionLimit::new(MOST_CONNECTIONS)).map(Purger)
+        Listening::at(listen, council, purges, ConnectionLimit::new(MOST_CONNECTIONS)).map(PurgeServer)
     }
 
     /// Serves until `stop` says so; an error if the log could not be written.
@@ -181,7 +181,7 @@
 
     async fn serve(host: &Keeper, lines: &mut LineReader<'_>, first: Vec<u8>) -> Result<(), String> {
         if let Ok(confirm) = serde_json::from_slice::<Ack>(&first) {
-            return below::serve(&Direct(host), lines, confirm).await;
+            return member_connection::serve_member(&Direct(host), lines, confirm).await;
         }
         if let Ok(FromGatherer::Gathered(line)) = serde_json::from_slice(&first) {
             return gatherer(host, lines, line).await;
@@ -198,7 +198,7 @@
 /// Forgets what is old.
 fn forget(host: &Keeper) {
     let now = host.now();
-    let before = now.before(KEPT).micros() / 1_000;
+    let before = now.before(RETENTION).micros() / 1_000;
     let effects = host.with(|service| service.forget_before(before, now)).unwrap_or_default();
     if !effects.is_empty() {
         host.carry_out(effects);
@@ -223,8 +223,8 @@
 /// Members that call the service itself.
 struct Direct<'a>(&'a Keeper);
 
-impl Teller for Direct<'_> {
-    async fn answer(&self, said: &Ack) -> Option<ToMember> {
+impl UpdateSource for Direct<'_> {
+    async fn on_ack(&self, said: &Ack) -> Option<ToMember> {
         let now = self.0.now();
         let heard = self.0.with(|service| (service.term(), service.on_ack(said, now)))?;
         let (term, (missing, effects)) = match heard {
@@ -242,21 +242,21 @@
         self.0.settled().await.then(|| ToMember::from_catch_up(term, missing))
     }
 
-    fn elsewhere(&self) -> ToMember {
+    fn redirect(&self) -> ToMember {
         elsewhere(self.0)
     }
 
-    fn told(&self) -> Option<u64> {
+    fn last_published(&self) -> Option<u64> {
         self.0.council.may_speak().then(|| self.0.hosted.told.borrow().last())
     }
 
-    fn after(&self, number: u64) -> Option<ToMember> {
+    fn updates_after(&self, number: u64) -> Option<ToMember> {
         let term = self.0.with(|service| service.term())?;
         let items = self.0.hosted.told.borrow().after(number).take(MAX_BATCH_ITEMS).cloned().collect();
         Some(ToMember::Items { term, items })
     }
 
-    async fn until_news(&self, at_most: Duration) {
+    async fn wait_for_update(&self, at_most: Duration) {
         self.0.until_news(at_most).await;
     }
 }
--- a/crates/purger/src/below.rs
+++ b/crates/purger/src/member_connection.rs
@@ -9,20 +9,20 @@
 use std::time::Duration;
 
 /// Whoever tells members: what it says, and when it may.
-pub trait Teller {
+pub trait UpdateSource {
     /// What a member's word is answered with. None: another one has to be asked.
-    fn answer(&self, said: &Ack) -> impl Future<Output = Option<ToMember>>;
+    fn on_ack(&self, said: &Ack) -> impl Future<Output = Option<ToMember>>;
 
     /// Where to ask else.
-    fn elsewhere(&self) -> ToMember;
+    fn redirect(&self) -> ToMember;
 
     /// The last number that may be told, for as long as this one may tell anything.
-    fn told(&self) -> Option<u64>;
+    fn last_published(&self) -> Option<u64>;
 
     /// What follows a number, a piece at most, of what may be told.
-    fn after(&self, number: u64) -> Option<ToMember>;
+    fn updates_after(&self, number: u64) -> Option<ToMember>;
 
-    fn until_news(&self, at_most: Duration) -> impl Future<Output = ()>;
+    fn wait_for_update(&self, at_most: Duration) -> impl Future<Output = ()>;
 }
 
 /// What a word is answered with, without what this connection has told that process already. Words are behind what was told by
@@ -52,7 +52,11 @@
 }
 
 /// Serves a member from its first word on, to the end of its connection.
-pub async fn serve(teller: &impl Teller, lines: &mut LineReader<'_>, first: Ack) -> Result<(), String> {
+pub async fn serve_member(
+    teller: &impl UpdateSource,
+    lines: &mut LineReader<'_>,
+    first: Ack,
+) -> Result<(), String> {
     if !first.has_valid_name() {
         return Err("a member of no usable name".into());
     }
@@ -63,7 +67,7 @@
         if next.member != name {
             return Err(format!("{name} calls itself {}", next.member));
         }
-        let Some(answer) = teller.answer(&next).await else { return say(stream, &teller.elsewhere()).await };
+        let Some(answer) = teller.on_ack(&next).await else { return say(stream, &teller.redirect()).await };
         if told.0 != next.incarnation {
             told = (next.incarnation, 0);
         }
@@ -77,8 +81,8 @@
         // What is new is told without being asked; the next line comes in its time.
         let heard = async { Some(lines.next_line().await) };
         let new = async {
-            while waits || teller.told().is_some_and(|told| told <= has) {
-                teller.until_news(LOOK).await;
+            while waits || teller.last_published().is_some_and(|told| told <= has) {
+                teller.wait_for_update(LOOK).await;
             }
             None
         };
@@ -89,8 +93,8 @@
         let line = match or(or(heard, new), late).await {
             Some(line) => line?,
             None => {
-                let Some(news) = teller.told().and_then(|_| teller.after(has)) else {
-                    return say(stream, &teller.elsewhere()).await;
+                let Some(news) = teller.last_published().and_then(|_| teller.updates_after(has)) else {
+                    return say(stream, &teller.redirect()).await;
                 };
                 say(stream, &news).await?;
                 told.1 = upto(&news, has).0;
--- a/crates/purger/tests/below.rs
+++ b/crates/purger/tests/member_connection.rs
@@ -3,7 +3,7 @@
 use harestage_purge::messages::{Ack, Past, ToMember, to_line};
 use harestage_purge::scope::Scope;
 use harestage_purge::sequencer::{Item, Payload};
-use harestage_purger::below::{Teller, serve};
+use harestage_purger::member_connection::{UpdateSource, serve_member};
 use harestage_sockets::Spawner;
 use harestage_sockets::lines::{LineReader, write_text};
 use std::cell::Cell;
@@ -22,24 +22,24 @@
     ToMember::Items { term: 1, items: (after + 1..=upto).map(item).collect() }
 }
 
-impl Teller for Script {
-    async fn answer(&self, said: &Ack) -> Option<ToMember> {
+impl UpdateSource for Script {
+    async fn on_ack(&self, said: &Ack) -> Option<ToMember> {
         Some(items(said.applied, self.0.get()))
     }
 
-    fn elsewhere(&self) -> ToMember {
+    fn redirect(&self) -> ToMember {
         ToMember::NotLeader { leader: None }
     }
 
-    fn told(&self) -> Option<u64> {
+    fn last_published(&self) -> Option<u64> {
         Some(self.0.get())
     }
 
-    fn after(&self, number: u64) -> Option<ToMember> {
+    fn updates_after(&self, number: u64) -> Option<ToMember> {
         Some(items(number, self.0.get()))
     }
 
-    async fn until_news(&self, _: Duration) {
+    async fn wait_for_update(&self, _: Duration) {
         futures_lite::future::yield_now().await;
     }
 }
@@ -55,7 +55,7 @@
     spawner.spawn(async move {
         let mut lines = LineReader::new(&far, 64 << 10);
         let first = lines.next_line().await.unwrap();
-        let _ = serve(&script, &mut lines, serde_json::from_slice(&first).unwrap()).await;
+        let _ = serve_member(&script, &mut lines, serde_json::from_slice(&first).unwrap()).await;
     });
     spawner.block_on(async {
         let mut lines = LineReader::new(&near, 64 << 10);
