--- a/crates/cli/src/audit.rs
+++ b/crates/cli/src/audit.rs
@@ -7,7 +7,7 @@
 use harestage_audit::lagging::{MemberStatus, Obstacle};
 use harestage_audit::messages::{self, KeeperStatus, OperatorResponse};
 use harestage_audit::obligations::{Obligations, Staleness};
-use harestage_keeper::columns;
+use harestage_keeper::parquet_file;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -371,7 +371,7 @@
 }
 
 /// The records of folders and files: those in columnar files, and what was read wrongly.
-fn read(paths: &[PathBuf]) -> Result<(Vec<Link>, Vec<columns::Wrong>), Failure> {
+fn read(paths: &[PathBuf]) -> Result<(Vec<Link>, Vec<parquet_file::ReadError>), Failure> {
     let mut files = Vec::new();
     for path in paths {
         let within = path.join("files");
@@ -394,11 +394,13 @@
         let name = file.display().to_string();
         match std::fs::read(&file) {
             Ok(bytes) => {
-                let (read, bad) = columns::read(&name, bytes);
+                let (read, bad) = parquet_file::read(&name, bytes);
                 links.extend(read);
                 wrong.extend(bad);
             }
-            Err(why) => wrong.push(columns::Wrong { file: name, row: None, why: why.to_string() }),
+            Err(why) => {
+                wrong.push(parquet_file::ReadError { file: name, row: None, reason: why.to_string() })
+            }
         }
     }
     links.sort_by(|a, b| (&a.member, a.start, a.number).cmp(&(&b.member, b.start, b.number)));
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -17,7 +17,7 @@
 use harestage_control::serve::Keeper;
 use harestage_hub::net::Hub;
 use harestage_hub::start::HubFile;
-use harestage_keeper::serve::Follows;
+use harestage_keeper::server::Upstreams;
 use harestage_purger::gatherer::{GathererConfig, GathererServer};
 use harestage_shape::config;
 use std::net::SocketAddr;
@@ -200,7 +200,7 @@
         What::Group { what } => return group::run(what),
         What::Purge { what } => return purge::run(what),
         What::Keeper { listen, folder, controls, purges, group } => {
-            let follows = Follows { controls, purges };
+            let follows = Upstreams { control_services: controls, purge_services: purges };
             keeper(listen, &folder, follows, &group, log)
         }
         What::Audit { what } => return audit::run(what),
@@ -285,13 +285,13 @@
 fn keeper(
     listen: SocketAddr,
     folder: &std::path::Path,
-    follows: Follows,
+    follows: Upstreams,
     group: &group::Membership,
     form: log::Form,
 ) -> Result<(), String> {
     let start = group.checked("keeper")?;
     let (log, _written_at_end) = log::open(&start.name, form);
-    let keeper = harestage_keeper::serve::Keeper::open(listen, folder, &start, follows, log)?;
+    let keeper = harestage_keeper::server::KeeperServer::open(listen, folder, &start, follows, log)?;
     keeper.serve(log::until_signal()?)
 }
 
--- a/crates/cli/tests/audit.rs
+++ b/crates/cli/tests/audit.rs
@@ -401,7 +401,7 @@
     use harestage_audit::chain::Outcome;
     use harestage_audit::record::Recorder;
     use harestage_audit::stamp::Versions;
-    use harestage_keeper::columns;
+    use harestage_keeper::parquet_file;
     let at = |ms: u64| harestage::time::Moment::at_micros(ms * 1_000);
     let mut recorder = Recorder::new("router-1", 1, vec!["clip".into()], Versions::default(), None, at(0));
     for second in 0..20u64 {
@@ -414,7 +414,7 @@
     let folder = std::env::temp_dir().join(format!("harestage-records-{}", std::process::id()));
     std::fs::create_dir_all(folder.join("files")).unwrap();
     let path = folder.join("files").join("audit-00000001.parquet");
-    let whole = columns::write(&links).unwrap();
+    let whole = parquet_file::write(&links).unwrap();
     std::fs::write(&path, &whole).unwrap();
     let shown = folder.display().to_string();
     let verify = || harestage(&["audit", "verify", &shown]);
@@ -422,8 +422,11 @@
     // A row whose words are another's.
     let mut altered = links.clone();
     altered[5].at_ms += 1;
-    std::fs::write(folder.join("files").join("audit-00000002.parquet"), columns::write(&altered).unwrap())
-        .unwrap();
+    std::fs::write(
+        folder.join("files").join("audit-00000002.parquet"),
+        parquet_file::write(&altered).unwrap(),
+    )
+    .unwrap();
     let (code, said) = verify();
     assert!(
         code == 4 && said.contains("audit-00000002.parquet: row 6: its words are not those of its hash"),
@@ -435,7 +438,7 @@
     std::fs::write(folder.join("files").join("audit-00000004.parquet"), b"not one").unwrap();
     let mut later = links.clone();
     later[0].format = 9;
-    std::fs::write(folder.join("files").join("audit-00000005.parquet"), columns::write(&later).unwrap())
+    std::fs::write(folder.join("files").join("audit-00000005.parquet"), parquet_file::write(&later).unwrap())
         .unwrap();
     let (code, said) = verify();
     assert_eq!(code, 4);
--- a/crates/keeper/src/lib.rs
+++ b/crates/keeper/src/lib.rs
@@ -1,5 +1,5 @@
-//! The keeper of the audit on disk and sockets: [`columns`] has records as columnar files, [`store`] keeps links until they
-//! are in one, [`serve`] joins `harestage_audit::keeper` to sockets. Nothing here decides.
-pub mod columns;
-pub mod serve;
+//! The keeper of the audit on disk and sockets: [`parquet_file`] has records as columnar files, [`store`] keeps links until they
+//! are in one, [`server`] joins `harestage_audit::keeper` to sockets. Nothing here decides.
+pub mod parquet_file;
+pub mod server;
 pub mod store;
--- a/crates/keeper/src/columns.rs
+++ b/crates/keeper/src/parquet_file.rs
@@ -36,18 +36,18 @@
 
 /// What is wrong with a file or one of its rows.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct ReadError {
     pub file: String,
     /// From 1 on; none: the file as a whole.
     pub row: Option<usize>,
-    pub why: String,
+    pub reason: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.row {
-            Some(row) => write!(f, "{}: row {row}: {}", self.file, self.why),
-            None => write!(f, "{}: {}", self.file, self.why),
+            Some(row) => write!(f, "{}: row {row}: {}", self.file, self.reason),
+            None => write!(f, "{}: {}", self.file, self.reason),
         }
     }
 }
@@ -138,8 +138,8 @@
 }
 
 /// The links of a file, and what is wrong with it: a bad row is named, and the others are still read.
-pub fn read(name: &str, bytes: Vec<u8>) -> (Vec<Link>, Vec<Wrong>) {
-    let of_file = |why: String| vec![Wrong { file: name.into(), row: None, why }];
+pub fn read(name: &str, bytes: Vec<u8>) -> (Vec<Link>, Vec<ReadError>) {
+    let of_file = |why: String| vec![ReadError { file: name.into(), row: None, reason: why }];
     let reader = match SerializedFileReader::new(Bytes::from(bytes)) {
         Ok(reader) => reader,
         Err(why) => return (Vec::new(), of_file(format!("can't be read: {why}"))),
@@ -150,7 +150,7 @@
     };
     let (mut links, mut wrong) = (Vec::new(), Vec::new());
     for (n, row) in rows.enumerate() {
-        let at = |why: String| Wrong { file: name.into(), row: Some(n + 1), why };
+        let at = |why: String| ReadError { file: name.into(), row: Some(n + 1), reason: why };
         match row {
             Ok(row) => match link_of(&row) {
                 Ok(link) => links.push(link),
--- a/crates/keeper/src/serve.rs
+++ b/crates/keeper/src/server.rs
@@ -41,9 +41,9 @@
 
 /// What the keeper follows.
 #[derive(Clone, Debug, Default)]
-pub struct Follows {
-    pub controls: Vec<SocketAddr>,
-    pub purges: Vec<SocketAddr>,
+pub struct Upstreams {
+    pub control_services: Vec<SocketAddr>,
+    pub purge_services: Vec<SocketAddr>,
 }
 
 fn terms() -> Line {
@@ -70,13 +70,13 @@
     /// The last version that was heard, for whoever takes the keeper up.
     version: RefCell<Option<Box<ShapeConfig>>>,
     purges: Cell<u64>,
-    follows: Follows,
+    follows: Upstreams,
 }
 
 type Service = Host<Links>;
 
 /// A keeper that listens already.
-pub struct Keeper(Listening<Links>);
+pub struct KeeperServer(Listening<Links>);
 
 fn records(data: &[Vec<u8>]) -> Result<Vec<Record>, String> {
     let read = |(n, bytes): (usize, &Vec<u8>)| {
@@ -94,22 +94,22 @@
     Err("the folder holds something else".into())
 }
 
-impl Keeper {
+impl KeeperServer {
     /// One member of the keeper. An error is one line.
     pub fn open(
         listen: SocketAddr,
         folder: &Path,
         start: &CouncilStart,
-        follows: Follows,
+        follows: Upstreams,
         log: Logger,
-    ) -> Result<Keeper, String> {
+    ) -> Result<KeeperServer, String> {
         let clock = Clock::start();
         let council = Council::open(start, folder, Vec::new(), no_old, clock, log.clone())
             .map_err(|why| why.to_string())?;
         records(&council.data()).map_err(|why| format!("{}: {why}", folder.display()))?;
         let (store, held) = Store::open(folder).map_err(|why| format!("{}: {why}", folder.display()))?;
-        for wrong in &store.wrong {
-            warn!(log, "a record can't be read"; "file" => &wrong.file, "row" => wrong.row, "why" => &wrong.why);
+        for wrong in &store.read_errors {
+            warn!(log, "a record can't be read"; "file" => &wrong.file, "row" => wrong.row, "why" => &wrong.reason);
         }
         let links = Links {
             store: RefCell::new(store),
@@ -122,7 +122,7 @@
             purges: Cell::new(0),
             follows,
         };
-        Listening::at(listen, council, links, ConnectionLimit::new(MOST_CONNECTIONS)).map(Keeper)
+        Listening::at(listen, council, links, ConnectionLimit::new(MOST_CONNECTIONS)).map(KeeperServer)
     }
 
     /// Serves until `stop` says so; an error if the disk takes nothing more.
@@ -197,9 +197,14 @@
         spawner.spawn(sync(host.clone()));
         let follows = &host.hosted.follows;
         let of_control = Follower(host.clone());
-        spawner.spawn(control::follow(of_control, follows.controls.clone(), terms(), host.log().clone()));
-        if !follows.purges.is_empty() {
-            let (own, services) = (host.clone(), follows.purges.clone());
+        spawner.spawn(control::follow(
+            of_control,
+            follows.control_services.clone(),
+            terms(),
+            host.log().clone(),
+        ));
+        if !follows.purge_services.is_empty() {
+            let (own, services) = (host.clone(), follows.purge_services.clone());
             spawner.spawn(async move {
                 let (name, number, log) = (own.name().to_string(), own.now().micros(), own.log().clone());
                 purges::follow(&name, number, Past::Cold, services, terms(), Purges(own), log).await;
@@ -310,7 +315,7 @@
     let form = Box::new(ShapeConfig { version: 0, ..before });
     let call =
         shape_lines::Request::Apply { form, expect: Some(shape), by: format!("audit, withdrawing {shape}") };
-    let controls = &service.hosted.follows.controls;
+    let controls = &service.hosted.follows.control_services;
     for n in 0..TRIES * controls.len().max(1) {
         let at = controls[n % controls.len()];
         let said = async {
--- a/crates/keeper/src/store.rs
+++ b/crates/keeper/src/store.rs
@@ -1,7 +1,7 @@
 //! Links on disk: on the log of `harestage_segments` at first, which one sync makes safe for all that came meanwhile, and
 //! then in columnar files, rolled by size and time. A link is in the log until the file that has it is synced under its
 //! name; after a crash between the two it is in both, and counts once.
-use crate::columns;
+use crate::parquet_file;
 use harestage_audit::chain::Link;
 use harestage_segments::{Files, Folder, Log, LogError};
 use std::fmt;
@@ -42,7 +42,7 @@
     rolled: Instant,
     /// The number that the next file gets.
     next: u64,
-    pub wrong: Vec<columns::Wrong>,
+    pub read_errors: Vec<parquet_file::ReadError>,
 }
 
 fn file_name(number: u64) -> String {
@@ -71,12 +71,16 @@
             next = next.max(file_number(name).unwrap_or(0) + 1);
             match files.read(name) {
                 Ok(bytes) => {
-                    let (links, bad) = columns::read(name, bytes);
+                    let (links, bad) = parquet_file::read(name, bytes);
                     all.extend(links);
                     wrong.extend(bad);
                 }
                 Err(why) => {
-                    wrong.push(columns::Wrong { file: name.clone(), row: None, why: why.to_string() });
+                    wrong.push(parquet_file::ReadError {
+                        file: name.clone(),
+                        row: None,
+                        reason: why.to_string(),
+                    });
                 }
             }
         }
@@ -86,12 +90,12 @@
                 Ok(link) => links.push(link),
                 Err(why) => {
                     let file = format!("links, record {}", record.number);
-                    wrong.push(columns::Wrong { file, row: None, why: why.to_string() });
+                    wrong.push(parquet_file::ReadError { file, row: None, reason: why.to_string() });
                 }
             }
         }
         all.extend(links.iter().cloned());
-        Ok((Store { log, files, links, rolled: Instant::now(), next, wrong }, all))
+        Ok((Store { log, files, links, rolled: Instant::now(), next, read_errors: wrong }, all))
     }
 
     /// Takes links in; they are kept after the next sync.
@@ -117,7 +121,7 @@
         self.sync()?;
         let name = file_name(self.next);
         let of_file = |why: String| StoreError::File { file: name.clone(), why };
-        let bytes = columns::write(&self.links).map_err(of_file)?;
+        let bytes = parquet_file::write(&self.links).map_err(of_file)?;
         self.make(&name, &bytes)
             .map_err(|why| StoreError::File { file: name.clone(), why: why.to_string() })?;
         // Only now that the file stands: what the log has is not needed any more.
--- a/crates/keeper/tests/stores.rs
+++ b/crates/keeper/tests/stores.rs
@@ -3,7 +3,7 @@
 use harestage_audit::chain::{Link, Outcome};
 use harestage_audit::record::Recorder;
 use harestage_audit::stamp::Versions;
-use harestage_keeper::columns;
+use harestage_keeper::parquet_file;
 use harestage_keeper::store::Store;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -55,10 +55,10 @@
 #[test]
 fn links_come_back_from_their_columns_as_they_were() {
     let links = links("router-1", 40);
-    let bytes = columns::write(&links).unwrap();
-    let (read, wrong) = columns::read("file", bytes);
+    let bytes = parquet_file::write(&links).unwrap();
+    let (read, wrong) = parquet_file::read("file", bytes);
     assert_eq!((read, wrong), (links, Vec::new()));
-    let (none, wrong) = columns::read("file", Vec::new());
+    let (none, wrong) = parquet_file::read("file", Vec::new());
     assert!(none.is_empty() && wrong.len() == 1 && wrong[0].row.is_none());
 }
 
@@ -100,7 +100,7 @@
     store.sync().unwrap();
     drop(store);
     let path = scratch.0.join("files").join("audit-00000001.parquet");
-    std::fs::write(path, columns::write(&all).unwrap()).unwrap();
+    std::fs::write(path, parquet_file::write(&all).unwrap()).unwrap();
     let (_, held) = Store::open(&scratch.0).unwrap();
     assert_eq!(held.len(), 24);
     let (mut file, owed) = (History::default(), Obligations::default());
@@ -127,7 +127,11 @@
     bytes[middle] ^= 0x40;
     std::fs::write(&path, bytes).unwrap();
     let (mut store, held) = Store::open(&scratch.0).unwrap();
-    assert!(store.wrong.iter().any(|wrong| wrong.file == "audit-00000002.parquet"), "{:?}", store.wrong);
+    assert!(
+        store.read_errors.iter().any(|wrong| wrong.file == "audit-00000002.parquet"),
+        "{:?}",
+        store.read_errors
+    );
     assert!(hashes(&held).is_superset(&hashes(&all[..10])) && hashes(&held).is_superset(&hashes(&all[20..])));
     store.append(&links("router-2", 3)).unwrap();
     assert_eq!(store.roll(true).unwrap().as_deref(), Some("audit-00000004.parquet"), "no name is used twice");
--- a/crates/measure/src/audit.rs
+++ b/crates/measure/src/audit.rs
@@ -14,7 +14,7 @@
 use harestage_fleet::Fleet;
 use harestage_fleet::scenario::{ProcessForm, Runs, WayForm};
 use harestage_fleet::timeline::Entry;
-use harestage_keeper::columns;
+use harestage_keeper::parquet_file;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -205,7 +205,9 @@
         .unwrap_or_default();
     names.sort();
     let parquet = names.iter().filter(|path| path.extension().is_some_and(|end| end == "parquet"));
-    parquet.flat_map(|path| columns::read("records", std::fs::read(path).unwrap_or_default()).0).collect()
+    parquet
+        .flat_map(|path| parquet_file::read("records", std::fs::read(path).unwrap_or_default()).0)
+        .collect()
 }
 
 fn liars_found(keeper: SocketAddr, binary: &Path) -> usize {
@@ -427,7 +429,7 @@
     }
     figures.set("record_ns", spent.as_secs_f64() * 1e9 / DOWNLOADS as f64);
     let json: usize = links.iter().map(|link| to_line(link).len()).sum();
-    let parquet = columns::write(&links).map_or(f64::NAN, |bytes| bytes.len() as f64);
+    let parquet = parquet_file::write(&links).map_or(f64::NAN, |bytes| bytes.len() as f64);
     figures.set("bytes_per_million", parquet);
     figures.set("json_bytes_per_million", json as f64);
     let begun = Instant::now();
@@ -468,8 +470,8 @@
         for n in 0..links.len() {
             let mut altered = links.clone();
             change(&mut altered[n]);
-            let Ok(bytes) = columns::write(&altered) else { continue };
-            let (read, wrong) = columns::read("altered", bytes);
+            let Ok(bytes) = parquet_file::write(&altered) else { continue };
+            let (read, wrong) = parquet_file::read("altered", bytes);
             tampered += 1;
             found += usize::from(wrong.iter().any(|w| w.row == Some(n + 1)) && read.len() == links.len() - 1);
         }
