--- a/crates/cli/src/group.rs
+++ b/crates/cli/src/group.rs
@@ -2,7 +2,7 @@
 use crate::ask::Call;
 use crate::exit;
 use harestage_group::{Member, ReplicaStatus};
-use harestage_seats::{Answer, CouncilStart};
+use harestage_seats::{GroupMemberConfig, GroupResponse};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
@@ -44,8 +44,8 @@
 
 impl Membership {
     /// `alone` is what it is called where it is in no group.
-    pub fn checked(&self, alone: &str) -> Result<CouncilStart, String> {
-        let Some(name) = &self.member else { return Ok(CouncilStart::alone(alone)) };
+    pub fn checked(&self, alone: &str) -> Result<GroupMemberConfig, String> {
+        let Some(name) = &self.member else { return Ok(GroupMemberConfig::standalone(alone)) };
         if self.peers.len() != self.at.len() || self.peers.len() != self.serves.len() {
             return Err(format!(
                 "--peer, --at and --serves come {}, {} and {} times: each founder needs all three",
@@ -80,7 +80,7 @@
         if !self.join && !founders.iter().any(|m| m.name == *name) {
             return Err(format!("--member: {name} is not among the founders"));
         }
-        Ok(CouncilStart {
+        Ok(GroupMemberConfig {
             name: name.clone(),
             incarnation: self.incarnation,
             listen: self.group_listen,
@@ -134,10 +134,12 @@
             name_and_site(&member).map_err(Failure::Refused).and_then(|(name, site)| {
                 let (at, serves) = (at.to_string(), serves.to_string());
                 let member = Member { name, site, address: at, service_address: serves, incarnation };
-                change(&services, &harestage_seats::Call::GroupAdd { member })
+                change(&services, &harestage_seats::GroupRequest::GroupAdd { member })
             })
         }
-        Group::Remove { services, name } => change(&services, &harestage_seats::Call::GroupRemove { name }),
+        Group::Remove { services, name } => {
+            change(&services, &harestage_seats::GroupRequest::GroupRemove { name })
+        }
     };
     let (why, code) = match done {
         Ok(()) => return ExitCode::SUCCESS,
@@ -148,7 +150,7 @@
     ExitCode::from(code)
 }
 
-fn ask(at: SocketAddr, call: &harestage_seats::Call) -> Result<Answer, Failure> {
+fn ask(at: SocketAddr, call: &harestage_seats::GroupRequest) -> Result<GroupResponse, Failure> {
     Call::begin("service", at, call).and_then(|mut call| call.next()).map_err(Failure::Away)
 }
 
@@ -156,8 +158,8 @@
 fn status(services: &[SocketAddr], json: bool) -> Result<(), Failure> {
     let (mut seen, mut away) = (Vec::<ReplicaStatus>::new(), Vec::new());
     for at in services {
-        match ask(*at, &harestage_seats::Call::GroupStatus) {
-            Ok(Answer::GroupStatus(status)) => seen.push(*status),
+        match ask(*at, &harestage_seats::GroupRequest::GroupStatus) {
+            Ok(GroupResponse::GroupStatus(status)) => seen.push(*status),
             Ok(other) => away.push(format!("{at}: an unexpected answer: {other:?}")),
             Err(Failure::Away(why) | Failure::Refused(why)) => away.push(why),
         }
@@ -193,11 +195,11 @@
 }
 
 /// Asks whoever speaks for the group.
-fn change(services: &[SocketAddr], call: &harestage_seats::Call) -> Result<(), Failure> {
-    let answer = Call::find("service", services, call).and_then(|mut call| call.next::<Answer>());
+fn change(services: &[SocketAddr], call: &harestage_seats::GroupRequest) -> Result<(), Failure> {
+    let answer = Call::find("service", services, call).and_then(|mut call| call.next::<GroupResponse>());
     match answer.map_err(Failure::Away)? {
-        Answer::GroupChanging => Ok(()),
-        Answer::Refused(why) => Err(Failure::Refused(why)),
+        GroupResponse::GroupChanging => Ok(()),
+        GroupResponse::Refused(why) => Err(Failure::Refused(why)),
         other => Err(Failure::Away(format!("an unexpected answer: {other:?}"))),
     }
 }
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -5,8 +5,10 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
-use harestage_seats::host::{Host, Hosted, LOOK, Listening, STALL, say};
-use harestage_seats::{Council, CouncilStart, Recent};
+use harestage_seats::host::{
+    Host, HostListener, HostedService, LEASE_CHECK_INTERVAL, PEER_TIMEOUT, write_message,
+};
+use harestage_seats::{GroupMember, GroupMemberConfig, RecentItems};
 use harestage_shape::config::ShapeConfig;
 use harestage_shape::control::{ChangeEvent, Control, Effect, SiteState};
 use harestage_shape::feed;
@@ -45,7 +47,7 @@
     /// Where this member is, as a witness of other sites.
     site: String,
     /// What was said lately, with its number.
-    said: RefCell<Recent<ChangeEvent>>,
+    said: RefCell<RecentItems<ChangeEvent>>,
     /// Connections of members, operators and routers together.
     open: ConnectionLimit,
 }
@@ -59,7 +61,7 @@
 }
 
 /// A service that listens already.
-pub struct Keeper(Listening<Changes>);
+pub struct Keeper(HostListener<Changes>);
 
 impl Keeper {
     /// A group of one: takes up the service where its journal ends, or with a first shape where there is none. An error
@@ -70,7 +72,7 @@
         first: Option<&ShapeConfig>,
         log: Logger,
     ) -> Result<Keeper, String> {
-        Keeper::open_member(listen, journal, first, &CouncilStart::alone("control"), log)
+        Keeper::open_member(listen, journal, first, &GroupMemberConfig::standalone("control"), log)
     }
 
     /// One member of a group.
@@ -78,11 +80,11 @@
         listen: SocketAddr,
         journal: &Path,
         first: Option<&ShapeConfig>,
-        start: &CouncilStart,
+        start: &GroupMemberConfig,
         log: Logger,
     ) -> Result<Keeper, String> {
         let clock = Clock::start();
-        let council = Council::open(start, journal, Vec::new(), journal::read_old, clock, log.clone())
+        let council = GroupMember::open(start, journal, Vec::new(), journal::read_old, clock, log.clone())
             .map_err(|why| why.to_string())?;
         if council.data().is_empty() && first.is_none() && !start.founders.is_empty() {
             return Err("the journal is empty, and no first shape was given".into());
@@ -97,14 +99,14 @@
             first: first.cloned(),
             told: Cell::new(0),
             site: start.site(),
-            said: RefCell::new(Recent::new(MOST_SAID)),
+            said: RefCell::new(RecentItems::new(MOST_SAID)),
             open: open.clone(),
         };
-        Listening::at(listen, council, changes, open).map(Keeper)
+        HostListener::bind(listen, council, changes, open).map(Keeper)
     }
 
     pub fn address(&self) -> Option<SocketAddr> {
-        self.0.address()
+        self.0.local_address()
     }
 
     /// Serves until `stop` says so; an error if the journal could not be written.
@@ -115,17 +117,17 @@
     }
 }
 
-impl Hosted for Changes {
+impl HostedService for Changes {
     type State = SiteController;
     type Effect = Effect;
 
-    const BROKEN: &'static str = "the journal can't be written, or is not this member's";
-    const LONGEST_LINE: usize = LONGEST_LINE;
+    const FAILURE_TEXT: &'static str = "the journal can't be written, or is not this member's";
+    const MAX_LINE_BYTES: usize = LONGEST_LINE;
 
     /// Runs the state machine from what was agreed on.
     fn open(host: &Service, data: &[Vec<u8>]) -> Result<(SiteController, Vec<Effect>), String> {
         let (director, effects) =
-            SiteController::open(&journal::records(data)?, host.hosted.first.as_ref(), host.now())
+            SiteController::open(&journal::records(data)?, host.service.first.as_ref(), host.now())
                 .map_err(|why| why.to_string())?;
         let control = director.control();
         info!(host.log(), "takes up the service"; "term" => control.term(),
@@ -133,54 +135,54 @@
         Ok((director, effects))
     }
 
-    fn entry(effect: &Effect) -> Option<Vec<u8>> {
+    fn log_entry(effect: &Effect) -> Option<Vec<u8>> {
         match effect {
             Effect::Write(record) => Some(journal::bytes(record)),
             Effect::Publish(_) | Effect::Announce(_) => None,
         }
     }
 
-    fn tell_of(host: &Service, effect: Effect) {
+    fn execute_effect(host: &Service, effect: Effect) {
         match effect {
             Effect::Write(_) => {}
             Effect::Publish(version) => {
                 info!(host.log(), "published"; "version" => version);
-                host.hosted.told.set(host.hosted.told.get().max(version));
+                host.service.told.set(host.service.told.get().max(version));
             }
             Effect::Announce(said) => {
                 if let ChangeEvent::Site { site, state, reason } = &said {
                     info!(host.log(), "site"; "site" => site, "is" => standing(state), "why" => reason);
                 }
                 info!(host.log(), "change"; "said" => serde_json::to_string(&said).unwrap_or_default());
-                let mut all = host.hosted.said.borrow_mut();
+                let mut all = host.service.said.borrow_mut();
                 let number = all.last() + 1;
                 all.push(number, said);
             }
         }
     }
 
-    fn laid_down(&self) {
+    fn on_step_down(&self) {
         self.told.set(0);
     }
 
-    fn broke(host: &Service) {
+    fn on_failure(host: &Service) {
         error!(host.log(), "journal not written");
     }
 
-    fn begin(host: &Rc<Service>, spawner: &Spawner) {
+    fn start_tasks(host: &Rc<Service>, spawner: &Spawner) {
         spawner.spawn(branch_feeds(host.clone(), spawner.clone()));
     }
 
-    async fn turns(host: &Rc<Service>, _: &Spawner) {
-        while !host.council.is_broken() {
+    async fn run(host: &Rc<Service>, _: &Spawner) {
+        while !host.member.has_failed() {
             Timer::after(BEAT).await;
             let now = host.now();
-            let beat = |director: &mut SiteController| director.tick(host.name(), &host.hosted.site, now);
-            let effects = host.with(beat).unwrap_or_default();
+            let beat = |director: &mut SiteController| director.tick(host.name(), &host.service.site, now);
+            let effects = host.with_state(beat).unwrap_or_default();
             if !effects.is_empty() {
-                host.carry_out(effects);
+                host.execute(effects);
             }
-            host.council.tidy(journal::shortened);
+            host.member.compact_log(journal::shortened);
         }
     }
 
@@ -198,11 +200,14 @@
             return or(hear(host, lines, name), tell(host, stream, last, place)).await;
         }
         if let Ok(call) = serde_json::from_slice::<controller::SiteRequest>(&first) {
-            return say(stream, &of_sites(host, call)).await;
+            return write_message(stream, &of_sites(host, call)).await;
         }
         match serde_json::from_slice(&first) {
             Ok(call) => answer(host, stream, call).await,
-            Err(why) => say(stream, &Response::Refused(vec![format!("the call can't be read: {why}")])).await,
+            Err(why) => {
+                write_message(stream, &Response::Refused(vec![format!("the call can't be read: {why}")]))
+                    .await
+            }
         }
     }
 }
@@ -214,27 +219,28 @@
 }
 
 async fn in_time<T>(work: impl Future<Output = Result<T, String>>) -> Result<T, String> {
-    with_timeout(STALL, "too slow", work).await
+    with_timeout(PEER_TIMEOUT, "too slow", work).await
 }
 
 async fn write(stream: &Stream, text: &[u8]) -> Result<(), String> {
-    write_text(stream, text, STALL).await
+    write_text(stream, text, PEER_TIMEOUT).await
 }
 
 fn of_sites(service: &Service, call: controller::SiteRequest) -> controller::SiteResponse {
     let now = service.now();
-    match service.with(|director| director.handle_request(call, now)) {
+    match service.with_state(|director| director.handle_request(call, now)) {
         Some((answer, effects)) => {
-            service.carry_out(effects);
+            service.execute(effects);
             answer
         }
-        None => controller::SiteResponse::NotLeader { leader: service.council.elsewhere() },
+        None => controller::SiteResponse::NotLeader { leader: service.member.leader_service_address() },
     }
 }
 
 /// Tells a member or an operator who does speak; whether they take it says nothing.
 async fn elsewhere(service: &Service, stream: &Stream) -> Result<(), String> {
-    let _ = say(stream, &ToMember::NotLeader { leader: service.council.elsewhere() }).await;
+    let _ =
+        write_message(stream, &ToMember::NotLeader { leader: service.member.leader_service_address() }).await;
     Ok(())
 }
 
@@ -249,12 +255,12 @@
 /// Versions to a member, each whole; one that was away gets the newest only. With each go the plans for its place.
 async fn tell(service: &Service, stream: &Stream, mut last: u64, place: Place<'_>) -> Result<(), String> {
     loop {
-        if !service.speaks() {
+        if !service.is_serving() {
             return elsewhere(service, stream).await;
         }
         // What was not agreed on must not be told, though the state has it already.
-        let told = service.hosted.told.get();
-        let version = service.with(|director| {
+        let told = service.service.told.get();
+        let version = service.with_state(|director| {
             let control = director.control();
             let shape = control.version(told).filter(|shape| shape.version() > last)?;
             let (form, plans) = match place {
@@ -269,9 +275,9 @@
         match version.flatten() {
             Some(version) => {
                 last = told;
-                say(stream, &version).await?;
+                write_message(stream, &version).await?;
             }
-            None => service.until_news(LOOK).await,
+            None => service.wait_for_update(LEASE_CHECK_INTERVAL).await,
         }
     }
 }
@@ -284,7 +290,7 @@
             return Err(format!("{name}: an unreadable report"));
         };
         let now = service.now();
-        let heard = service.with(|director| {
+        let heard = service.with_state(|director| {
             let (part, effects) = director.on_report(name, &report, now);
             let control = director.control();
             let beat = ToMember::Heartbeat { term: control.term(), last: control.shape().version() };
@@ -292,9 +298,9 @@
         });
         let Some((answer, effects)) = heard else { return elsewhere(service, lines.stream()).await };
         if !effects.is_empty() {
-            service.carry_out(effects);
+            service.execute(effects);
         }
-        say(lines.stream(), &answer).await?;
+        write_message(lines.stream(), &answer).await?;
     }
 }
 
@@ -302,56 +308,57 @@
     let now = service.now();
     let refused = |text: String| Response::Refused(text.lines().map(str::to_string).collect());
     let answer = match call {
-        Request::Status => service.with(|director| Response::Status(Box::new(director.status(now)))),
+        Request::Status => service.with_state(|director| Response::Status(Box::new(director.status(now)))),
         Request::Shape => {
-            service.with(|director| Response::Shape(Box::new(director.control().shape().to_config())))
+            service.with_state(|director| Response::Shape(Box::new(director.control().shape().to_config())))
         }
         Request::Plan { form } => {
-            service.with(|director| match plan::plan_change(director.control().shape(), &form, now) {
+            service.with_state(|director| match plan::plan_change(director.control().shape(), &form, now) {
                 Ok(plan) => Response::Plan(Box::new(plan)),
                 Err(why) => refused(why.to_string()),
             })
         }
         Request::Apply { form, expect, by } => {
-            let from = service.hosted.last_said();
-            match service.with(|director| director.apply(&form, expect, &by, now)) {
+            let from = service.service.last_said();
+            match service.with_state(|director| director.apply(&form, expect, &by, now)) {
                 Some(Ok(effects)) => {
-                    service.carry_out(effects);
+                    service.execute(effects);
                     return watch(service, stream, from, true).await;
                 }
                 Some(Err(why)) => Some(refused(why.to_string())),
                 None => None,
             }
         }
-        Request::Watch if service.speaks() => {
-            return watch(service, stream, service.hosted.last_said(), false).await;
+        Request::Watch if service.is_serving() => {
+            return watch(service, stream, service.service.last_said(), false).await;
         }
         Request::Watch => None,
     };
-    let answer = answer.unwrap_or_else(|| Response::NotLeader { leader: service.council.elsewhere() });
-    say(stream, &answer).await
+    let answer =
+        answer.unwrap_or_else(|| Response::NotLeader { leader: service.member.leader_service_address() });
+    write_message(stream, &answer).await
 }
 
 /// Says on what is said, after the given number; to the end of the change, or for as long as anyone listens.
 async fn watch(service: &Service, stream: &Stream, mut after: u64, to_the_end: bool) -> Result<(), String> {
     loop {
         let (last, new): (u64, Vec<ChangeEvent>) = {
-            let said = service.hosted.said.borrow();
+            let said = service.service.said.borrow();
             (said.last(), said.after(after).cloned().collect())
         };
         after = last;
         for said in new {
             let ended = matches!(said, ChangeEvent::Ended { .. });
-            say(stream, &Response::Event(said)).await?;
+            write_message(stream, &Response::Event(said)).await?;
             if ended && to_the_end {
                 return Ok(());
             }
         }
-        if !service.speaks() {
-            let answer = Response::NotLeader { leader: service.council.elsewhere() };
-            return say(stream, &answer).await;
+        if !service.is_serving() {
+            let answer = Response::NotLeader { leader: service.member.leader_service_address() };
+            return write_message(stream, &answer).await;
         }
-        service.until_news(LOOK).await;
+        service.wait_for_update(LEASE_CHECK_INTERVAL).await;
     }
 }
 
@@ -361,7 +368,7 @@
     loop {
         // Only who speaks has something to tell routers; they look for it among the feeds that they know.
         let wanted = service
-            .with(|director| feed::feed_addresses(director.control().shape(), service.name()))
+            .with_state(|director| feed::feed_addresses(director.control().shape(), service.name()))
             .unwrap_or_default();
         open.retain(|feed, task| wanted.contains(feed) && !task.is_finished());
         for feed in wanted {
@@ -383,13 +390,13 @@
                 Err(why) => warn!(service.log(), "branch feed not open"; "branch" => branch, "why" => %why),
             }
         }
-        service.until_news(LOOK).await;
+        service.wait_for_update(LEASE_CHECK_INTERVAL).await;
     }
 }
 
 async fn one_feed(service: Rc<Service>, listener: Async<TcpListener>, branch: String, spawner: Spawner) {
     info!(service.log(), "branch feed open"; "branch" => &branch);
-    let (log, open) = (service.log().clone(), service.hosted.open.clone());
+    let (log, open) = (service.log().clone(), service.service.open.clone());
     let one = move |stream| {
         let (service, branch) = (service.clone(), branch.clone());
         async move {
@@ -407,10 +414,10 @@
     let first = std::str::from_utf8(&line).ok().and_then(|line| line.trim_end().strip_prefix("SUB "));
     let mut last: u64 = first.and_then(|n| n.parse().ok()).ok_or("no subscription")?;
     loop {
-        let told = service.hosted.told.get();
-        let text = service.with(|director| events(director.control(), branch, told, &mut last));
+        let told = service.service.told.get();
+        let text = service.with_state(|director| events(director.control(), branch, told, &mut last));
         write(stream, &text.ok_or("this member does not speak")?).await?;
-        service.until_news(FEED_BEAT).await;
+        service.wait_for_update(FEED_BEAT).await;
     }
 }
 
--- a/crates/keeper/src/server.rs
+++ b/crates/keeper/src/server.rs
@@ -14,8 +14,10 @@
 use harestage_following::{Line, control, purges, subscribe};
 use harestage_purge::follower::Action;
 use harestage_purge::messages::Past;
-use harestage_seats::host::{Host, Hosted, LOOK, Listening, STALL, say};
-use harestage_seats::{Council, CouncilStart, until};
+use harestage_seats::host::{
+    Host, HostListener, HostedService, LEASE_CHECK_INTERVAL, PEER_TIMEOUT, write_message,
+};
+use harestage_seats::{GroupMember, GroupMemberConfig, wait_for_event};
 use harestage_shape::config::ShapeConfig;
 use harestage_shape::control::HubReport as ShapeReport;
 use harestage_shape::messages as shape_lines;
@@ -76,7 +78,7 @@
 type Service = Host<Links>;
 
 /// A keeper that listens already.
-pub struct KeeperServer(Listening<Links>);
+pub struct KeeperServer(HostListener<Links>);
 
 fn records(data: &[Vec<u8>]) -> Result<Vec<Record>, String> {
     let read = |(n, bytes): (usize, &Vec<u8>)| {
@@ -99,12 +101,12 @@
     pub fn open(
         listen: SocketAddr,
         folder: &Path,
-        start: &CouncilStart,
+        start: &GroupMemberConfig,
         follows: Upstreams,
         log: Logger,
     ) -> Result<KeeperServer, String> {
         let clock = Clock::start();
-        let council = Council::open(start, folder, Vec::new(), no_old, clock, log.clone())
+        let council = GroupMember::open(start, folder, Vec::new(), no_old, clock, log.clone())
             .map_err(|why| why.to_string())?;
         records(&council.data()).map_err(|why| format!("{}: {why}", folder.display()))?;
         let (store, held) = Store::open(folder).map_err(|why| format!("{}: {why}", folder.display()))?;
@@ -122,7 +124,7 @@
             purges: Cell::new(0),
             follows,
         };
-        Listening::at(listen, council, links, ConnectionLimit::new(MOST_CONNECTIONS)).map(KeeperServer)
+        HostListener::bind(listen, council, links, ConnectionLimit::new(MOST_CONNECTIONS)).map(KeeperServer)
     }
 
     /// Serves until `stop` says so; an error if the disk takes nothing more.
@@ -132,44 +134,44 @@
             let _ = stop.recv().await;
         });
         // What is on the log becomes a file, so that usual tools see all of it.
-        let rolled = host.hosted.store.borrow_mut().roll(true).map_err(|why| why.to_string());
-        done.and_then(|()| match host.hosted.broken.get() {
-            true => Err(Links::BROKEN.into()),
+        let rolled = host.service.store.borrow_mut().roll(true).map_err(|why| why.to_string());
+        done.and_then(|()| match host.service.broken.get() {
+            true => Err(Links::FAILURE_TEXT.into()),
             false => rolled.map(drop),
         })
     }
 }
 
-impl Hosted for Links {
+impl HostedService for Links {
     type State = KeeperState;
     type Effect = Effect;
 
-    const CALLED: &'static str = "keeper";
-    const BROKEN: &'static str = "the disk takes nothing more, or is not this member's";
-    const LONGEST_LINE: usize = LONGEST_LINE;
+    const NAME: &'static str = "keeper";
+    const FAILURE_TEXT: &'static str = "the disk takes nothing more, or is not this member's";
+    const MAX_LINE_BYTES: usize = LONGEST_LINE;
 
     fn open(host: &Service, data: &[Vec<u8>]) -> Result<(KeeperState, Vec<Effect>), String> {
         let (records, now) = (records(data)?, host.now());
         let (mut keep, effects) = KeeperState::open(&records, now);
-        if let Some(form) = host.hosted.version.borrow().as_ref() {
+        if let Some(form) = host.service.version.borrow().as_ref() {
             keep.shape_published(form, now);
         }
-        keep.purges_published(host.hosted.purges.get(), now);
+        keep.purges_published(host.service.purges.get(), now);
         // What this disk has of earlier times: chains go on where they stood.
-        let held = std::mem::take(&mut *host.hosted.held.borrow_mut());
+        let held = std::mem::take(&mut *host.service.held.borrow_mut());
         keep.restore_links(&held, now);
         info!(host.log(), "takes up the service"; "term" => keep.term(), "links" => held.len());
         Ok((keep, effects))
     }
 
-    fn entry(effect: &Effect) -> Option<Vec<u8>> {
+    fn log_entry(effect: &Effect) -> Option<Vec<u8>> {
         match effect {
             Effect::Write(record) => Some(bytes(record)),
             Effect::Decided(_) => None,
         }
     }
 
-    fn tell_of(host: &Service, effect: Effect) {
+    fn execute_effect(host: &Service, effect: Effect) {
         let Effect::Decided(decision) = effect else { return };
         let words = serde_json::to_string(&decision).unwrap_or_default();
         match &decision {
@@ -185,17 +187,17 @@
             }
         }
         let now = host.now();
-        host.while_leading(|keep| keep.apply_decision(&decision, now));
+        host.with_unleased_state(|keep| keep.apply_decision(&decision, now));
     }
 
-    fn ready(host: &Service) {
-        let links = host.hosted.held.borrow().len();
+    fn log_ready(host: &Service) {
+        let links = host.service.held.borrow().len();
         info!(host.log(), "ready"; "name" => host.name(), "links" => links);
     }
 
-    fn begin(host: &Rc<Service>, spawner: &Spawner) {
+    fn start_tasks(host: &Rc<Service>, spawner: &Spawner) {
         spawner.spawn(sync(host.clone()));
-        let follows = &host.hosted.follows;
+        let follows = &host.service.follows;
         let of_control = Follower(host.clone());
         spawner.spawn(control::follow(
             of_control,
@@ -212,7 +214,7 @@
         }
     }
 
-    async fn turns(host: &Rc<Service>, spawner: &Spawner) {
+    async fn run(host: &Rc<Service>, spawner: &Spawner) {
         turns(host, spawner).await;
     }
 
@@ -239,7 +241,7 @@
             if self.broken.get() {
                 return Err("the disk takes nothing more".into());
             }
-            until(&self.written, LOOK).await;
+            wait_for_event(&self.written, LEASE_CHECK_INTERVAL).await;
         }
         Ok(())
     }
@@ -248,17 +250,17 @@
 /// The disk takes nothing more.
 fn breaks(service: &Service, why: &str) -> String {
     error!(service.log(), "records not written"; "why" => why);
-    service.hosted.broken.set(true);
-    service.hosted.written.notify(usize::MAX);
+    service.service.broken.set(true);
+    service.service.written.notify(usize::MAX);
     why.into()
 }
 
 async fn sync(service: Rc<Service>) {
-    let links = &service.hosted;
+    let links = &service.service;
     while !links.broken.get() {
         let upto = links.appended.get();
         if links.safe.get() == upto {
-            until(&links.written, LOOK).await;
+            wait_for_event(&links.written, LEASE_CHECK_INTERVAL).await;
             if links.safe.get() == links.appended.get() {
                 continue;
             }
@@ -276,33 +278,33 @@
 
 async fn turns(service: &Rc<Service>, spawner: &Spawner) {
     let mut withdrawn = None;
-    while !service.council.is_broken() && !service.hosted.broken.get() {
+    while !service.member.has_failed() && !service.service.broken.get() {
         Timer::after(BEAT).await;
         let now = service.now();
-        let effects = service.with(|keep| keep.tick(now)).unwrap_or_default();
+        let effects = service.with_state(|keep| keep.tick(now)).unwrap_or_default();
         for effect in &effects {
             if let Effect::Decided(Decision::Withdrawn { shape, .. }) = effect {
                 withdrawn = Some(*shape);
             }
         }
         if !effects.is_empty() {
-            service.carry_out(effects);
+            service.execute(effects);
         }
         // Asked for once the group has agreed on it.
         if service.is_settled()
             && let Some(shape) = withdrawn.take()
-            && let Some(before) = service.with(|keep| keep.previous_version(shape)).flatten()
+            && let Some(before) = service.with_state(|keep| keep.previous_version(shape)).flatten()
         {
             spawner.spawn(take_back(service.clone(), shape, before));
         }
-        let rolled = service.hosted.store.borrow_mut().roll(false);
+        let rolled = service.service.store.borrow_mut().roll(false);
         match rolled {
             Ok(Some(file)) => info!(service.log(), "records rolled"; "file" => file),
             Ok(None) => {}
             Err(why) => drop(breaks(service, &why.to_string())),
         }
         if service.is_settled() {
-            service.council.tidy(|data| match service.while_leading(|keep| keep.snapshot()) {
+            service.member.compact_log(|data| match service.with_unleased_state(|keep| keep.snapshot()) {
                 Some(whole) => whole.iter().map(bytes).collect(),
                 None => data,
             });
@@ -315,7 +317,7 @@
     let form = Box::new(ShapeConfig { version: 0, ..before });
     let call =
         shape_lines::Request::Apply { form, expect: Some(shape), by: format!("audit, withdrawing {shape}") };
-    let controls = &service.hosted.follows.control_services;
+    let controls = &service.service.follows.control_services;
     for n in 0..TRIES * controls.len().max(1) {
         let at = controls[n % controls.len()];
         let said = async {
@@ -331,14 +333,14 @@
             }
             // Another change has to end first; it may be the one that brought this version.
             Ok(shape_lines::Response::Refused(why)) if why.iter().any(|why| why.contains("under way")) => {
-                Timer::after(LOOK * 5).await;
+                Timer::after(LEASE_CHECK_INTERVAL * 5).await;
                 continue;
             }
             Ok(shape_lines::Response::Refused(why)) => {
                 warn!(service.log(), "not gone back"; "from" => shape, "why" => why.join("; "));
                 return;
             }
-            _ => Timer::after(LOOK).await,
+            _ => Timer::after(LEASE_CHECK_INTERVAL).await,
         };
     }
 }
@@ -352,7 +354,7 @@
     }
 
     fn version(&self) -> u64 {
-        self.0.hosted.version.borrow().as_ref().map_or(0, |form| form.version)
+        self.0.service.version.borrow().as_ref().map_or(0, |form| form.version)
     }
 
     fn now(&self) -> Moment {
@@ -366,8 +368,8 @@
     async fn hear(&self, heard: Heard) {
         if let Heard::Version { shape, .. } = heard {
             let now = self.now();
-            self.0.while_leading(|keep| keep.shape_published(&shape, now));
-            *self.0.hosted.version.borrow_mut() = Some(shape);
+            self.0.with_unleased_state(|keep| keep.shape_published(&shape, now));
+            *self.0.service.version.borrow_mut() = Some(shape);
         }
     }
 }
@@ -376,9 +378,9 @@
 
 impl purges::Hands for Purges {
     async fn apply(&mut self, _: Vec<Action>, has: u64, _: bool) {
-        if has > self.0.hosted.purges.replace(has) {
+        if has > self.0.service.purges.replace(has) {
             let now = self.0.now();
-            self.0.while_leading(|keep| keep.purges_published(has, now));
+            self.0.with_unleased_state(|keep| keep.purges_published(has, now));
         }
     }
 }
@@ -389,28 +391,28 @@
         if let Ok(ProcessMessage::Report(report)) = serde_json::from_slice(&next) {
             let answer = audited(service, &report).await?;
             let elsewhere = matches!(answer, KeeperMessage::NotLeader { .. });
-            say(stream, &answer).await?;
+            write_message(stream, &answer).await?;
             if elsewhere {
                 return Ok(());
             }
-            next = with_timeout(STALL, "silent", lines.next_line()).await?;
+            next = with_timeout(PEER_TIMEOUT, "silent", lines.next_line()).await?;
             continue;
         }
         // Staff may ask for the group on a line that reports came on.
-        if let Some(answer) = service.of_group(&next) {
-            return say(stream, &answer).await;
+        if let Some(answer) = service.answer_group_request(&next) {
+            return write_message(stream, &answer).await;
         }
         let answer = match serde_json::from_slice::<OperatorRequest>(&next) {
             Ok(call) => {
                 let now = service.now();
-                service.or_elsewhere(
+                service.with_state_or(
                     |keep| keep.answer_operator(&call, now),
                     |serves| OperatorResponse::NotLeader { leader_address: serves },
                 )
             }
             Err(why) => OperatorResponse::Refused(format!("the call can't be read: {why}")),
         };
-        return say(stream, &answer).await;
+        return write_message(stream, &answer).await;
     }
 }
 
@@ -418,13 +420,13 @@
 async fn audited(service: &Service, report: &Report) -> Result<KeeperMessage, String> {
     let elsewhere = |serves| KeeperMessage::NotLeader { leader_address: serves };
     let now = service.now();
-    let Some(new) = service.with(|keep| keep.on_report(report, now)) else {
-        return Ok(elsewhere(service.council.elsewhere()));
+    let Some(new) = service.with_state(|keep| keep.on_report(report, now)) else {
+        return Ok(elsewhere(service.member.leader_service_address()));
     };
     if !new.is_empty() {
-        service.hosted.append(&new).map_err(|why| breaks(service, &why))?;
-        service.hosted.safe().await?;
+        service.service.append(&new).map_err(|why| breaks(service, &why))?;
+        service.service.safe().await?;
     }
     let now = service.now();
-    Ok(service.or_elsewhere(|keep| keep.answer_report(report, now), elsewhere))
+    Ok(service.with_state_or(|keep| keep.answer_report(report, now), elsewhere))
 }
--- a/crates/measure/src/effects.rs
+++ b/crates/measure/src/effects.rs
@@ -1,10 +1,10 @@
 //! What a service's group lets out, model-checked on the state machines that run: two members that may believe that they
 //! lead, a log that agrees on one record after another, a lease that runs out, and a hub that hears what is told. The
-//! control service (`Control`) decides, `Waiting` holds its effects back behind their records; the model only says when a
-//! record is agreed on, seen, and who may speak.
+//! control service (`Control`) decides, `PendingEffects` holds its effects back behind their records; the model only says
+//! when a record is agreed on, seen, and who may speak.
 use harestage::time::Moment;
 use harestage_control::journal;
-use harestage_seats::Waiting;
+use harestage_seats::PendingEffects;
 use harestage_shape::config::{ArchiveConfig, BranchConfig, HubConfig, ShapeConfig};
 use harestage_shape::control::{Control, Effect};
 use stateright::{Checker, Model, Property};
@@ -119,15 +119,15 @@
     let mut now = Moment::at_micros(1_000_000);
     let records = journal::records(&log[..reign.from]).ok()?;
     let (mut control, effects) = Control::open(&records, Some(&form(&["a"])), now).ok()?;
-    let (waiting, mut wanted) = (Waiting::default(), Vec::new());
+    let (waiting, mut wanted) = (PendingEffects::default(), Vec::new());
     let mut wait = |effects: Vec<Effect>| {
         for effect in effects {
             match effect {
                 Effect::Write(record) => {
                     wanted.push(journal::bytes(&record));
-                    waiting.behind(journal::bytes(&record));
+                    waiting.push_entry(journal::bytes(&record));
                 }
-                effect => waiting.push(effect),
+                effect => waiting.push_effect(effect),
             }
         }
     };
@@ -146,8 +146,8 @@
         };
         wait(effects);
     }
-    log[reign.from..reign.seen].iter().for_each(|entry| waiting.agreed(entry));
-    let released = std::iter::from_fn(|| waiting.next()).collect();
+    log[reign.from..reign.seen].iter().for_each(|entry| waiting.on_committed(entry));
+    let released = std::iter::from_fn(|| waiting.pop_ready()).collect();
     Some(Played { control, wanted, released })
 }
 
--- a/crates/purger/src/gatherer.rs
+++ b/crates/purger/src/gatherer.rs
@@ -9,8 +9,8 @@
 use harestage_following::{Line, subscribe};
 use harestage_purge::gather::{GatherError, Gatherer, MIN_REPORT_INTERVAL};
 use harestage_purge::messages::{Ack, ToMember, to_line};
-use harestage_seats::host::{STALL, say};
-use harestage_seats::until;
+use harestage_seats::host::{PEER_TIMEOUT, write_message};
+use harestage_seats::wait_for_event;
 use harestage_sockets::accept::{ConnectionLimit, accept};
 use harestage_sockets::clock::Clock;
 use harestage_sockets::leader::LeaderFinder;
@@ -187,11 +187,11 @@
         let due = site.gatherer.borrow_mut().next_report(site.clock.now());
         match due {
             Some(due) => {
-                write_text(stream, &to_line(&due), STALL).await?;
+                write_text(stream, &to_line(&due), PEER_TIMEOUT).await?;
                 Timer::after(MIN_REPORT_INTERVAL.into()).await;
             }
             None => {
-                until(&site.said, IDLE).await;
+                wait_for_event(&site.said, IDLE).await;
                 // What others say in the same moment goes up in the same line.
                 Timer::after(Duration::from(MIN_REPORT_INTERVAL) / 3).await;
             }
@@ -201,9 +201,9 @@
 
 async fn member(site: &Site, stream: &Stream) -> Result<(), String> {
     let mut lines = LineReader::new(stream, LONGEST_LINE);
-    let first = with_timeout(STALL, "too slow", lines.next_line()).await?;
+    let first = with_timeout(PEER_TIMEOUT, "too slow", lines.next_line()).await?;
     let Ok(first) = serde_json::from_slice::<Ack>(&first) else {
-        return say(stream, &ToMember::NotLeader { leader: None }).await;
+        return write_message(stream, &ToMember::NotLeader { leader: None }).await;
     };
     let below = Below { site, is: RefCell::new((first.member.clone(), first.incarnation)) };
     let done = member_connection::serve_member(&below, &mut lines, first).await;
@@ -249,6 +249,6 @@
     }
 
     async fn wait_for_update(&self, at_most: Duration) {
-        until(&self.site.news, at_most).await;
+        wait_for_event(&self.site.news, at_most).await;
     }
 }
--- a/crates/purger/src/lib.rs
+++ b/crates/purger/src/lib.rs
@@ -18,8 +18,10 @@
 use harestage_purge::retained::MAX_BATCH_ITEMS;
 use harestage_purge::sequencer::{Item, LogEntry, RateLimit};
 use harestage_purge::service::{Effect, PushState, Service};
-use harestage_seats::host::{Host, Hosted, LOOK, Listening, STALL, say};
-use harestage_seats::{Council, CouncilStart, Recent};
+use harestage_seats::host::{
+    Host, HostListener, HostedService, LEASE_CHECK_INTERVAL, PEER_TIMEOUT, write_message,
+};
+use harestage_seats::{GroupMember, GroupMemberConfig, RecentItems};
 use harestage_sockets::accept::ConnectionLimit;
 use harestage_sockets::clock::Clock;
 use harestage_sockets::lines::LineReader;
@@ -52,14 +54,14 @@
 /// What this member may tell of what the group has agreed on.
 struct Purges {
     /// Items in the order in which they may be told.
-    told: RefCell<Recent<Item>>,
+    told: RefCell<RecentItems<Item>>,
     reports: RefCell<BTreeMap<u64, Report>>,
 }
 
 type Keeper = Host<Purges>;
 
 /// A service that listens already.
-pub struct PurgeServer(Listening<Purges>);
+pub struct PurgeServer(HostListener<Purges>);
 
 fn read_entries(data: &[Vec<u8>]) -> Result<Vec<LogEntry>, String> {
     let read = |(n, bytes): (usize, &Vec<u8>)| {
@@ -88,23 +90,23 @@
 impl PurgeServer {
     /// A group of one: takes the service up from its log. An error is one line.
     pub fn open(listen: SocketAddr, folder: &Path, logger: Logger) -> Result<PurgeServer, String> {
-        PurgeServer::open_member(listen, folder, &CouncilStart::alone("purges"), logger)
+        PurgeServer::open_member(listen, folder, &GroupMemberConfig::standalone("purges"), logger)
     }
 
     /// One member of a group.
     pub fn open_member(
         listen: SocketAddr,
         folder: &Path,
-        start: &CouncilStart,
+        start: &GroupMemberConfig,
         logger: Logger,
     ) -> Result<PurgeServer, String> {
         let clock = Clock::start();
-        let council = Council::open(start, folder, Vec::new(), read_old, clock, logger.clone())
+        let council = GroupMember::open(start, folder, Vec::new(), read_old, clock, logger.clone())
             .map_err(|why| why.to_string())?;
         read_entries(&council.data()).map_err(|why| format!("{}: {why}", folder.display()))?;
-        let told = RefCell::new(Recent::new(MOST_REPORTS));
+        let told = RefCell::new(RecentItems::new(MOST_REPORTS));
         let purges = Purges { told, reports: RefCell::default() };
-        Listening::at(listen, council, purges, ConnectionLimit::new(MOST_CONNECTIONS)).map(PurgeServer)
+        HostListener::bind(listen, council, purges, ConnectionLimit::new(MOST_CONNECTIONS)).map(PurgeServer)
     }
 
     /// Serves until `stop` says so; an error if the log could not be written.
@@ -115,12 +117,12 @@
     }
 }
 
-impl Hosted for Purges {
+impl HostedService for Purges {
     type State = Service;
     type Effect = Effect;
 
-    const BROKEN: &'static str = "the log can't be written, or is not this member's";
-    const LONGEST_LINE: usize = LONGEST_LINE;
+    const FAILURE_TEXT: &'static str = "the log can't be written, or is not this member's";
+    const MAX_LINE_BYTES: usize = LONGEST_LINE;
 
     fn open(host: &Keeper, data: &[Vec<u8>]) -> Result<(Service, Vec<Effect>), String> {
         let (service, effects) = Service::open(&read_entries(data)?, LIMIT, host.now());
@@ -128,20 +130,20 @@
         Ok((service, effects))
     }
 
-    fn entry(effect: &Effect) -> Option<Vec<u8>> {
+    fn log_entry(effect: &Effect) -> Option<Vec<u8>> {
         match effect {
             Effect::Write(entry) => Some(bytes(entry)),
             Effect::Broadcast(_) | Effect::Report(_) => None,
         }
     }
 
-    fn tell_of(host: &Keeper, effect: Effect) {
+    fn execute_effect(host: &Keeper, effect: Effect) {
         match effect {
             Effect::Write(_) => {}
             Effect::Broadcast(item) => {
                 info!(host.log(), "told"; "number" => item.number,
                     "item" => serde_json::to_string(&item).unwrap_or_default());
-                host.hosted.told.borrow_mut().push(item.number, item);
+                host.service.told.borrow_mut().push(item.number, item);
             }
             Effect::Report(report) => {
                 let words = serde_json::to_string(&report).unwrap_or_default();
@@ -149,7 +151,7 @@
                     true => info!(host.log(), "reached"; "number" => report.number, "report" => words),
                     false => warn!(host.log(), "reached late"; "number" => report.number, "report" => words),
                 }
-                let mut reports = host.hosted.reports.borrow_mut();
+                let mut reports = host.service.reports.borrow_mut();
                 reports.insert(report.number, report);
                 if reports.len() > MOST_REPORTS {
                     reports.pop_first();
@@ -158,13 +160,13 @@
         }
     }
 
-    fn laid_down(&self) {
+    fn on_step_down(&self) {
         self.told.borrow_mut().clear();
     }
 
-    async fn turns(host: &Rc<Keeper>, _: &Spawner) {
+    async fn run(host: &Rc<Keeper>, _: &Spawner) {
         let mut looked = Instant::now();
-        while !host.council.is_broken() {
+        while !host.member.has_failed() {
             Timer::after(BEAT).await;
             if looked.elapsed() > LOOK_BACK {
                 looked = Instant::now();
@@ -172,9 +174,9 @@
             }
             tidy(host);
             let now = host.now();
-            let effects = host.with(|service| service.tick(now)).unwrap_or_default();
+            let effects = host.with_state(|service| service.tick(now)).unwrap_or_default();
             if !effects.is_empty() {
-                host.carry_out(effects);
+                host.execute(effects);
             }
         }
     }
@@ -189,7 +191,8 @@
         match serde_json::from_slice::<Request>(&first) {
             Ok(call) => client(host, lines.stream(), call).await,
             Err(why) => {
-                say(lines.stream(), &Response::Refused(format!("the call can't be read: {why}"))).await
+                write_message(lines.stream(), &Response::Refused(format!("the call can't be read: {why}")))
+                    .await
             }
         }
     }
@@ -199,9 +202,9 @@
 fn forget(host: &Keeper) {
     let now = host.now();
     let before = now.before(RETENTION).micros() / 1_000;
-    let effects = host.with(|service| service.forget_before(before, now)).unwrap_or_default();
+    let effects = host.with_state(|service| service.forget_before(before, now)).unwrap_or_default();
     if !effects.is_empty() {
-        host.carry_out(effects);
+        host.execute(effects);
     }
 }
 
@@ -210,7 +213,7 @@
     if !host.is_settled() {
         return;
     }
-    host.council.tidy(|data| match host.while_leading(|service| service.snapshot()) {
+    host.member.compact_log(|data| match host.with_unleased_state(|service| service.snapshot()) {
         Some(whole) => whole.iter().map(bytes).collect(),
         // Who does not lead goes by what was agreed on.
         None => match read_entries(&data) {
@@ -226,7 +229,7 @@
 impl UpdateSource for Direct<'_> {
     async fn on_ack(&self, said: &Ack) -> Option<ToMember> {
         let now = self.0.now();
-        let heard = self.0.with(|service| (service.term(), service.on_ack(said, now)))?;
+        let heard = self.0.with_state(|service| (service.term(), service.on_ack(said, now)))?;
         let (term, (missing, effects)) = match heard {
             (term, Ok(heard)) => (term, heard),
             (_, Err(MessageError::Replaced)) => return Some(ToMember::Replaced),
@@ -236,10 +239,10 @@
             }
         };
         if !effects.is_empty() {
-            self.0.carry_out(effects);
+            self.0.execute(effects);
         }
         // What the group has not agreed on yet must not be told, though the state has it already.
-        self.0.settled().await.then(|| ToMember::from_catch_up(term, missing))
+        self.0.wait_settled().await.then(|| ToMember::from_catch_up(term, missing))
     }
 
     fn redirect(&self) -> ToMember {
@@ -247,17 +250,17 @@
     }
 
     fn last_published(&self) -> Option<u64> {
-        self.0.council.may_speak().then(|| self.0.hosted.told.borrow().last())
+        self.0.member.holds_leader_lease().then(|| self.0.service.told.borrow().last())
     }
 
     fn updates_after(&self, number: u64) -> Option<ToMember> {
-        let term = self.0.with(|service| service.term())?;
-        let items = self.0.hosted.told.borrow().after(number).take(MAX_BATCH_ITEMS).cloned().collect();
+        let term = self.0.with_state(|service| service.term())?;
+        let items = self.0.service.told.borrow().after(number).take(MAX_BATCH_ITEMS).cloned().collect();
         Some(ToMember::Items { term, items })
     }
 
     async fn wait_for_update(&self, at_most: Duration) {
-        self.0.until_news(at_most).await;
+        self.0.wait_for_update(at_most).await;
     }
 }
 
@@ -266,46 +269,46 @@
     let stream = lines.stream();
     let (mut pushed, mut next, mut is_first) = (PushState::default(), first, true);
     loop {
-        let (now, may_tell) = (host.now(), host.hosted.told.borrow().last());
-        let heard = host.with(|service| {
+        let (now, may_tell) = (host.now(), host.service.told.borrow().last());
+        let heard = host.with_state(|service| {
             let (answered, effects) = service.on_gathered(&next, now)?;
             Ok::<_, MessageError>((pushed.reply(service, &next, answered, may_tell), effects))
         });
         let (told, effects) = match heard {
-            None => return say(stream, &elsewhere(host)).await,
+            None => return write_message(stream, &elsewhere(host)).await,
             Some(Err(why)) => return Err(format!("{}: a line refused: {why:?}", next.gatherer.member)),
             Some(Ok(heard)) => heard,
         };
         // Whom it takes in, and what comes first, may be told once the group has agreed on all of it; the rest was.
         let waits = std::mem::take(&mut is_first) || !effects.is_empty();
         if !effects.is_empty() {
-            host.carry_out(effects);
+            host.execute(effects);
         }
-        if waits && !host.settled().await {
-            return say(stream, &elsewhere(host)).await;
+        if waits && !host.wait_settled().await {
+            return write_message(stream, &elsewhere(host)).await;
         }
         for told in told {
-            say(stream, &told).await?;
+            write_message(stream, &told).await?;
         }
         let line = loop {
             let heard = async { Some(lines.next_line().await) };
             let new = async {
-                while !pushed.can_push(host.hosted.told.borrow().last()) && host.speaks() {
-                    host.until_news(LOOK).await;
+                while !pushed.can_push(host.service.told.borrow().last()) && host.is_serving() {
+                    host.wait_for_update(LEASE_CHECK_INTERVAL).await;
                 }
                 None
             };
             let late = async {
-                Timer::after(STALL).await;
+                Timer::after(PEER_TIMEOUT).await;
                 Some(Err("it says nothing".to_string()))
             };
             if let Some(line) = or(or(heard, new), late).await {
                 break line?;
             }
-            let may_tell = host.hosted.told.borrow().last();
-            match host.with(|service| pushed.next_push(service, may_tell)) {
-                None => return say(stream, &elsewhere(host)).await,
-                Some(Some(news)) => say(stream, &news).await?,
+            let may_tell = host.service.told.borrow().last();
+            match host.with_state(|service| pushed.next_push(service, may_tell)) {
+                None => return write_message(stream, &elsewhere(host)).await,
+                Some(Some(news)) => write_message(stream, &news).await?,
                 Some(None) => return Err("what it lacks is forgotten: it has to begin anew".into()),
             }
         };
@@ -319,7 +322,7 @@
 }
 
 fn elsewhere(host: &Keeper) -> ToMember {
-    ToMember::NotLeader { leader: host.council.elsewhere() }
+    ToMember::NotLeader { leader: host.member.leader_service_address() }
 }
 
 async fn client(host: &Keeper, stream: &Stream, call: Request) -> Result<(), String> {
@@ -327,42 +330,42 @@
     let answer = match call {
         Request::Submit { scope, tenant, key } => {
             let now = host.now();
-            match host.with(|service| service.submit(scope, tenant, &key, now)) {
+            match host.with_state(|service| service.submit(scope, tenant, &key, now)) {
                 Some(Ok((number, promise, effects))) => {
-                    host.carry_out(effects);
-                    match host.settled().await {
+                    host.execute(effects);
+                    match host.wait_settled().await {
                         true => Response::Accepted { number, promise },
                         // It may still come about: under the same key it is the same purge, whoever is asked.
-                        false => elsewhere(host.council.elsewhere()),
+                        false => elsewhere(host.member.leader_service_address()),
                     }
                 }
                 Some(Err(why)) => Response::Refused(why.to_string()),
-                None => elsewhere(host.council.elsewhere()),
+                None => elsewhere(host.member.leader_service_address()),
             }
         }
         Request::Wait { number } => loop {
-            if let Some(report) = host.hosted.reports.borrow().get(&number).cloned() {
+            if let Some(report) = host.service.reports.borrow().get(&number).cloned() {
                 break Response::Report(report);
             }
-            match host.with(|service| (service.last(), service.is_reported(number))) {
-                None => break elsewhere(host.council.elsewhere()),
+            match host.with_state(|service| (service.last(), service.is_reported(number))) {
+                None => break elsewhere(host.member.leader_service_address()),
                 Some((last, _)) if number == 0 || number > last => {
                     break Response::Refused(format!("there is no purge {number}"));
                 }
                 // A member that led before gave the report; or this one will, once the group has agreed on it.
                 Some((_, true)) if host.is_settled() => break Response::Reached { number },
-                Some(_) => host.until_news(LOOK).await,
+                Some(_) => host.wait_for_update(LEASE_CHECK_INTERVAL).await,
             }
         },
         Request::Status => {
             let now = host.now();
-            host.or_elsewhere(|service| Response::Status(status(service, now)), elsewhere)
+            host.with_state_or(|service| Response::Status(status(service, now)), elsewhere)
         }
         Request::List { after } => {
-            host.or_elsewhere(|service| Response::List(service.purges_after(after, PAGE)), elsewhere)
+            host.with_state_or(|service| Response::List(service.purges_after(after, PAGE)), elsewhere)
         }
     };
-    say(stream, &answer).await
+    write_message(stream, &answer).await
 }
 
 fn status(service: &Service, now: Moment) -> Status {
--- a/crates/purger/src/member_connection.rs
+++ b/crates/purger/src/member_connection.rs
@@ -4,7 +4,7 @@
 use futures_lite::future::or;
 use harestage_purge::messages::{Ack, ToMember};
 use harestage_purge::retained::MAX_BATCH_ITEMS;
-use harestage_seats::host::{LOOK, STALL, say};
+use harestage_seats::host::{LEASE_CHECK_INTERVAL, PEER_TIMEOUT, write_message};
 use harestage_sockets::lines::{LineReader, with_timeout};
 use std::time::Duration;
 
@@ -67,7 +67,9 @@
         if next.member != name {
             return Err(format!("{name} calls itself {}", next.member));
         }
-        let Some(answer) = teller.on_ack(&next).await else { return say(stream, &teller.redirect()).await };
+        let Some(answer) = teller.on_ack(&next).await else {
+            return write_message(stream, &teller.redirect()).await;
+        };
         if told.0 != next.incarnation {
             told = (next.incarnation, 0);
         }
@@ -77,28 +79,28 @@
         // Whoever was not told all yet waits for its own turn, and is told nothing else.
         let waits =
             is_full || !next.bootstrapped && matches!(answer, ToMember::Items { .. }) && next.applied == 0;
-        say(stream, &answer).await?;
+        write_message(stream, &answer).await?;
         // What is new is told without being asked; the next line comes in its time.
         let heard = async { Some(lines.next_line().await) };
         let new = async {
             while waits || teller.last_published().is_some_and(|told| told <= has) {
-                teller.wait_for_update(LOOK).await;
+                teller.wait_for_update(LEASE_CHECK_INTERVAL).await;
             }
             None
         };
         let late = async {
-            Timer::after(STALL).await;
+            Timer::after(PEER_TIMEOUT).await;
             Some(Err("it says nothing".to_string()))
         };
         let line = match or(or(heard, new), late).await {
             Some(line) => line?,
             None => {
                 let Some(news) = teller.last_published().and_then(|_| teller.updates_after(has)) else {
-                    return say(stream, &teller.redirect()).await;
+                    return write_message(stream, &teller.redirect()).await;
                 };
-                say(stream, &news).await?;
+                write_message(stream, &news).await?;
                 told.1 = upto(&news, has).0;
-                with_timeout(STALL, "it says nothing", lines.next_line()).await?
+                with_timeout(PEER_TIMEOUT, "it says nothing", lines.next_line()).await?
             }
         };
         next = serde_json::from_slice(&line).map_err(|why| format!("{name}: an unreadable line: {why}"))?;
--- a/crates/seats/src/disk.rs
+++ b/crates/seats/src/disk.rs
@@ -8,46 +8,46 @@
 const SEGMENT: usize = 8 << 20;
 
 /// Reads a folder's older form: the snapshot and the records to the pieces of data that they stand for.
-pub type Old = fn(Option<&[u8]>, &[Vec<u8>]) -> Result<Vec<Vec<u8>>, String>;
+pub type LegacyReader = fn(Option<&[u8]>, &[Vec<u8>]) -> Result<Vec<Vec<u8>>, String>;
 
 /// Why a member's folder can't be used; the text names it.
 #[derive(Debug)]
-pub enum CouncilError {
+pub enum GroupMemberError {
     Folder {
         path: PathBuf,
-        why: io::Error,
+        reason: io::Error,
     },
     /// Another program holds it.
-    Held {
+    Locked {
         path: PathBuf,
     },
     Log {
         path: PathBuf,
-        why: LogError,
+        reason: LogError,
     },
-    Old {
+    LegacyFormat {
         path: PathBuf,
-        why: String,
+        reason: String,
     },
     Start {
         path: PathBuf,
-        why: StartError,
+        reason: StartError,
     },
 }
 
-impl fmt::Display for CouncilError {
+impl fmt::Display for GroupMemberError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Folder { path, why } => write!(f, "{}: {why}", path.display()),
-            Self::Held { path } => write!(f, "{}: another service holds it", path.display()),
-            Self::Log { path, why } => write!(f, "{}: {why}", path.display()),
-            Self::Old { path, why } => write!(f, "{}: {why}", path.display()),
-            Self::Start { path, why } => write!(f, "{}: {why}", path.display()),
+            Self::Folder { path, reason } => write!(f, "{}: {reason}", path.display()),
+            Self::Locked { path } => write!(f, "{}: another service holds it", path.display()),
+            Self::Log { path, reason } => write!(f, "{}: {reason}", path.display()),
+            Self::LegacyFormat { path, reason } => write!(f, "{}: {reason}", path.display()),
+            Self::Start { path, reason } => write!(f, "{}: {reason}", path.display()),
         }
     }
 }
 
-impl std::error::Error for CouncilError {}
+impl std::error::Error for GroupMemberError {}
 
 pub(crate) struct Opened {
     pub log: Log<Folder>,
@@ -62,24 +62,25 @@
     matches!(bytes.first(), Some(b'{' | b'['))
 }
 
-pub(crate) fn open(path: &Path, old: Old) -> Result<Opened, CouncilError> {
+pub(crate) fn open(path: &Path, old: LegacyReader) -> Result<Opened, GroupMemberError> {
     let folder = Folder::open(path).map_err(|why| match why.kind() {
-        io::ErrorKind::WouldBlock => CouncilError::Held { path: path.into() },
-        _ => CouncilError::Folder { path: path.into(), why },
+        io::ErrorKind::WouldBlock => GroupMemberError::Locked { path: path.into() },
+        _ => GroupMemberError::Folder { path: path.into(), reason: why },
     })?;
     let (log, found) =
-        Log::open(folder, SEGMENT).map_err(|why| CouncilError::Log { path: path.into(), why })?;
+        Log::open(folder, SEGMENT).map_err(|why| GroupMemberError::Log { path: path.into(), reason: why })?;
     let snapshot = found.snapshot.as_ref().map(|whole| whole.bytes.as_slice());
     let records: Vec<Vec<u8>> = found.records.into_iter().map(|record| record.bytes).collect();
     let was_old = snapshot.is_some_and(is_old) || snapshot.is_none() && records.iter().any(|r| is_old(r));
     if was_old {
-        let data = old(snapshot, &records).map_err(|why| CouncilError::Old { path: path.into(), why })?;
+        let data = old(snapshot, &records)
+            .map_err(|why| GroupMemberError::LegacyFormat { path: path.into(), reason: why })?;
         return Ok(Opened { log, records: Vec::new(), old: Some(data), was_old });
     }
     let mut all = match snapshot {
-        Some(whole) => Replica::decode_snapshot(whole).ok_or_else(|| CouncilError::Old {
+        Some(whole) => Replica::decode_snapshot(whole).ok_or_else(|| GroupMemberError::LegacyFormat {
             path: path.into(),
-            why: "the snapshot can't be read".into(),
+            reason: "the snapshot can't be read".into(),
         })?,
         None => Vec::new(),
     };
--- a/crates/seats/src/lib.rs
+++ b/crates/seats/src/lib.rs
@@ -1,18 +1,18 @@
-//! A member of a group on sockets and disk: [`Council`] joins the state machine of `harestage_group` to a log on disk, to
+//! A member of a group on sockets and disk: [`GroupMember`] joins the state machine of `harestage_group` to a log on disk, to
 //! lines to the other members, and to the service that runs on it. Nothing here decides.
 //!
 //! Everything of a turn is written and synced before anything of it is sent, or told to the service.
 mod disk;
 pub mod host;
-mod lines;
-mod net;
-mod recent;
-mod waiting;
+mod messages;
+mod peers;
+mod pending_effects;
+mod recent_items;
 
-pub use disk::{CouncilError, Old};
-pub use lines::{Answer, Call};
-pub use recent::Recent;
-pub use waiting::Waiting;
+pub use disk::{GroupMemberError, LegacyReader};
+pub use messages::{GroupRequest, GroupResponse};
+pub use pending_effects::PendingEffects;
+pub use recent_items::RecentItems;
 
 use async_io::Timer;
 use event_listener::Event;
@@ -22,7 +22,7 @@
 use harestage_segments::{Folder, Log};
 use harestage_sockets::Spawner;
 use harestage_sockets::clock::Clock;
-use net::Post;
+use peers::Post;
 use slog::{Logger, error, info, warn};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -33,7 +33,7 @@
 
 /// Who this member is, and how it begins where its disk is empty.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CouncilStart {
+pub struct GroupMemberConfig {
     pub name: String,
     pub incarnation: u64,
     /// Where other members reach it; none: it is alone.
@@ -42,7 +42,7 @@
     pub founders: Vec<Member>,
 }
 
-impl CouncilStart {
+impl GroupMemberConfig {
     /// Where this member is, as its founders say; nowhere for one that joins later or is alone.
     pub fn site(&self) -> String {
         let own = self.founders.iter().find(|member| member.name == self.name);
@@ -50,7 +50,7 @@
     }
 
     /// A group of one.
-    pub fn alone(name: &str) -> CouncilStart {
+    pub fn standalone(name: &str) -> GroupMemberConfig {
         let member = Member {
             name: name.into(),
             site: String::new(),
@@ -58,32 +58,32 @@
             service_address: String::new(),
             incarnation: 0,
         };
-        CouncilStart { name: name.into(), incarnation: 0, listen: None, founders: vec![member] }
+        GroupMemberConfig { name: name.into(), incarnation: 0, listen: None, founders: vec![member] }
     }
 }
 
 /// What the service has to hear.
 #[derive(Debug)]
-pub enum News {
+pub enum GroupEvent {
     /// Something was agreed on, whoever wanted it.
-    Agreed(CommittedEntry),
-    /// All that was agreed on was taken over whole: see [`Council::data`].
-    Replaced,
+    Committed(CommittedEntry),
+    /// All that was agreed on was taken over whole: see [`GroupMember::data`].
+    DataReplaced,
     /// This member leads from now on, and has all that was agreed on before.
-    Leads,
+    BecameLeader,
     SteppedDown,
     /// The disk takes nothing more, or is not the one that this member had: the program has to end.
-    Broken,
+    Failed,
 }
 
 /// Callers that a member that joins remembers.
 const MOST_CALLERS: usize = 16;
 
-pub struct Council {
+pub struct GroupMember {
     seat: RefCell<Replica>,
     disk: RefCell<Log<Folder>>,
     posts: RefCell<BTreeMap<u64, Rc<Post>>>,
-    news: RefCell<VecDeque<News>>,
+    news: RefCell<VecDeque<GroupEvent>>,
     pub clock: Clock,
     log: Logger,
     name: String,
@@ -96,17 +96,17 @@
     changed: Event,
 }
 
-impl Council {
+impl GroupMember {
     /// Takes a member up from its folder. `first` is what a group that is founded begins with; a folder of the service's
     /// own older form is taken over by `old`.
     pub fn open(
-        start: &CouncilStart,
+        start: &GroupMemberConfig,
         folder: &Path,
         first: Vec<Vec<u8>>,
-        old: Old,
+        old: LegacyReader,
         clock: Clock,
         log: Logger,
-    ) -> Result<Rc<Council>, CouncilError> {
+    ) -> Result<Rc<GroupMember>, GroupMemberError> {
         let opened = disk::open(folder, old)?;
         let begin = match (start.founders.is_empty(), opened.old) {
             (true, _) => Start::Join,
@@ -116,8 +116,8 @@
         let number = rand::random();
         let (name, incarnation) = (&start.name, start.incarnation);
         let seat = Replica::open(name, incarnation, &opened.records, begin, number, clock.now())
-            .map_err(|why| CouncilError::Start { path: folder.into(), why })?;
-        let council = Council {
+            .map_err(|why| GroupMemberError::Start { path: folder.into(), reason: why })?;
+        let council = GroupMember {
             seat: RefCell::new(seat),
             disk: RefCell::new(opened.log),
             posts: RefCell::default(),
@@ -137,7 +137,7 @@
             let turn = council.seat.borrow_mut().step(clock.now());
             let whole = council.seat.borrow_mut().compact(data);
             drop(turn);
-            council.keep(&whole).map_err(|why| CouncilError::Log { path: folder.into(), why })?;
+            council.keep(&whole).map_err(|why| GroupMemberError::Log { path: folder.into(), reason: why })?;
         }
         Ok(Rc::new(council))
     }
@@ -145,14 +145,14 @@
     /// Starts ticks and sockets. `hear` is called with all that is new, and may call back; never while anything of this is
     /// borrowed.
     pub fn run(
-        self: &Rc<Council>,
+        self: &Rc<GroupMember>,
         listen: Option<SocketAddr>,
         spawner: &Spawner,
-        hear: impl Fn(News) + 'static,
+        hear: impl Fn(GroupEvent) + 'static,
     ) -> Result<(), String> {
-        let hear: Rc<dyn Fn(News)> = Rc::new(hear);
+        let hear: Rc<dyn Fn(GroupEvent)> = Rc::new(hear);
         if let Some(at) = listen {
-            net::listen(self.clone(), at, spawner, hear.clone())?;
+            peers::listen(self.clone(), at, spawner, hear.clone())?;
         }
         // A group of one has nobody to wait for.
         let now = self.clock.now();
@@ -161,7 +161,7 @@
             self.pump();
             self.hand_out(&*hear);
         }
-        spawner.spawn(net::dial_members(self.clone(), spawner.clone(), hear.clone()));
+        spawner.spawn(peers::dial_members(self.clone(), spawner.clone(), hear.clone()));
         let council = self.clone();
         spawner.spawn(async move {
             loop {
@@ -177,7 +177,7 @@
     }
 
     /// Hands the service what is new, in its order. What comes up meanwhile is handed out too.
-    fn hand_out(&self, hear: &dyn Fn(News)) {
+    fn hand_out(&self, hear: &dyn Fn(GroupEvent)) {
         loop {
             let next = self.news.borrow_mut().pop_front();
             match next {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Carries out all turns that are due; what they bring waits for [`Council::take_news`].
+    /// Carries out all turns that are due; what they bring waits for [`GroupMember::next_event`].
     pub fn pump(&self) {
         loop {
             if self.broken.get() {
@@ -211,7 +211,7 @@
 
     fn end(&self) {
         self.broken.set(true);
-        self.news.borrow_mut().push_back(News::Broken);
+        self.news.borrow_mut().push_back(GroupEvent::Failed);
         self.changed.notify(usize::MAX);
     }
 
@@ -239,15 +239,15 @@
         let mut news = self.news.borrow_mut();
         if turn.stepped_down {
             info!(self.log, "leads no more");
-            news.push_back(News::SteppedDown);
+            news.push_back(GroupEvent::SteppedDown);
         }
         if turn.replaced {
-            news.push_back(News::Replaced);
+            news.push_back(GroupEvent::DataReplaced);
         }
-        news.extend(turn.committed.into_iter().map(News::Agreed));
+        news.extend(turn.committed.into_iter().map(GroupEvent::Committed));
         if let Some(term) = turn.became_leader {
             info!(self.log, "leads"; "group_term" => term);
-            news.push_back(News::Leads);
+            news.push_back(GroupEvent::BecameLeader);
         }
         if turn.members_changed {
             let names: Vec<String> = self.seat.borrow().members().map(|m| m.name.clone()).collect();
@@ -267,9 +267,9 @@
         }
     }
 
-    /// Wants something to be agreed on; it comes back as news. Several go to disk with one sync: [`Council::pump`] follows
+    /// Wants something to be agreed on; it comes back as news. Several go to disk with one sync: [`GroupMember::pump`] follows
     /// the last of them.
-    pub fn want(&self, data: Vec<u8>) -> Result<(), NotLeaderError> {
+    pub fn propose(&self, data: Vec<u8>) -> Result<(), NotLeaderError> {
         if self.broken.get() {
             return Err(NotLeaderError { leader: None });
         }
@@ -277,7 +277,7 @@
     }
 
     /// What has come up since it was last asked; for a service that has just proposed something.
-    pub fn take_news(&self) -> Option<News> {
+    pub fn next_event(&self) -> Option<GroupEvent> {
         self.news.borrow_mut().pop_front()
     }
 
@@ -287,16 +287,16 @@
     }
 
     /// Whether this member may tell anyone anything now.
-    pub fn may_speak(&self) -> bool {
+    pub fn holds_leader_lease(&self) -> bool {
         !self.broken.get() && self.seat.borrow().holds_leader_lease(self.clock.now())
     }
 
-    pub fn is_broken(&self) -> bool {
+    pub fn has_failed(&self) -> bool {
         self.broken.get()
     }
 
     /// Where the member that leads serves, as far as it is known and another one.
-    pub fn elsewhere(&self) -> Option<String> {
+    pub fn leader_service_address(&self) -> Option<String> {
         self.seat.borrow().not_leader().leader.map(|leader| leader.service_address)
     }
 
@@ -305,7 +305,7 @@
     }
 
     /// Writes the log whole where it has grown, with what `shorten` leaves of the data.
-    pub fn tidy(&self, shorten: impl FnOnce(Vec<Vec<u8>>) -> Vec<Vec<u8>>) {
+    pub fn compact_log(&self, shorten: impl FnOnce(Vec<Vec<u8>>) -> Vec<Vec<u8>>) {
         if self.broken.get() || !self.seat.borrow().needs_compaction() {
             return;
         }
@@ -318,34 +318,36 @@
     }
 
     /// What staff asks of the group.
-    pub fn answer(&self, call: &Call) -> Answer {
+    pub fn handle_request(&self, call: &GroupRequest) -> GroupResponse {
         let changed = match call {
-            Call::GroupStatus => return Answer::GroupStatus(Box::new(self.status())),
-            _ if !self.may_speak() => return Answer::Elsewhere(self.elsewhere()),
-            Call::GroupAdd { member } => self.seat.borrow_mut().add(member),
-            Call::GroupRemove { name } => self.seat.borrow_mut().remove(name),
+            GroupRequest::GroupStatus => return GroupResponse::GroupStatus(Box::new(self.status())),
+            _ if !self.holds_leader_lease() => {
+                return GroupResponse::NotLeader(self.leader_service_address());
+            }
+            GroupRequest::GroupAdd { member } => self.seat.borrow_mut().add(member),
+            GroupRequest::GroupRemove { name } => self.seat.borrow_mut().remove(name),
         };
         self.pump();
         match changed {
-            Ok(()) => Answer::GroupChanging,
-            Err(why) => Answer::Refused(why),
+            Ok(()) => GroupResponse::GroupChanging,
+            Err(why) => GroupResponse::Refused(why),
         }
     }
 
     /// Everyone to whom it keeps a line: the members but itself; and as long as it knows of none, those who called.
-    fn others(&self) -> Vec<net::Other> {
+    fn others(&self) -> Vec<peers::Other> {
         let seat = self.seat.borrow();
-        let other = |member: &Member| net::Other {
+        let other = |member: &Member| peers::Other {
             id: member.id(),
             name: member.name.clone(),
             at: member.address.clone(),
         };
-        let others: Vec<net::Other> = seat.members().filter(|m| m.id() != seat.id()).map(other).collect();
+        let others: Vec<peers::Other> = seat.members().filter(|m| m.id() != seat.id()).map(other).collect();
         if seat.members().next().is_some() {
             self.callers.borrow_mut().clear();
             return others;
         }
-        let caller = |(id, at): (&u64, &SocketAddr)| net::Other {
+        let caller = |(id, at): (&u64, &SocketAddr)| peers::Other {
             id: *id,
             name: format!("{id:016x}"),
             at: at.to_string(),
@@ -370,12 +372,12 @@
 
     /// Waits for a change of members, or so long.
     async fn changed(&self, at_most: Duration) {
-        until(&self.changed, at_most).await;
+        wait_for_event(&self.changed, at_most).await;
     }
 }
 
 /// Waits for an event from now on, or so long.
-pub async fn until(event: &Event, at_most: Duration) {
+pub async fn wait_for_event(event: &Event, at_most: Duration) {
     let listener = event.listen();
     or(listener, async {
         Timer::after(at_most).await;
--- a/crates/seats/src/lines.rs
+++ b/crates/seats/src/messages.rs
@@ -4,7 +4,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Call {
+pub enum GroupRequest {
     GroupStatus,
     GroupAdd { member: Member },
     GroupRemove { name: String },
@@ -12,11 +12,12 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answer {
+pub enum GroupResponse {
     GroupStatus(Box<ReplicaStatus>),
     /// The change has begun; the status shows when it is agreed on.
     GroupChanging,
     /// This member does not lead, or may not speak: where the one that does serves, if that is known.
-    Elsewhere(Option<String>),
+    #[serde(rename = "elsewhere")]
+    NotLeader(Option<String>),
     Refused(String),
 }
--- a/crates/seats/src/net.rs
+++ b/crates/seats/src/peers.rs
@@ -1,6 +1,6 @@
 //! Lines between members: each dials every other one, says who it is and on which disk, and sends frames over that
 //! connection; answers come over the other's own. What does not fit into a bounded queue is left out: Raft sends it again.
-use crate::{Council, News};
+use crate::{GroupEvent, GroupMember};
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -66,10 +66,10 @@
 }
 
 pub(crate) fn listen(
-    council: Rc<Council>,
+    council: Rc<GroupMember>,
     at: SocketAddr,
     spawner: &Spawner,
-    hear: Rc<dyn Fn(News)>,
+    hear: Rc<dyn Fn(GroupEvent)>,
 ) -> Result<(), String> {
     let listener = Async::<TcpListener>::bind(at)
         .map_err(|why| format!("key group-listen: {at} can't be listened on: {why}"))?;
@@ -114,7 +114,11 @@
     String::from_utf8(line).map_err(|_| "no hello".into())
 }
 
-async fn hear_member(council: &Council, stream: &Stream, hear: &dyn Fn(News)) -> Result<(), String> {
+async fn hear_member(
+    council: &GroupMember,
+    stream: &Stream,
+    hear: &dyn Fn(GroupEvent),
+) -> Result<(), String> {
     let line = with_timeout(STALL, "no hello in time", read_line(stream)).await?;
     let (from, disk, to, at) = read_hello(&line).ok_or("an unreadable hello")?;
     let (me, own) = (council.seat.borrow().id(), council.seat.borrow().disk());
@@ -139,7 +143,7 @@
         council.seat.borrow_mut().on_message(&frame, now);
         council.pump();
         council.hand_out(hear);
-        if council.is_broken() {
+        if council.has_failed() {
             return Ok(());
         }
     }
@@ -164,7 +168,7 @@
 }
 
 /// Keeps a line to every other member, as the list of members says.
-pub(crate) async fn dial_members(council: Rc<Council>, spawner: Spawner, hear: Rc<dyn Fn(News)>) {
+pub(crate) async fn dial_members(council: Rc<GroupMember>, spawner: Spawner, hear: Rc<dyn Fn(GroupEvent)>) {
     let mut dialling: BTreeMap<u64, async_executor::Task<()>> = BTreeMap::new();
     loop {
         let others = council.others();
@@ -189,7 +193,7 @@
     pub at: String,
 }
 
-async fn dial(council: Rc<Council>, other: Other, post: Rc<Post>, hear: Rc<dyn Fn(News)>) {
+async fn dial(council: Rc<GroupMember>, other: Other, post: Rc<Post>, hear: Rc<dyn Fn(GroupEvent)>) {
     let mut down = false;
     loop {
         let why = match stay(&council, &other, &post, &mut down).await {
@@ -223,7 +227,7 @@
     }
 }
 
-async fn stay(council: &Council, other: &Other, post: &Post, down: &mut bool) -> Result<(), Why> {
+async fn stay(council: &GroupMember, other: &Other, post: &Post, down: &mut bool) -> Result<(), Why> {
     let at: SocketAddr = other.at.parse().map_err(|_| format!("{:?} is no address", other.at))?;
     let (me, disk) = (council.seat.borrow().id(), council.seat.borrow().disk());
     let stream = with_timeout(CONNECT, "not up in time", async {
--- a/crates/seats/src/waiting.rs
+++ b/crates/seats/src/pending_effects.rs
@@ -9,7 +9,7 @@
 }
 
 /// What a service that leads has decided and may not tell yet.
-pub struct Waiting<E> {
+pub struct PendingEffects<E> {
     due: RefCell<VecDeque<Due<E>>>,
     /// How many came, and how many of them wait no more.
     came: Cell<u64>,
@@ -20,14 +20,14 @@
 
 /// All that waited at some moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct Position {
     upto: u64,
     cleared: u64,
 }
 
-impl<E> Default for Waiting<E> {
+impl<E> Default for PendingEffects<E> {
     fn default() -> Self {
-        Waiting {
+        PendingEffects {
             due: RefCell::default(),
             came: Cell::default(),
             done: Cell::default(),
@@ -36,23 +36,23 @@
     }
 }
 
-impl<E> Waiting<E> {
+impl<E> PendingEffects<E> {
     fn add(&self, due: Due<E>) {
         self.due.borrow_mut().push_back(due);
         self.came.set(self.came.get() + 1);
     }
 
-    pub fn behind(&self, record: Vec<u8>) {
+    pub fn push_entry(&self, record: Vec<u8>) {
         self.add(Due::Record(record));
     }
 
-    pub fn push(&self, effect: E) {
+    pub fn push_effect(&self, effect: E) {
         self.add(Due::Effect(effect));
     }
 
     /// The group has agreed on something. Only the record at the head frees what is behind it: anything else is not this
     /// member's, or was decided before it led.
-    pub fn agreed(&self, data: &[u8]) {
+    pub fn on_committed(&self, data: &[u8]) {
         let mut due = self.due.borrow_mut();
         if matches!(due.front(), Some(Due::Record(own)) if own == data) {
             due.pop_front();
@@ -61,7 +61,7 @@
     }
 
     /// The next effect that waits for nothing.
-    pub fn next(&self) -> Option<E> {
+    pub fn pop_ready(&self) -> Option<E> {
         let mut due = self.due.borrow_mut();
         match due.pop_front()? {
             Due::Effect(effect) => {
@@ -80,12 +80,12 @@
     }
 
     /// All that waits now.
-    pub fn mark(&self) -> Mark {
-        Mark { upto: self.came.get(), cleared: self.cleared.get() }
+    pub fn position(&self) -> Position {
+        Position { upto: self.came.get(), cleared: self.cleared.get() }
     }
 
     /// Whether all that waited at the mark was agreed on and done, whatever has come since. None: it was thrown away.
-    pub fn is_past(&self, mark: Mark) -> Option<bool> {
+    pub fn is_completed(&self, mark: Position) -> Option<bool> {
         (mark.cleared == self.cleared.get()).then(|| self.done.get() >= mark.upto)
     }
 
--- a/crates/seats/src/recent.rs
+++ b/crates/seats/src/recent_items.rs
@@ -2,16 +2,16 @@
 use std::collections::VecDeque;
 
 /// Holds a bounded number of things; what is after a number is found by its place, not by a search.
-pub struct Recent<T> {
+pub struct RecentItems<T> {
     held: VecDeque<T>,
     /// The number of the newest; 0: there was none.
     last: u64,
     most: usize,
 }
 
-impl<T> Recent<T> {
-    pub fn new(most: usize) -> Recent<T> {
-        Recent { held: VecDeque::new(), last: 0, most }
+impl<T> RecentItems<T> {
+    pub fn new(most: usize) -> RecentItems<T> {
+        RecentItems { held: VecDeque::new(), last: 0, most }
     }
 
     /// A number that does not follow the last one begins anew: nothing before it is held.
--- a/crates/seats/tests/host.rs
+++ b/crates/seats/tests/host.rs
@@ -1,7 +1,7 @@
 //! The host of a service: who is woken by what, and what becomes of effects when the group's member leads no more.
 use futures_lite::future::{block_on, yield_now};
-use harestage_seats::host::{Host, Hosted};
-use harestage_seats::{Council, CouncilStart, News};
+use harestage_seats::host::{Host, HostedService};
+use harestage_seats::{GroupEvent, GroupMember, GroupMemberConfig};
 use harestage_sockets::Spawner;
 use harestage_sockets::clock::Clock;
 use harestage_sockets::lines::LineReader;
@@ -28,40 +28,40 @@
     broke: Cell<usize>,
 }
 
-impl Hosted for Telling {
+impl HostedService for Telling {
     /// Entries that were agreed on before.
     type State = usize;
     type Effect = Effect;
 
-    const BROKEN: &'static str = "broken";
-    const LONGEST_LINE: usize = 64;
+    const FAILURE_TEXT: &'static str = "broken";
+    const MAX_LINE_BYTES: usize = 64;
 
     fn open(_: &Host<Telling>, data: &[Vec<u8>]) -> Result<(usize, Vec<Effect>), String> {
         Ok((data.len(), vec![Effect::Write(b"term".to_vec())]))
     }
 
-    fn entry(effect: &Effect) -> Option<Vec<u8>> {
+    fn log_entry(effect: &Effect) -> Option<Vec<u8>> {
         match effect {
             Effect::Write(entry) => Some(entry.clone()),
             Effect::Tell(_) => None,
         }
     }
 
-    fn tell_of(host: &Host<Telling>, effect: Effect) {
+    fn execute_effect(host: &Host<Telling>, effect: Effect) {
         if let Effect::Tell(what) = effect {
-            host.hosted.told.borrow_mut().push(what);
+            host.service.told.borrow_mut().push(what);
         }
     }
 
-    fn laid_down(&self) {
+    fn on_step_down(&self) {
         self.laid_down.set(self.laid_down.get() + 1);
     }
 
-    fn broke(host: &Host<Telling>) {
-        host.hosted.broke.set(host.hosted.broke.get() + 1);
+    fn on_failure(host: &Host<Telling>) {
+        host.service.broke.set(host.service.broke.get() + 1);
     }
 
-    async fn turns(_: &Rc<Host<Telling>>, _: &Spawner) {}
+    async fn run(_: &Rc<Host<Telling>>, _: &Spawner) {}
 
     async fn serve(_: &Host<Telling>, _: &mut LineReader<'_>, _: Vec<u8>) -> Result<(), String> {
         Ok(())
@@ -80,14 +80,14 @@
 
 /// A group of one: it leads once it runs, and what it wants is agreed on at once.
 fn host(name: &str) -> Rc<Host<Telling>> {
-    let (log, start) = (Logger::root(Discard, o!()), CouncilStart::alone("a"));
-    let council = Council::open(&start, &folder(name), Vec::new(), no_old, Clock::start(), log).unwrap();
+    let (log, start) = (Logger::root(Discard, o!()), GroupMemberConfig::standalone("a"));
+    let council = GroupMember::open(&start, &folder(name), Vec::new(), no_old, Clock::start(), log).unwrap();
     Rc::new(Host::new(council, Telling::default()))
 }
 
 fn run(host: &Rc<Host<Telling>>, spawner: &Spawner) {
     let hearing = host.clone();
-    host.council.run(None, spawner, move |news| hearing.hear_news(news)).unwrap();
+    host.member.run(None, spawner, move |news| hearing.handle_event(news)).unwrap();
 }
 
 async fn turns() {
@@ -102,7 +102,7 @@
     let counts = woken.clone();
     spawner.spawn(async move {
         loop {
-            host.until_news(LONG).await;
+            host.wait_for_update(LONG).await;
             counts.set(counts.get() + 1);
         }
     });
@@ -114,20 +114,20 @@
     let (spawner, host) = (Spawner::default(), host("wakes"));
     spawner.block_on(async {
         run(&host, &spawner);
-        assert!(host.settled().await, "a group of one agrees at once");
+        assert!(host.wait_settled().await, "a group of one agrees at once");
         let woken = count_wakes(&host, &spawner);
         turns().await;
         for _ in 0..3 {
-            host.carry_out(vec![Effect::Write(b"confirmed".to_vec())]);
+            host.execute(vec![Effect::Write(b"confirmed".to_vec())]);
             turns().await;
         }
-        host.carry_out(Vec::new());
+        host.execute(Vec::new());
         turns().await;
-        assert_eq!((woken.get(), host.council.data().len()), (0, 4), "an entry alone concerns nobody");
-        host.carry_out(vec![Effect::Write(b"item".to_vec()), Effect::Tell("item"), Effect::Tell("more")]);
+        assert_eq!((woken.get(), host.member.data().len()), (0, 4), "an entry alone concerns nobody");
+        host.execute(vec![Effect::Write(b"item".to_vec()), Effect::Tell("item"), Effect::Tell("more")]);
         turns().await;
-        assert_eq!((woken.get(), &host.hosted.told.borrow()[..]), (1, &["item", "more"][..]));
-        host.hear_news(News::SteppedDown);
+        assert_eq!((woken.get(), &host.service.told.borrow()[..]), (1, &["item", "more"][..]));
+        host.handle_event(GroupEvent::SteppedDown);
         turns().await;
         assert_eq!(woken.get(), 2, "who speaks has changed");
     });
@@ -137,18 +137,21 @@
 fn a_member_that_leads_no_more_tells_nothing_and_knows_nothing() {
     let host = host("down");
     // Before it runs it leads nothing: what it wants is not agreed on, and what is behind it is not told.
-    host.carry_out(vec![Effect::Write(b"early".to_vec()), Effect::Tell("early")]);
-    assert_eq!((host.hosted.laid_down.get(), host.hosted.told.borrow().len()), (1, 0));
-    assert!(!block_on(host.settled()));
+    host.execute(vec![Effect::Write(b"early".to_vec()), Effect::Tell("early")]);
+    assert_eq!((host.service.laid_down.get(), host.service.told.borrow().len()), (1, 0));
+    assert!(!block_on(host.wait_settled()));
     let spawner = Spawner::default();
     spawner.block_on(async {
         run(&host, &spawner);
-        assert_eq!(host.with(|before| *before), Some(0));
-        assert!(host.speaks() && host.settled().await);
-        host.hear_news(News::Broken);
-        assert_eq!((host.with(|before| *before), host.while_leading(|before| *before)), (None, None));
-        assert_eq!(host.or_elsewhere(|_| "state".to_string(), |at| format!("{at:?}")), "None");
-        assert!(!host.speaks() && !host.settled().await);
-        assert_eq!(host.hosted.broke.get(), 1);
+        assert_eq!(host.with_state(|before| *before), Some(0));
+        assert!(host.is_serving() && host.wait_settled().await);
+        host.handle_event(GroupEvent::Failed);
+        assert_eq!(
+            (host.with_state(|before| *before), host.with_unleased_state(|before| *before)),
+            (None, None)
+        );
+        assert_eq!(host.with_state_or(|_| "state".to_string(), |at| format!("{at:?}")), "None");
+        assert!(!host.is_serving() && !host.wait_settled().await);
+        assert_eq!(host.service.broke.get(), 1);
     });
 }
--- a/crates/seats/tests/recent.rs
+++ b/crates/seats/tests/recent_items.rs
@@ -1,13 +1,13 @@
 //! What is held of the newest of numbered things.
-use harestage_seats::Recent;
+use harestage_seats::RecentItems;
 
-fn after(recent: &Recent<u64>, number: u64) -> Vec<u64> {
+fn after(recent: &RecentItems<u64>, number: u64) -> Vec<u64> {
     recent.after(number).copied().collect()
 }
 
 #[test]
 fn what_follows_a_number_is_found_by_its_place() {
-    let mut recent = Recent::new(4);
+    let mut recent = RecentItems::new(4);
     assert_eq!((recent.last(), after(&recent, 0)), (0, vec![]));
     (1..=3).for_each(|number| recent.push(number, number));
     assert_eq!((recent.last(), after(&recent, 0)), (3, vec![1, 2, 3]));
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_gap_and_a_clearing_begin_anew() {
-    let mut recent = Recent::new(4);
+    let mut recent = RecentItems::new(4);
     recent.push(7, 7);
     recent.push(8, 8);
     recent.push(12, 12);
