--- a/crates/cli/src/group.rs
+++ b/crates/cli/src/group.rs
@@ -2,7 +2,7 @@
 use crate::ask::Call;
 use crate::exit;
 use harestage_group::{Member, ReplicaStatus};
-use harestage_seats::{GroupMemberConfig, GroupResponse};
+use harestage_group_host::{GroupMemberConfig, GroupResponse};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
@@ -134,11 +134,11 @@
             name_and_site(&member).map_err(Failure::Refused).and_then(|(name, site)| {
                 let (at, serves) = (at.to_string(), serves.to_string());
                 let member = Member { name, site, address: at, service_address: serves, incarnation };
-                change(&services, &harestage_seats::GroupRequest::GroupAdd { member })
+                change(&services, &harestage_group_host::GroupRequest::GroupAdd { member })
             })
         }
         Group::Remove { services, name } => {
-            change(&services, &harestage_seats::GroupRequest::GroupRemove { name })
+            change(&services, &harestage_group_host::GroupRequest::GroupRemove { name })
         }
     };
     let (why, code) = match done {
@@ -150,7 +150,7 @@
     ExitCode::from(code)
 }
 
-fn ask(at: SocketAddr, call: &harestage_seats::GroupRequest) -> Result<GroupResponse, Failure> {
+fn ask(at: SocketAddr, call: &harestage_group_host::GroupRequest) -> Result<GroupResponse, Failure> {
     Call::begin("service", at, call).and_then(|mut call| call.next()).map_err(Failure::Away)
 }
 
@@ -158,7 +158,7 @@
 fn status(services: &[SocketAddr], json: bool) -> Result<(), Failure> {
     let (mut seen, mut away) = (Vec::<ReplicaStatus>::new(), Vec::new());
     for at in services {
-        match ask(*at, &harestage_seats::GroupRequest::GroupStatus) {
+        match ask(*at, &harestage_group_host::GroupRequest::GroupStatus) {
             Ok(GroupResponse::GroupStatus(status)) => seen.push(*status),
             Ok(other) => away.push(format!("{at}: an unexpected answer: {other:?}")),
             Err(Failure::Away(why) | Failure::Refused(why)) => away.push(why),
@@ -195,7 +195,7 @@
 }
 
 /// Asks whoever speaks for the group.
-fn change(services: &[SocketAddr], call: &harestage_seats::GroupRequest) -> Result<(), Failure> {
+fn change(services: &[SocketAddr], call: &harestage_group_host::GroupRequest) -> Result<(), Failure> {
     let answer = Call::find("service", services, call).and_then(|mut call| call.next::<GroupResponse>());
     match answer.map_err(Failure::Away)? {
         GroupResponse::GroupChanging => Ok(()),
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -5,10 +5,10 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
-use harestage_seats::host::{
+use harestage_group_host::host::{
     Host, HostListener, HostedService, LEASE_CHECK_INTERVAL, PEER_TIMEOUT, write_message,
 };
-use harestage_seats::{GroupMember, GroupMemberConfig, RecentItems};
+use harestage_group_host::{GroupMember, GroupMemberConfig, RecentItems};
 use harestage_shape::config::ShapeConfig;
 use harestage_shape::control::{ChangeEvent, Control, Effect, SiteState};
 use harestage_shape::feed;
--- a/crates/seats/tests/host.rs
+++ b/crates/group-host/tests/host.rs
@@ -1,7 +1,7 @@
 //! The host of a service: who is woken by what, and what becomes of effects when the group's member leads no more.
 use futures_lite::future::{block_on, yield_now};
-use harestage_seats::host::{Host, HostedService};
-use harestage_seats::{GroupEvent, GroupMember, GroupMemberConfig};
+use harestage_group_host::host::{Host, HostedService};
+use harestage_group_host::{GroupEvent, GroupMember, GroupMemberConfig};
 use harestage_sockets::Spawner;
 use harestage_sockets::clock::Clock;
 use harestage_sockets::lines::LineReader;
--- a/crates/seats/tests/pending_effects.rs
+++ b/crates/group-host/tests/pending_effects.rs
@@ -1,5 +1,5 @@
 //! What waits for a record to be agreed on.
-use harestage_seats::PendingEffects;
+use harestage_group_host::PendingEffects;
 
 #[test]
 fn effects_come_in_their_order_behind_their_records() {
--- a/crates/seats/tests/recent_items.rs
+++ b/crates/group-host/tests/recent_items.rs
@@ -1,5 +1,5 @@
 //! What is held of the newest of numbered things.
-use harestage_seats::RecentItems;
+use harestage_group_host::RecentItems;
 
 fn after(recent: &RecentItems<u64>, number: u64) -> Vec<u64> {
     recent.after(number).copied().collect()
--- a/crates/keeper/src/server.rs
+++ b/crates/keeper/src/server.rs
@@ -12,12 +12,12 @@
 use harestage_audit::messages::{KeeperMessage, OperatorRequest, OperatorResponse, ProcessMessage, Report};
 use harestage_following::control::{Heard, Member};
 use harestage_following::{Line, control, purges, subscribe};
-use harestage_purge::follower::Action;
-use harestage_purge::messages::Past;
-use harestage_seats::host::{
+use harestage_group_host::host::{
     Host, HostListener, HostedService, LEASE_CHECK_INTERVAL, PEER_TIMEOUT, write_message,
 };
-use harestage_seats::{GroupMember, GroupMemberConfig, wait_for_event};
+use harestage_group_host::{GroupMember, GroupMemberConfig, wait_for_event};
+use harestage_purge::follower::Action;
+use harestage_purge::messages::Past;
 use harestage_shape::config::ShapeConfig;
 use harestage_shape::control::HubReport as ShapeReport;
 use harestage_shape::messages as shape_lines;
--- a/crates/measure/src/effects.rs
+++ b/crates/measure/src/effects.rs
@@ -4,7 +4,7 @@
 //! when a record is agreed on, seen, and who may speak.
 use harestage::time::Moment;
 use harestage_control::journal;
-use harestage_seats::PendingEffects;
+use harestage_group_host::PendingEffects;
 use harestage_shape::config::{ArchiveConfig, BranchConfig, HubConfig, ShapeConfig};
 use harestage_shape::control::{Control, Effect};
 use stateright::{Checker, Model, Property};
--- a/crates/purger/src/lib.rs
+++ b/crates/purger/src/lib.rs
@@ -10,6 +10,10 @@
 use async_io::Timer;
 use futures_lite::future::or;
 use harestage::time::{Moment, Span};
+use harestage_group_host::host::{
+    Host, HostListener, HostedService, LEASE_CHECK_INTERVAL, PEER_TIMEOUT, write_message,
+};
+use harestage_group_host::{GroupMember, GroupMemberConfig, RecentItems};
 use harestage_purge::members::MessageError;
 use harestage_purge::messages::{
     Ack, FromGatherer, GatheredReport, MemberStatus, Request, Response, Status, ToMember,
@@ -18,10 +22,6 @@
 use harestage_purge::retained::MAX_BATCH_ITEMS;
 use harestage_purge::sequencer::{Item, LogEntry, RateLimit};
 use harestage_purge::service::{Effect, PushState, Service};
-use harestage_seats::host::{
-    Host, HostListener, HostedService, LEASE_CHECK_INTERVAL, PEER_TIMEOUT, write_message,
-};
-use harestage_seats::{GroupMember, GroupMemberConfig, RecentItems};
 use harestage_sockets::accept::ConnectionLimit;
 use harestage_sockets::clock::Clock;
 use harestage_sockets::lines::LineReader;
--- a/crates/purger/src/member_connection.rs
+++ b/crates/purger/src/member_connection.rs
@@ -2,9 +2,9 @@
 //! and each gatherer serve their members by it.
 use async_io::Timer;
 use futures_lite::future::or;
+use harestage_group_host::host::{LEASE_CHECK_INTERVAL, PEER_TIMEOUT, write_message};
 use harestage_purge::messages::{Ack, ToMember};
 use harestage_purge::retained::MAX_BATCH_ITEMS;
-use harestage_seats::host::{LEASE_CHECK_INTERVAL, PEER_TIMEOUT, write_message};
 use harestage_sockets::lines::{LineReader, with_timeout};
 use std::time::Duration;
 
