--- a/crates/group-host/src/disk.rs
+++ b/crates/group-host/src/disk.rs
@@ -1,23 +1,23 @@
-//! A member's records on the log of `harestage_segments`, and what a service kept there before it was a group.
+//! The log of a group member on disk, and the conversion of logs written before the service was replicated.
 use harestage_group::{Replica, StartError};
 use harestage_segments::{Folder, Log, LogError};
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 
-const SEGMENT: usize = 8 << 20;
+const SEGMENT_BYTES: usize = 8 << 20;
 
-/// Reads a folder's older form: the snapshot and the records to the pieces of data that they stand for.
+/// Converts the snapshot and records of a folder in the unreplicated format to the data of the group.
 pub type LegacyReader = fn(Option<&[u8]>, &[Vec<u8>]) -> Result<Vec<Vec<u8>>, String>;
 
-/// Why a member's folder can't be used; the text names it.
+/// The reason why the folder of a member can't be used.
 #[derive(Debug)]
 pub enum GroupMemberError {
     Folder {
         path: PathBuf,
         reason: io::Error,
     },
-    /// Another program holds it.
+    /// Another process has locked the folder.
     Locked {
         path: PathBuf,
     },
@@ -49,41 +49,42 @@
 
 impl std::error::Error for GroupMemberError {}
 
-pub(crate) struct Opened {
+/// The contents of a member's folder.
+pub(crate) struct OpenedLog {
     pub log: Log<Folder>,
     pub records: Vec<Vec<u8>>,
-    /// The data of a folder in its older form.
-    pub old: Option<Vec<Vec<u8>>>,
-    pub was_old: bool,
+    /// The converted data of a folder in the unreplicated format.
+    pub legacy_data: Option<Vec<Vec<u8>>>,
+    pub was_legacy: bool,
 }
 
-/// The first bytes of JSON, with which no record of a member begins.
-fn is_old(bytes: &[u8]) -> bool {
+/// The unreplicated format is JSON. No record of a group member begins with these bytes.
+fn is_legacy(bytes: &[u8]) -> bool {
     matches!(bytes.first(), Some(b'{' | b'['))
 }
 
-pub(crate) fn open(path: &Path, old: LegacyReader) -> Result<Opened, GroupMemberError> {
-    let folder = Folder::open(path).map_err(|why| match why.kind() {
+pub(crate) fn open(path: &Path, read_legacy: LegacyReader) -> Result<OpenedLog, GroupMemberError> {
+    let folder = Folder::open(path).map_err(|error| match error.kind() {
         io::ErrorKind::WouldBlock => GroupMemberError::Locked { path: path.into() },
-        _ => GroupMemberError::Folder { path: path.into(), reason: why },
+        _ => GroupMemberError::Folder { path: path.into(), reason: error },
     })?;
-    let (log, found) =
-        Log::open(folder, SEGMENT).map_err(|why| GroupMemberError::Log { path: path.into(), reason: why })?;
-    let snapshot = found.snapshot.as_ref().map(|whole| whole.bytes.as_slice());
-    let records: Vec<Vec<u8>> = found.records.into_iter().map(|record| record.bytes).collect();
-    let was_old = snapshot.is_some_and(is_old) || snapshot.is_none() && records.iter().any(|r| is_old(r));
-    if was_old {
-        let data = old(snapshot, &records)
-            .map_err(|why| GroupMemberError::LegacyFormat { path: path.into(), reason: why })?;
-        return Ok(Opened { log, records: Vec::new(), old: Some(data), was_old });
+    let (log, contents) = Log::open(folder, SEGMENT_BYTES)
+        .map_err(|error| GroupMemberError::Log { path: path.into(), reason: error })?;
+    let snapshot = contents.snapshot.as_ref().map(|snapshot| snapshot.bytes.as_slice());
+    let records: Vec<Vec<u8>> = contents.records.into_iter().map(|record| record.bytes).collect();
+    let was_legacy =
+        snapshot.is_some_and(is_legacy) || snapshot.is_none() && records.iter().any(|r| is_legacy(r));
+    if was_legacy {
+        let data = read_legacy(snapshot, &records)
+            .map_err(|reason| GroupMemberError::LegacyFormat { path: path.into(), reason })?;
+        return Ok(OpenedLog { log, records: Vec::new(), legacy_data: Some(data), was_legacy });
     }
     let mut all = match snapshot {
-        Some(whole) => Replica::decode_snapshot(whole).ok_or_else(|| GroupMemberError::LegacyFormat {
-            path: path.into(),
-            reason: "the snapshot can't be read".into(),
+        Some(snapshot) => Replica::decode_snapshot(snapshot).ok_or_else(|| {
+            GroupMemberError::LegacyFormat { path: path.into(), reason: "the snapshot can't be read".into() }
         })?,
         None => Vec::new(),
     };
     all.extend(records);
-    Ok(Opened { log, records: all, old: None, was_old })
+    Ok(OpenedLog { log, records: all, legacy_data: None, was_legacy })
 }
--- a/crates/group-host/src/host.rs
+++ b/crates/group-host/src/host.rs
@@ -1,6 +1,6 @@
-//! The host of a service that runs on what a group agrees on. It takes the state machine up when this member leads and
-//! lays it down when it leads no more, carries effects out behind the records that the group has to agree on first, and
-//! takes connections in. What the service is, it says by [`HostedService`].
+//! The host of a service that runs on a replicated group. It opens the service's state machine when this member becomes
+//! the leader and drops it when the member steps down. It executes each effect once the group has committed the log
+//! entries before it, and accepts connections. The service itself implements [`HostedService`].
 use crate::{GroupEvent, GroupMember, GroupRequest, GroupResponse, PendingEffects, wait_for_event};
 use async_io::Async;
 use event_listener::Event;
@@ -16,52 +16,54 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A peer that says nothing before its first line, or takes nothing, for as long is ended: far longer than a healthy one
-/// ever needs, and short enough that dead ones don't pile up.
+/// A connection is closed if its first line, or progress of a write, takes this long. Healthy peers are far faster, and
+/// dead connections do not accumulate.
 pub const PEER_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often whoever waits looks whether this member still speaks: that ends with time, and nobody tells of it.
+/// Interval at which waiting tasks check whether this member still holds the leader lease. The lease expires with time,
+/// without a notification.
 pub const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A service that runs on what a group agrees on.
+/// A service that runs on a replicated group.
 pub trait HostedService: Sized + 'static {
-    /// What runs only on the member that leads.
+    /// The state machine, which exists only on the leader.
     type State;
+    /// What the state machine wants done: an entry to be committed, or an action after it.
     type Effect;
 
-    /// As the log calls it.
+    /// The name of the service in log messages.
     const NAME: &'static str = "service";
-    /// Why it ends where the group's member is broken.
+    /// The error with which the process ends if the group member has failed.
     const FAILURE_TEXT: &'static str;
-    /// Bytes of the first line of a connection at most.
+    /// Maximum length of the first line of a connection, in bytes.
     const MAX_LINE_BYTES: usize;
 
-    /// The state machine from what was agreed on, and what it wants done first.
+    /// Opens the state machine from the committed entries, and returns its first effects.
     fn open(host: &Host<Self>, data: &[Vec<u8>]) -> Result<(Self::State, Vec<Self::Effect>), String>;
 
-    /// What the group has to agree on, where that is the whole of the effect.
+    /// Returns the entry to be committed if the effect consists of nothing else.
     fn log_entry(effect: &Self::Effect) -> Option<Vec<u8>>;
 
-    /// Does what is no entry; everything before it is agreed on.
+    /// Executes an effect that is not an entry. All entries before it are committed.
     fn execute_effect(host: &Host<Self>, effect: Self::Effect);
 
-    /// The state is gone: so goes what was made of it.
+    /// Drops what was derived from the state machine, which no longer exists.
     fn on_step_down(&self) {}
 
-    /// The group's member is broken.
+    /// Handles the failure of the group member.
     fn on_failure(_: &Host<Self>) {}
 
-    /// Says that it listens.
+    /// Logs that the service accepts connections.
     fn log_ready(host: &Host<Self>) {
         info!(host.log(), "ready"; "name" => host.name());
     }
 
-    /// Starts what runs beside the turns.
+    /// Starts additional tasks.
     fn start_tasks(_: &Rc<Host<Self>>, _: &Spawner) {}
 
-    /// Turns the state machine, until it is broken.
+    /// Runs the ticks of the state machine until the group member fails.
     fn run(host: &Rc<Host<Self>>, spawner: &Spawner) -> impl Future<Output = ()>;
 
-    /// Serves a connection from its first line on; an empty reason is an end like any other.
+    /// Serves a connection from its first line on. An empty error stands for a normal end.
     fn serve(
         host: &Host<Self>,
         lines: &mut LineReader<'_>,
@@ -69,51 +71,55 @@
     ) -> impl Future<Output = Result<(), String>>;
 }
 
-/// A service on its group.
+/// A service together with its group member.
 pub struct Host<S: HostedService> {
     pub member: Rc<GroupMember>,
     pub service: S,
-    /// None: this member does not lead.
+    /// None if this member is not the leader.
     state: RefCell<Option<S::State>>,
-    /// What waits for the group to agree on the entry at its head.
-    waiting: PendingEffects<S::Effect>,
-    /// An effect was carried out, or another member leads.
-    news: Event,
-    /// Nothing waits for the group any more. Apart from the news: it comes with each entry, and concerns only whoever has
-    /// just wanted one.
-    settled: Event,
+    /// Effects that wait for the group to commit the entries before them.
+    pending: PendingEffects<S::Effect>,
+    /// Notified when an effect was executed, and when this member steps down.
+    updated: Event,
+    /// Notified when pending effects may have completed. It is separate from `updated`, because it is notified for every
+    /// committed entry and concerns only tasks that have just proposed one.
+    progress: Event,
 }
 
 impl<S: HostedService> Host<S> {
+    /// Creates a host. It serves nothing until the member becomes the leader.
     pub fn new(member: Rc<GroupMember>, service: S) -> Host<S> {
         Host {
             member,
             service,
             state: RefCell::new(None),
-            waiting: PendingEffects::default(),
-            news: Event::new(),
-            settled: Event::new(),
+            pending: PendingEffects::default(),
+            updated: Event::new(),
+            progress: Event::new(),
         }
     }
 
+    /// Returns the logger of the member.
     pub fn log(&self) -> &Logger {
         &self.member.log
     }
 
+    /// Returns the name of the member.
     pub fn name(&self) -> &str {
         &self.member.name
     }
 
+    /// Returns the current time of the member's clock.
     pub fn now(&self) -> Moment {
         self.member.clock.now()
     }
 
-    /// What the group has agreed on, and who leads it.
-    pub fn handle_event(&self, news: GroupEvent) {
-        match news {
-            GroupEvent::Committed(agreed) => {
-                self.waiting.on_committed(&agreed.data);
-                self.release();
+    /// Handles an event of the group: a committed entry, or a change of leadership.
+    pub fn handle_event(&self, event: GroupEvent) {
+        match event {
+            GroupEvent::Committed(entry) => {
+                self.pending.on_committed(&entry.data);
+                self.execute_ready();
             }
             GroupEvent::BecameLeader => self.become_leader(),
             GroupEvent::SteppedDown | GroupEvent::DataReplaced => self.step_down(),
@@ -131,145 +137,147 @@
                 *self.state.borrow_mut() = Some(state);
                 self.execute(effects);
             }
-            Err(why) => error!(self.log(), "{} not taken up", S::NAME; "why" => why),
+            Err(reason) => error!(self.log(), "{} not opened on the new leader", S::NAME; "why" => reason),
         }
     }
 
     fn step_down(&self) {
         *self.state.borrow_mut() = None;
-        self.waiting.clear();
+        self.pending.clear();
         self.service.on_step_down();
-        self.news.notify(usize::MAX);
-        self.settled.notify(usize::MAX);
+        self.updated.notify(usize::MAX);
+        self.progress.notify(usize::MAX);
     }
 
-    /// Carries effects out in their order, each once the entries before it are agreed on.
+    /// Executes effects in order, each once the entries before it are committed.
     pub fn execute(&self, effects: Vec<S::Effect>) {
         for effect in effects {
             match S::log_entry(&effect) {
                 Some(entry) => {
-                    self.waiting.push_entry(entry.clone());
+                    self.pending.push_entry(entry.clone());
                     if self.member.propose(entry).is_err() {
                         return self.step_down();
                     }
                 }
-                None => self.waiting.push_effect(effect),
+                None => self.pending.push_effect(effect),
             }
         }
-        // All that came within this turn goes to disk with one sync.
+        // Writes all proposals of this step with one sync.
         self.member.pump();
-        while let Some(news) = self.member.next_event() {
-            self.handle_event(news);
+        while let Some(event) = self.member.next_event() {
+            self.handle_event(event);
         }
-        self.release();
+        self.execute_ready();
     }
 
-    /// What waits for nothing any more. Each connection that is woken looks at the state: so it is woken only where there
-    /// is something for it.
-    fn release(&self) {
-        let mut told = false;
-        while let Some(effect) = self.waiting.pop_ready() {
+    /// Executes the effects that wait for no entry. Connections are notified only if there was one, since each of them then
+    /// checks the state.
+    fn execute_ready(&self) {
+        let mut executed = false;
+        while let Some(effect) = self.pending.pop_ready() {
             S::execute_effect(self, effect);
-            told = true;
+            executed = true;
         }
-        if told {
-            self.news.notify(usize::MAX);
+        if executed {
+            self.updated.notify(usize::MAX);
         }
-        self.settled.notify(usize::MAX);
+        self.progress.notify(usize::MAX);
     }
 
-    /// Whether this member may tell anyone anything now.
+    /// Returns whether this member is the leader, holds the lease and has opened the state machine.
     pub fn is_serving(&self) -> bool {
         self.member.holds_leader_lease() && self.state.borrow().is_some()
     }
 
-    /// Looks at the state, if it is this member's to tell of.
-    pub fn with_state<T>(&self, look: impl FnOnce(&mut S::State) -> T) -> Option<T> {
+    /// Calls a function with the state. None if this member is not the leader or does not hold the lease.
+    pub fn with_state<T>(&self, access: impl FnOnce(&mut S::State) -> T) -> Option<T> {
         self.member.holds_leader_lease().then_some(())?;
-        self.with_unleased_state(look)
+        self.with_unleased_state(access)
     }
 
-    /// Looks at the state as long as this member leads, whether or not it may tell anyone.
-    pub fn with_unleased_state<T>(&self, look: impl FnOnce(&mut S::State) -> T) -> Option<T> {
-        self.state.borrow_mut().as_mut().map(look)
+    /// Calls a function with the state as long as this member is the leader, even without the lease.
+    pub fn with_unleased_state<T>(&self, access: impl FnOnce(&mut S::State) -> T) -> Option<T> {
+        self.state.borrow_mut().as_mut().map(access)
     }
 
-    /// What the state says, or where else to ask.
+    /// Calls `access` with the state as [`Host::with_state`] does, or else `redirect` with the address of the leader.
     pub fn with_state_or<T>(
         &self,
-        look: impl FnOnce(&mut S::State) -> T,
-        elsewhere: impl FnOnce(Option<String>) -> T,
+        access: impl FnOnce(&mut S::State) -> T,
+        redirect: impl FnOnce(Option<String>) -> T,
     ) -> T {
-        self.with_state(look).unwrap_or_else(|| elsewhere(self.member.leader_service_address()))
+        self.with_state(access).unwrap_or_else(|| redirect(self.member.leader_service_address()))
     }
 
-    /// Nothing waits for the group.
+    /// Returns whether no effect or entry is pending.
     pub fn is_settled(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Waits until all that was wanted by now is agreed on, whatever is wanted meanwhile: where much is, something always
-    /// waits. False: this member speaks no more, and nobody knows.
+    /// Waits until everything that is pending now is committed and executed. It does not wait for later additions, as under
+    /// load something is always pending. Returns false if this member is no longer the leader: the outcome is unknown then.
     pub async fn wait_settled(&self) -> bool {
-        let mark = self.waiting.position();
+        let position = self.pending.position();
         while self.is_serving() {
-            match self.waiting.is_completed(mark) {
+            match self.pending.is_completed(position) {
                 Some(true) => return true,
-                Some(false) => wait_for_event(&self.settled, LEASE_CHECK_INTERVAL).await,
+                Some(false) => wait_for_event(&self.progress, LEASE_CHECK_INTERVAL).await,
                 None => return false,
             }
         }
         false
     }
 
-    /// Waits until an effect is carried out or another member leads, or so long.
-    pub async fn wait_for_update(&self, at_most: Duration) {
-        wait_for_event(&self.news, at_most).await;
+    /// Waits until an effect is executed or this member steps down, at most for `timeout`.
+    pub async fn wait_for_update(&self, timeout: Duration) {
+        wait_for_event(&self.updated, timeout).await;
     }
 
-    /// The answer where a line is a call of staff on the group.
+    /// Returns the response if a line is a request of an operator about the group.
     pub fn answer_group_request(&self, line: &[u8]) -> Option<GroupResponse> {
-        let call: GroupRequest = serde_json::from_slice(line).ok()?;
-        Some(self.member.handle_request(&call))
+        let request: GroupRequest = serde_json::from_slice(line).ok()?;
+        Some(self.member.handle_request(&request))
     }
 }
 
-/// A service that listens already.
+/// A host whose listening socket is bound.
 pub struct HostListener<S: HostedService> {
     host: Rc<Host<S>>,
     listener: Async<TcpListener>,
-    open: ConnectionLimit,
+    connection_limit: ConnectionLimit,
 }
 
 impl<S: HostedService> HostListener<S> {
-    /// `open` bounds its connections. An error is one line.
+    /// Binds the listening socket. An error is one line of text.
     pub fn bind(
-        listen: SocketAddr,
+        address: SocketAddr,
         member: Rc<GroupMember>,
         service: S,
-        open: ConnectionLimit,
+        connection_limit: ConnectionLimit,
     ) -> Result<Self, String> {
-        let listener = Async::<TcpListener>::bind(listen)
-            .map_err(|why| format!("key listen: {listen} can't be listened on: {why}"))?;
-        Ok(HostListener { host: Rc::new(Host::new(member, service)), listener, open })
+        let listener = Async::<TcpListener>::bind(address)
+            .map_err(|error| format!("key listen: {address} can't be listened on: {error}"))?;
+        Ok(HostListener { host: Rc::new(Host::new(member, service)), listener, connection_limit })
     }
 
+    /// Returns the host.
     pub fn host(&self) -> &Rc<Host<S>> {
         &self.host
     }
 
+    /// Returns the address of the listening socket.
     pub fn local_address(&self) -> Option<SocketAddr> {
         self.listener.get_ref().local_addr().ok()
     }
 
-    /// Serves until `stop` ends; an error if the group's member is broken.
+    /// Serves until `stop` completes. Returns an error if the group member has failed.
     pub fn serve(self, stop: impl Future<Output = ()>) -> Result<(), String> {
         let (spawner, host) = (Spawner::default(), self.host);
         S::log_ready(&host);
-        let hearing = host.clone();
+        let event_host = host.clone();
         let work = async {
-            host.member.run(host.member.listen, &spawner, move |news| hearing.handle_event(news))?;
-            spawner.spawn(listen(host.clone(), self.listener, self.open, spawner.clone()));
+            host.member.run(host.member.listen, &spawner, move |event| event_host.handle_event(event))?;
+            spawner.spawn(listen(host.clone(), self.listener, self.connection_limit, spawner.clone()));
             S::start_tasks(&host, &spawner);
             or(S::run(&host, &spawner), stop).await;
             Ok(())
@@ -284,35 +292,35 @@
 async fn listen<S: HostedService>(
     host: Rc<Host<S>>,
     listener: Async<TcpListener>,
-    open: ConnectionLimit,
+    connection_limit: ConnectionLimit,
     spawner: Spawner,
 ) {
     let log = host.log().clone();
-    let one = move |stream| {
+    let serve_connection = move |stream| {
         let host = host.clone();
         async move {
-            let why = first_line(&host, &stream).await.err().unwrap_or_default();
-            if !why.is_empty() {
-                info!(host.log(), "connection ended"; "why" => why);
+            let reason = serve(&host, &stream).await.err().unwrap_or_default();
+            if !reason.is_empty() {
+                info!(host.log(), "connection ended"; "why" => reason);
             }
         }
     };
-    let failed = |why| warn!(log, "accept failed"; "why" => %why);
-    accept(listener, open, spawner, one, failed).await;
+    let on_accept_error = |error| warn!(log, "accept failed"; "why" => %error);
+    accept(listener, connection_limit, spawner, serve_connection, on_accept_error).await;
 }
 
-async fn first_line<S: HostedService>(host: &Host<S>, stream: &Stream) -> Result<(), String> {
+async fn serve<S: HostedService>(host: &Host<S>, stream: &Stream) -> Result<(), String> {
     let mut lines = LineReader::new(stream, S::MAX_LINE_BYTES);
-    let first = with_timeout(PEER_TIMEOUT, "too slow", lines.next_line()).await?;
+    let first = with_timeout(PEER_TIMEOUT, "no first line in time", lines.next_line()).await?;
     match host.answer_group_request(&first) {
-        Some(answer) => write_message(stream, &answer).await,
+        Some(response) => write_message(stream, &response).await,
         None => S::serve(host, &mut lines, first).await,
     }
 }
 
-/// Writes one line, with its end, in time.
-pub async fn write_message(stream: &Stream, what: &impl Serialize) -> Result<(), String> {
-    let mut text = serde_json::to_vec(what).unwrap_or_default();
+/// Writes a message as one line of JSON, within [`PEER_TIMEOUT`].
+pub async fn write_message(stream: &Stream, message: &impl Serialize) -> Result<(), String> {
+    let mut text = serde_json::to_vec(message).unwrap_or_default();
     text.push(b'\n');
     write_text(stream, &text, PEER_TIMEOUT).await
 }
--- a/crates/group-host/src/lib.rs
+++ b/crates/group-host/src/lib.rs
@@ -1,7 +1,7 @@
-//! A member of a group on sockets and disk: [`GroupMember`] joins the state machine of `harestage_group` to a log on disk, to
-//! lines to the other members, and to the service that runs on it. Nothing here decides.
+//! A member of a replicated group on sockets and disk. [`GroupMember`] connects the state machine of `harestage_group` to
+//! a log on disk, to connections to the other members, and to the service that runs on the group. It makes no decisions.
 //!
-//! Everything of a turn is written and synced before anything of it is sent, or told to the service.
+//! All writes of a step are synced before anything of that step is sent or passed to the service.
 mod disk;
 pub mod host;
 mod messages;
@@ -22,7 +22,7 @@
 use harestage_segments::{Folder, Log};
 use harestage_sockets::Spawner;
 use harestage_sockets::clock::Clock;
-use peers::Post;
+use peers::{Outbox, Peer};
 use slog::{Logger, error, info, warn};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -31,25 +31,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Who this member is, and how it begins where its disk is empty.
+/// The identity of a group member, and how it starts if its disk is empty.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupMemberConfig {
     pub name: String,
     pub incarnation: u64,
-    /// Where other members reach it; none: it is alone.
+    /// Address at which other members reach it. None if it is the only member.
     pub listen: Option<SocketAddr>,
-    /// The founders, itself among them. Empty: it waits until a group takes it in.
+    /// Initial members of the group, including itself. If empty, it waits until it is added to a group.
     pub founders: Vec<Member>,
 }
 
 impl GroupMemberConfig {
-    /// Where this member is, as its founders say; nowhere for one that joins later or is alone.
+    /// Returns the site of this member from the list of founders, or an empty string if it joins later or is alone.
     pub fn site(&self) -> String {
-        let own = self.founders.iter().find(|member| member.name == self.name);
-        own.map(|member| member.site.clone()).unwrap_or_default()
+        let local = self.founders.iter().find(|member| member.name == self.name);
+        local.map(|member| member.site.clone()).unwrap_or_default()
     }
 
-    /// A group of one.
+    /// Returns the configuration of the only member of a group.
     pub fn standalone(name: &str) -> GroupMemberConfig {
         let member = Member {
             name: name.into(),
@@ -62,325 +62,334 @@
     }
 }
 
-/// What the service has to hear.
+/// An event that the service on the group has to handle.
 #[derive(Debug)]
 pub enum GroupEvent {
-    /// Something was agreed on, whoever wanted it.
+    /// An entry was committed, whichever member proposed it.
     Committed(CommittedEntry),
-    /// All that was agreed on was taken over whole: see [`GroupMember::data`].
+    /// The committed data was replaced by a snapshot of another member: see [`GroupMember::data`].
     DataReplaced,
-    /// This member leads from now on, and has all that was agreed on before.
+    /// This member is the leader from now on, and has everything that was committed before.
     BecameLeader,
     SteppedDown,
-    /// The disk takes nothing more, or is not the one that this member had: the program has to end.
+    /// The disk can't be written, or is not the one that this member had before. The process has to end.
     Failed,
 }
 
-/// Callers that a member that joins remembers.
-const MOST_CALLERS: usize = 16;
+/// Maximum number of callers that a joining member remembers.
+const MAX_CALLERS: usize = 16;
 
+/// A group member with its log and its connections to the others.
 pub struct GroupMember {
-    seat: RefCell<Replica>,
+    replica: RefCell<Replica>,
     disk: RefCell<Log<Folder>>,
-    posts: RefCell<BTreeMap<u64, Rc<Post>>>,
-    news: RefCell<VecDeque<GroupEvent>>,
+    outboxes: RefCell<BTreeMap<u64, Rc<Outbox>>>,
+    events: RefCell<VecDeque<GroupEvent>>,
     pub clock: Clock,
     log: Logger,
     name: String,
     broken: Cell<bool>,
-    spoke: Cell<bool>,
-    /// Where it listens for other members, and who has called while it knew of no member: a group that takes it in.
+    /// Whether it held the leader lease at the last tick, to log changes.
+    held_lease: Cell<bool>,
+    /// Address at which it listens for other members.
     listen: Option<SocketAddr>,
+    /// Members that connected while this one knew of no member, which happens when a group adds it.
     callers: RefCell<BTreeMap<u64, SocketAddr>>,
-    /// The members, or what was agreed on, may have changed.
-    changed: Event,
+    /// Notified when the list of members or callers may have changed, and on failure.
+    members_changed: Event,
 }
 
 impl GroupMember {
-    /// Takes a member up from its folder. `first` is what a group that is founded begins with; a folder of the service's
-    /// own older form is taken over by `old`.
+    /// Opens a member from its folder. `initial_data` is the data of a newly founded group. A folder in the unreplicated
+    /// format of the service is converted by `read_legacy`.
     pub fn open(
         start: &GroupMemberConfig,
         folder: &Path,
-        first: Vec<Vec<u8>>,
-        old: LegacyReader,
+        initial_data: Vec<Vec<u8>>,
+        read_legacy: LegacyReader,
         clock: Clock,
         log: Logger,
     ) -> Result<Rc<GroupMember>, GroupMemberError> {
-        let opened = disk::open(folder, old)?;
-        let begin = match (start.founders.is_empty(), opened.old) {
+        let opened = disk::open(folder, read_legacy)?;
+        let founding = match (start.founders.is_empty(), opened.legacy_data) {
             (true, _) => Start::Join,
             (false, Some(data)) => Start::Found { members: start.founders.clone(), data },
-            (false, None) => Start::Found { members: start.founders.clone(), data: first },
+            (false, None) => Start::Found { members: start.founders.clone(), data: initial_data },
         };
-        let number = rand::random();
+        let disk_id = rand::random();
         let (name, incarnation) = (&start.name, start.incarnation);
-        let seat = Replica::open(name, incarnation, &opened.records, begin, number, clock.now())
-            .map_err(|why| GroupMemberError::Start { path: folder.into(), reason: why })?;
-        let council = GroupMember {
-            seat: RefCell::new(seat),
+        let replica = Replica::open(name, incarnation, &opened.records, founding, disk_id, clock.now())
+            .map_err(|reason| GroupMemberError::Start { path: folder.into(), reason })?;
+        let group_member = GroupMember {
+            replica: RefCell::new(replica),
             disk: RefCell::new(opened.log),
-            posts: RefCell::default(),
-            news: RefCell::default(),
+            outboxes: RefCell::default(),
+            events: RefCell::default(),
             clock,
             log,
             name: start.name.clone(),
             broken: Cell::new(false),
-            spoke: Cell::new(false),
+            held_lease: Cell::new(false),
             listen: start.listen,
             callers: RefCell::default(),
-            changed: Event::new(),
+            members_changed: Event::new(),
         };
-        if opened.was_old {
-            // The old form must not be read again beside the new one.
-            let data = council.data();
-            let turn = council.seat.borrow_mut().step(clock.now());
-            let whole = council.seat.borrow_mut().compact(data);
-            drop(turn);
-            council.keep(&whole).map_err(|why| GroupMemberError::Log { path: folder.into(), reason: why })?;
+        if opened.was_legacy {
+            // Writes a snapshot, so that the old format is not read again together with new records.
+            let data = group_member.data();
+            let step = group_member.replica.borrow_mut().step(clock.now());
+            let snapshot = group_member.replica.borrow_mut().compact(data);
+            drop(step);
+            group_member
+                .persist(&snapshot)
+                .map_err(|reason| GroupMemberError::Log { path: folder.into(), reason })?;
         }
-        Ok(Rc::new(council))
+        Ok(Rc::new(group_member))
     }
 
-    /// Starts ticks and sockets. `hear` is called with all that is new, and may call back; never while anything of this is
-    /// borrowed.
+    /// Starts the ticks and the sockets. `on_event` is called with each event. It may call methods of this member: no
+    /// `RefCell` of it is borrowed during the call.
     pub fn run(
         self: &Rc<GroupMember>,
         listen: Option<SocketAddr>,
         spawner: &Spawner,
-        hear: impl Fn(GroupEvent) + 'static,
+        on_event: impl Fn(GroupEvent) + 'static,
     ) -> Result<(), String> {
-        let hear: Rc<dyn Fn(GroupEvent)> = Rc::new(hear);
-        if let Some(at) = listen {
-            peers::listen(self.clone(), at, spawner, hear.clone())?;
+        let on_event: Rc<dyn Fn(GroupEvent)> = Rc::new(on_event);
+        if let Some(address) = listen {
+            peers::listen(self.clone(), address, spawner, on_event.clone())?;
         }
-        // A group of one has nobody to wait for.
+        // The only member of a group can become the leader at once.
         let now = self.clock.now();
-        if self.seat.borrow().members().count() == 1 {
-            self.seat.borrow_mut().tick(now);
+        if self.replica.borrow().members().count() == 1 {
+            self.replica.borrow_mut().tick(now);
             self.pump();
-            self.hand_out(&*hear);
+            self.deliver_events(&*on_event);
         }
-        spawner.spawn(peers::dial_members(self.clone(), spawner.clone(), hear.clone()));
-        let council = self.clone();
+        spawner.spawn(peers::connect_to_peers(self.clone(), spawner.clone(), on_event.clone()));
+        let group_member = self.clone();
         spawner.spawn(async move {
             loop {
-                let now = council.clock.now();
-                council.seat.borrow_mut().tick(now);
-                council.pump();
-                council.say_whether_it_speaks(now);
-                council.hand_out(&*hear);
+                let now = group_member.clock.now();
+                group_member.replica.borrow_mut().tick(now);
+                group_member.pump();
+                group_member.log_lease_change(now);
+                group_member.deliver_events(&*on_event);
                 Timer::after(Duration::from_micros(harestage_group::TICK.as_micros())).await;
             }
         });
         Ok(())
     }
 
-    /// Hands the service what is new, in its order. What comes up meanwhile is handed out too.
-    fn hand_out(&self, hear: &dyn Fn(GroupEvent)) {
+    /// Delivers queued events to the service in order, including those that are added meanwhile.
+    fn deliver_events(&self, on_event: &dyn Fn(GroupEvent)) {
         loop {
-            let next = self.news.borrow_mut().pop_front();
+            let next = self.events.borrow_mut().pop_front();
             match next {
-                Some(news) => hear(news),
+                Some(event) => on_event(event),
                 None => return,
             }
         }
     }
 
-    /// Carries out all turns that are due; what they bring waits for [`GroupMember::next_event`].
+    /// Runs all steps of the replica that are due. Their events are queued for [`GroupMember::next_event`].
     pub fn pump(&self) {
         loop {
             if self.broken.get() {
                 return;
             }
-            let turn = self.seat.borrow_mut().step(self.clock.now());
-            if turn.is_empty() {
+            let step = self.replica.borrow_mut().step(self.clock.now());
+            if step.is_empty() {
                 break;
             }
-            if let Err(why) = self.keep(&turn) {
-                error!(self.log, "log not written"; "why" => %why);
-                return self.end();
+            if let Err(error) = self.persist(&step) {
+                error!(self.log, "log not written"; "why" => %error);
+                return self.fail();
             }
-            self.dispatch(turn);
+            self.dispatch(step);
         }
-        if self.seat.borrow().has_lost_log() {
-            error!(self.log, "this disk has lost what it had: the member has to come back as a new one");
-            self.end();
+        if self.replica.borrow().has_lost_log() {
+            error!(self.log, "log on disk is incomplete: the member has to rejoin under a new incarnation");
+            self.fail();
         }
     }
 
-    fn end(&self) {
+    fn fail(&self) {
         self.broken.set(true);
-        self.news.borrow_mut().push_back(GroupEvent::Failed);
-        self.changed.notify(usize::MAX);
+        self.events.borrow_mut().push_back(GroupEvent::Failed);
+        self.members_changed.notify(usize::MAX);
     }
 
-    /// On disk when it returns well.
-    fn keep(&self, turn: &StepOutput) -> Result<(), harestage_segments::LogError> {
+    /// Writes the records and the snapshot of a step to disk. They are synced when this returns `Ok`.
+    fn persist(&self, step: &StepOutput) -> Result<(), harestage_segments::LogError> {
         let mut disk = self.disk.borrow_mut();
-        for record in &turn.write {
+        for record in &step.write {
             disk.append(record)?;
         }
-        if !turn.write.is_empty() {
+        if !step.write.is_empty() {
             disk.sync()?;
         }
-        if let Some(whole) = &turn.snapshot {
-            disk.snapshot(whole)?;
+        if let Some(snapshot) = &step.snapshot {
+            disk.snapshot(snapshot)?;
         }
         Ok(())
     }
 
-    fn dispatch(&self, turn: StepOutput) {
-        for (to, bytes) in turn.send {
-            if let Some(post) = self.posts.borrow().get(&to) {
-                post.push(bytes);
+    fn dispatch(&self, step: StepOutput) {
+        for (to, bytes) in step.send {
+            if let Some(outbox) = self.outboxes.borrow().get(&to) {
+                outbox.push(bytes);
             }
         }
-        let mut news = self.news.borrow_mut();
-        if turn.stepped_down {
-            info!(self.log, "leads no more");
-            news.push_back(GroupEvent::SteppedDown);
+        let mut events = self.events.borrow_mut();
+        if step.stepped_down {
+            info!(self.log, "stepped down");
+            events.push_back(GroupEvent::SteppedDown);
         }
-        if turn.replaced {
-            news.push_back(GroupEvent::DataReplaced);
+        if step.replaced {
+            events.push_back(GroupEvent::DataReplaced);
         }
-        news.extend(turn.committed.into_iter().map(GroupEvent::Committed));
-        if let Some(term) = turn.became_leader {
+        events.extend(step.committed.into_iter().map(GroupEvent::Committed));
+        if let Some(term) = step.became_leader {
             info!(self.log, "leads"; "group_term" => term);
-            news.push_back(GroupEvent::BecameLeader);
+            events.push_back(GroupEvent::BecameLeader);
         }
-        if turn.members_changed {
-            let names: Vec<String> = self.seat.borrow().members().map(|m| m.name.clone()).collect();
+        if step.members_changed {
+            let names: Vec<String> = self.replica.borrow().members().map(|m| m.name.clone()).collect();
             info!(self.log, "members"; "names" => names.join(" "));
-            self.changed.notify(usize::MAX);
+            self.members_changed.notify(usize::MAX);
         }
     }
 
-    fn say_whether_it_speaks(&self, now: Moment) {
-        let (speaks, leads) = (self.seat.borrow().holds_leader_lease(now), self.seat.borrow().is_leader());
-        if speaks != self.spoke.replace(speaks) {
-            match speaks {
+    fn log_lease_change(&self, now: Moment) {
+        let (holds_lease, is_leader) =
+            (self.replica.borrow().holds_leader_lease(now), self.replica.borrow().is_leader());
+        if holds_lease != self.held_lease.replace(holds_lease) {
+            match holds_lease {
                 true => info!(self.log, "speaks"),
-                false if leads => warn!(self.log, "speaks no more: most members have not answered"),
+                false if is_leader => warn!(self.log, "speaks no more: no recent answers from a majority"),
                 false => info!(self.log, "speaks no more"),
             }
         }
     }
 
-    /// Wants something to be agreed on; it comes back as news. Several go to disk with one sync: [`GroupMember::pump`] follows
-    /// the last of them.
+    /// Proposes an entry. Once committed, it comes back as an event. Several proposals are written with one sync: call
+    /// [`GroupMember::pump`] after the last one.
     pub fn propose(&self, data: Vec<u8>) -> Result<(), NotLeaderError> {
         if self.broken.get() {
             return Err(NotLeaderError { leader: None });
         }
-        self.seat.borrow_mut().propose(data)
+        self.replica.borrow_mut().propose(data)
     }
 
-    /// What has come up since it was last asked; for a service that has just proposed something.
+    /// Returns the next queued event, for a service that has just proposed entries.
     pub fn next_event(&self) -> Option<GroupEvent> {
-        self.news.borrow_mut().pop_front()
+        self.events.borrow_mut().pop_front()
     }
 
-    /// What was agreed on so far, as the service wants it kept.
+    /// Returns the committed entries, as compacted by the service.
     pub fn data(&self) -> Vec<Vec<u8>> {
-        self.seat.borrow().data().to_vec()
+        self.replica.borrow().data().to_vec()
     }
 
-    /// Whether this member may tell anyone anything now.
+    /// Returns whether this member is the leader and holds the lease, so that it may respond to clients.
     pub fn holds_leader_lease(&self) -> bool {
-        !self.broken.get() && self.seat.borrow().holds_leader_lease(self.clock.now())
+        !self.broken.get() && self.replica.borrow().holds_leader_lease(self.clock.now())
     }
 
+    /// Returns whether the disk can't be written or is not this member's. The process has to end then.
     pub fn has_failed(&self) -> bool {
         self.broken.get()
     }
 
-    /// Where the member that leads serves, as far as it is known and another one.
+    /// Returns the service address of the leader, if it is known and another member.
     pub fn leader_service_address(&self) -> Option<String> {
-        self.seat.borrow().not_leader().leader.map(|leader| leader.service_address)
+        self.replica.borrow().not_leader().leader.map(|leader| leader.service_address)
     }
 
+    /// Returns the status of the group as this member sees it.
     pub fn status(&self) -> ReplicaStatus {
-        self.seat.borrow().status(self.clock.now())
+        self.replica.borrow().status(self.clock.now())
     }
 
-    /// Writes the log whole where it has grown, with what `shorten` leaves of the data.
-    pub fn compact_log(&self, shorten: impl FnOnce(Vec<Vec<u8>>) -> Vec<Vec<u8>>) {
-        if self.broken.get() || !self.seat.borrow().needs_compaction() {
+    /// Replaces the log by a snapshot if it has grown. `compact` returns the data that is still needed.
+    pub fn compact_log(&self, compact: impl FnOnce(Vec<Vec<u8>>) -> Vec<Vec<u8>>) {
+        if self.broken.get() || !self.replica.borrow().needs_compaction() {
             return;
         }
-        let data = shorten(self.data());
-        let turn = self.seat.borrow_mut().compact(data);
-        if let Err(why) = self.keep(&turn) {
-            error!(self.log, "log not written"; "why" => %why);
-            self.end();
+        let data = compact(self.data());
+        let step = self.replica.borrow_mut().compact(data);
+        if let Err(error) = self.persist(&step) {
+            error!(self.log, "log not written"; "why" => %error);
+            self.fail();
         }
     }
 
-    /// What staff asks of the group.
-    pub fn handle_request(&self, call: &GroupRequest) -> GroupResponse {
-        let changed = match call {
+    /// Handles a request of an operator about the group.
+    pub fn handle_request(&self, request: &GroupRequest) -> GroupResponse {
+        let result = match request {
             GroupRequest::GroupStatus => return GroupResponse::GroupStatus(Box::new(self.status())),
             _ if !self.holds_leader_lease() => {
                 return GroupResponse::NotLeader(self.leader_service_address());
             }
-            GroupRequest::GroupAdd { member } => self.seat.borrow_mut().add(member),
-            GroupRequest::GroupRemove { name } => self.seat.borrow_mut().remove(name),
+            GroupRequest::GroupAdd { member } => self.replica.borrow_mut().add(member),
+            GroupRequest::GroupRemove { name } => self.replica.borrow_mut().remove(name),
         };
         self.pump();
-        match changed {
+        match result {
             Ok(()) => GroupResponse::GroupChanging,
-            Err(why) => GroupResponse::Refused(why),
+            Err(reason) => GroupResponse::Refused(reason),
         }
     }
 
-    /// Everyone to whom it keeps a line: the members but itself; and as long as it knows of none, those who called.
-    fn others(&self) -> Vec<peers::Other> {
-        let seat = self.seat.borrow();
-        let other = |member: &Member| peers::Other {
+    /// Returns the peers that it connects to: all other members, or its callers as long as it knows of no member.
+    fn peers(&self) -> Vec<Peer> {
+        let replica = self.replica.borrow();
+        let to_peer = |member: &Member| Peer {
             id: member.id(),
             name: member.name.clone(),
-            at: member.address.clone(),
+            address: member.address.clone(),
         };
-        let others: Vec<peers::Other> = seat.members().filter(|m| m.id() != seat.id()).map(other).collect();
-        if seat.members().next().is_some() {
+        let peers: Vec<Peer> = replica.members().filter(|m| m.id() != replica.id()).map(to_peer).collect();
+        if replica.members().next().is_some() {
             self.callers.borrow_mut().clear();
-            return others;
+            return peers;
         }
-        let caller = |(id, at): (&u64, &SocketAddr)| peers::Other {
+        let to_peer = |(id, address): (&u64, &SocketAddr)| Peer {
             id: *id,
             name: format!("{id:016x}"),
-            at: at.to_string(),
+            address: address.to_string(),
         };
-        self.callers.borrow().iter().map(caller).collect()
+        self.callers.borrow().iter().map(to_peer).collect()
     }
 
-    fn is_called_by(&self, id: u64, at: SocketAddr) {
+    /// Remembers a caller if this member knows of no other one yet.
+    fn on_caller(&self, id: u64, address: SocketAddr) {
         let mut callers = self.callers.borrow_mut();
-        let knows_nobody = self.seat.borrow().members().next().is_none();
-        if knows_nobody && callers.len() < MOST_CALLERS && callers.insert(id, at) != Some(at) {
-            self.changed.notify(usize::MAX);
+        let knows_no_members = self.replica.borrow().members().next().is_none();
+        if knows_no_members && callers.len() < MAX_CALLERS && callers.insert(id, address) != Some(address) {
+            self.members_changed.notify(usize::MAX);
         }
     }
 
-    /// Where others reach this member, as they know it; else where it listens.
-    fn own_place(&self) -> String {
-        let seat = self.seat.borrow();
-        let listed = seat.member(seat.id()).map(|member| member.address.clone());
-        listed.or(self.listen.map(|at| at.to_string())).unwrap_or_default()
+    /// Returns the address of this member in the list of members, or else the one at which it listens.
+    fn local_address(&self) -> String {
+        let replica = self.replica.borrow();
+        let registered = replica.member(replica.id()).map(|member| member.address.clone());
+        registered.or(self.listen.map(|address| address.to_string())).unwrap_or_default()
     }
 
-    /// Waits for a change of members, or so long.
-    async fn changed(&self, at_most: Duration) {
-        wait_for_event(&self.changed, at_most).await;
+    /// Waits for a change of members or callers, at most for `timeout`.
+    async fn wait_for_member_change(&self, timeout: Duration) {
+        wait_for_event(&self.members_changed, timeout).await;
     }
 }
 
-/// Waits for an event from now on, or so long.
-pub async fn wait_for_event(event: &Event, at_most: Duration) {
+/// Waits for the next notification of an event, at most for `timeout`.
+pub async fn wait_for_event(event: &Event, timeout: Duration) {
     let listener = event.listen();
     or(listener, async {
-        Timer::after(at_most).await;
+        Timer::after(timeout).await;
     })
     .await;
 }
--- a/crates/group-host/src/messages.rs
+++ b/crates/group-host/src/messages.rs
@@ -1,7 +1,8 @@
-//! What staff asks of a group, as lines of JSON that the service takes beside its own.
+//! Requests of operators about the group itself, as lines of JSON. The service accepts them on the same port as its own.
 use harestage_group::{Member, ReplicaStatus};
 use serde::{Deserialize, Serialize};
 
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GroupRequest {
@@ -10,13 +11,15 @@
     GroupRemove { name: String },
 }
 
+/// The response to a [`GroupRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GroupResponse {
     GroupStatus(Box<ReplicaStatus>),
-    /// The change has begun; the status shows when it is agreed on.
+    /// The change of members was proposed. The status shows when it is committed.
     GroupChanging,
-    /// This member does not lead, or may not speak: where the one that does serves, if that is known.
+    /// This member is not the leader, or does not hold the leader lease. Contains the service address of the leader if it
+    /// is known.
     #[serde(rename = "elsewhere")]
     NotLeader(Option<String>),
     Refused(String),
--- a/crates/group-host/src/peers.rs
+++ b/crates/group-host/src/peers.rs
@@ -1,5 +1,6 @@
-//! Lines between members: each dials every other one, says who it is and on which disk, and sends frames over that
-//! connection; answers come over the other's own. What does not fit into a bounded queue is left out: Raft sends it again.
+//! Connections between members. Each member connects to every other one, identifies itself and its disk, and sends
+//! frames over that connection. The other member replies over its own connection. Messages that do not fit into a bounded
+//! queue are dropped, as Raft sends them again.
 use crate::{GroupEvent, GroupMember};
 use async_io::{Async, Timer};
 use event_listener::Event;
@@ -14,136 +15,140 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes that wait for one member at most, and of one frame.
-const MOST_WAITING: usize = 16 << 20;
-const LONGEST_FRAME: usize = 32 << 20;
-const CONNECT: Duration = Duration::from_millis(400);
-const PAUSE: Duration = Duration::from_millis(150);
-const STALL: Duration = Duration::from_secs(3);
-/// Where there is nothing to say, an empty frame says that the line stands: members that follow say nothing to each other
-/// until one of them wants to lead, and then every lost word costs an election.
-const BEAT: Duration = Duration::from_millis(500);
-/// A line on which nothing came for as long has ended.
-const SILENT: Duration = Duration::from_secs(5);
-const MOST_CONNECTIONS: usize = 64;
-const LOOK: Duration = Duration::from_millis(500);
-const LONGEST_HELLO: usize = 256;
+/// Maximum number of bytes queued for one member.
+const MAX_OUTBOX_BYTES: usize = 16 << 20;
+const MAX_FRAME_BYTES: usize = 32 << 20;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+const RECONNECT_DELAY: Duration = Duration::from_millis(150);
+/// Timeout of the handshake and of each frame that is written.
+const IO_TIMEOUT: Duration = Duration::from_secs(3);
+/// An empty frame is sent after this long without a message, to detect broken connections. Followers send nothing to each
+/// other until one of them becomes a candidate, and then each message lost on a broken connection costs an election.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// A connection on which nothing was received for this long is closed.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_CONNECTIONS: usize = 64;
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_HANDSHAKE_BYTES: usize = 256;
 
-/// What waits to be sent to one member.
-pub(crate) struct Post {
+/// The queue of messages to one member.
+pub(crate) struct Outbox {
     queue: RefCell<VecDeque<Vec<u8>>>,
-    waiting: Cell<usize>,
-    wake: Event,
+    queued_bytes: Cell<usize>,
+    pushed: Event,
 }
 
-impl Post {
-    fn new() -> Post {
-        Post { queue: RefCell::default(), waiting: Cell::new(0), wake: Event::new() }
+impl Outbox {
+    fn new() -> Outbox {
+        Outbox { queue: RefCell::default(), queued_bytes: Cell::new(0), pushed: Event::new() }
     }
 
     pub fn push(&self, bytes: Vec<u8>) {
         let mut queue = self.queue.borrow_mut();
-        self.waiting.set(self.waiting.get() + bytes.len());
+        self.queued_bytes.set(self.queued_bytes.get() + bytes.len());
         queue.push_back(bytes);
-        // The oldest say least: whatever they were about was said again since.
-        while self.waiting.get() > MOST_WAITING {
-            let Some(old) = queue.pop_front() else { break };
-            self.waiting.set(self.waiting.get() - old.len());
+        // Drops the oldest messages, since later ones repeat what they said.
+        while self.queued_bytes.get() > MAX_OUTBOX_BYTES {
+            let Some(oldest) = queue.pop_front() else { break };
+            self.queued_bytes.set(self.queued_bytes.get() - oldest.len());
         }
-        self.wake.notify(usize::MAX);
+        self.pushed.notify(usize::MAX);
     }
 
     fn pop(&self) -> Option<Vec<u8>> {
         let bytes = self.queue.borrow_mut().pop_front()?;
-        self.waiting.set(self.waiting.get() - bytes.len());
+        self.queued_bytes.set(self.queued_bytes.get() - bytes.len());
         Some(bytes)
     }
 
     fn clear(&self) {
         self.queue.borrow_mut().clear();
-        self.waiting.set(0);
+        self.queued_bytes.set(0);
     }
 }
 
+/// Accepts connections of other members.
 pub(crate) fn listen(
-    council: Rc<GroupMember>,
-    at: SocketAddr,
+    group_member: Rc<GroupMember>,
+    address: SocketAddr,
     spawner: &Spawner,
-    hear: Rc<dyn Fn(GroupEvent)>,
+    on_event: Rc<dyn Fn(GroupEvent)>,
 ) -> Result<(), String> {
-    let listener = Async::<TcpListener>::bind(at)
-        .map_err(|why| format!("key group-listen: {at} can't be listened on: {why}"))?;
-    let open = ConnectionLimit::new(MOST_CONNECTIONS);
-    let (log, spawning) = (council.log.clone(), spawner.clone());
+    let listener = Async::<TcpListener>::bind(address)
+        .map_err(|error| format!("key group-listen: {address} can't be listened on: {error}"))?;
+    let connection_limit = ConnectionLimit::new(MAX_CONNECTIONS);
+    let (log, accept_spawner) = (group_member.log.clone(), spawner.clone());
     spawner.spawn(async move {
-        let one = move |stream| {
-            let (council, hear) = (council.clone(), hear.clone());
+        let serve_connection = move |stream| {
+            let (group_member, on_event) = (group_member.clone(), on_event.clone());
             async move {
-                if let Err(why) = hear_member(&council, &stream, &*hear).await {
-                    info!(council.log, "member's line ended"; "why" => why);
+                if let Err(reason) = receive(&group_member, &stream, &*on_event).await {
+                    info!(group_member.log, "member's line ended"; "why" => reason);
                 }
             }
         };
-        accept(listener, open, spawning, one, |why| warn!(log, "accept failed"; "why" => %why)).await;
+        let on_accept_error = |error| warn!(log, "accept failed"; "why" => %error);
+        accept(listener, connection_limit, accept_spawner, serve_connection, on_accept_error).await;
     });
     Ok(())
 }
 
-/// `MEMBER FROM DISK TO AT` and a line end: three numbers in hex, and where the one who says it is reached, so that a member
-/// that knows nobody yet can answer.
-fn hello(from: u64, disk: u64, to: u64, at: &str) -> String {
-    format!("MEMBER {from:016x} {disk:016x} {to:016x} {at}\n")
+/// Encodes the handshake `MEMBER FROM DISK TO ADDRESS`: the sender, its disk and the receiver in hex, and the address of
+/// the sender, so that a receiver that knows of no member yet can reply.
+fn encode_handshake(from: u64, disk: u64, to: u64, address: &str) -> String {
+    format!("MEMBER {from:016x} {disk:016x} {to:016x} {address}\n")
 }
 
-fn read_hello(line: &str) -> Option<(u64, u64, u64, SocketAddr)> {
-    let mut words = line.trim_end().strip_prefix("MEMBER ")?.split(' ');
-    let mut number = || u64::from_str_radix(words.next()?, 16).ok();
+fn parse_handshake(line: &str) -> Option<(u64, u64, u64, SocketAddr)> {
+    let mut fields = line.trim_end().strip_prefix("MEMBER ")?.split(' ');
+    let mut number = || u64::from_str_radix(fields.next()?, 16).ok();
     let (from, disk, to) = (number()?, number()?, number()?);
-    Some((from, disk, to, words.next()?.parse().ok()?))
+    Some((from, disk, to, fields.next()?.parse().ok()?))
 }
 
 async fn read_line(mut stream: &Stream) -> Result<String, String> {
     let (mut line, mut byte) = (Vec::new(), [0]);
     while !line.ends_with(b"\n") {
-        let bytes = stream.read(&mut byte).await.map_err(|why| why.to_string())?;
-        if bytes == 0 || line.len() > LONGEST_HELLO {
-            return Err("no hello".into());
+        let bytes = stream.read(&mut byte).await.map_err(|error| error.to_string())?;
+        if bytes == 0 || line.len() > MAX_HANDSHAKE_BYTES {
+            return Err("handshake is incomplete or too long".into());
         }
         line.push(byte[0]);
     }
-    String::from_utf8(line).map_err(|_| "no hello".into())
+    String::from_utf8(line).map_err(|_| "handshake is not UTF-8".into())
 }
 
-async fn hear_member(
-    council: &GroupMember,
+/// Handles a connection of another member: the handshake, and then its messages until the connection ends.
+async fn receive(
+    group_member: &GroupMember,
     stream: &Stream,
-    hear: &dyn Fn(GroupEvent),
+    on_event: &dyn Fn(GroupEvent),
 ) -> Result<(), String> {
-    let line = with_timeout(STALL, "no hello in time", read_line(stream)).await?;
-    let (from, disk, to, at) = read_hello(&line).ok_or("an unreadable hello")?;
-    let (me, own) = (council.seat.borrow().id(), council.seat.borrow().disk());
-    if to != me {
-        write_text(stream, b"NOT ME\n", STALL).await?;
-        return Err("meant for another member".into());
+    let line = with_timeout(IO_TIMEOUT, "handshake timed out", read_line(stream)).await?;
+    let (from, disk, to, address) = parse_handshake(&line).ok_or("handshake can't be parsed")?;
+    let (local_id, local_disk) = (group_member.replica.borrow().id(), group_member.replica.borrow().disk());
+    if to != local_id {
+        write_text(stream, b"NOT ME\n", IO_TIMEOUT).await?;
+        return Err("connection is meant for another member".into());
     }
-    let met = council.seat.borrow_mut().verify_disk(from, disk);
-    council.pump();
-    if !met {
-        write_text(stream, b"NOT YOU\n", STALL).await?;
-        return Err("a member on another disk than before".into());
+    let is_known_disk = group_member.replica.borrow_mut().verify_disk(from, disk);
+    group_member.pump();
+    if !is_known_disk {
+        write_text(stream, b"NOT YOU\n", IO_TIMEOUT).await?;
+        return Err("member is on another disk than before".into());
     }
-    write_text(stream, format!("DISK {own:016x}\n").as_bytes(), STALL).await?;
-    council.is_called_by(from, at);
+    write_text(stream, format!("DISK {local_disk:016x}\n").as_bytes(), IO_TIMEOUT).await?;
+    group_member.on_caller(from, address);
     loop {
-        let frame = with_timeout(SILENT, "silent", read_frame(stream)).await?;
+        let frame = with_timeout(READ_TIMEOUT, "silent", read_frame(stream)).await?;
         if frame.is_empty() {
             continue;
         }
-        let now = council.clock.now();
-        council.seat.borrow_mut().on_message(&frame, now);
-        council.pump();
-        council.hand_out(hear);
-        if council.has_failed() {
+        let now = group_member.clock.now();
+        group_member.replica.borrow_mut().on_message(&frame, now);
+        group_member.pump();
+        group_member.deliver_events(on_event);
+        if group_member.has_failed() {
             return Ok(());
         }
     }
@@ -151,134 +156,161 @@
 
 async fn read_frame(mut stream: &Stream) -> Result<Vec<u8>, String> {
     let mut length = [0; 4];
-    stream.read_exact(&mut length).await.map_err(|why| why.to_string())?;
+    stream.read_exact(&mut length).await.map_err(|error| error.to_string())?;
     let length = u32::from_be_bytes(length) as usize;
-    if length > LONGEST_FRAME {
-        return Err("a frame past the bound".into());
+    if length > MAX_FRAME_BYTES {
+        return Err(format!("frame of {length} bytes exceeds the limit"));
     }
     let mut frame = Vec::with_capacity(length.min(64 << 10));
-    // Room comes with the bytes, not with the claim.
+    // Allocates as bytes arrive, and not by the announced length.
     while frame.len() < length {
-        let more = (length - frame.len()).min(64 << 10);
-        let from = frame.len();
-        frame.resize(from + more, 0);
-        stream.read_exact(&mut frame[from..]).await.map_err(|why| why.to_string())?;
+        let count = (length - frame.len()).min(64 << 10);
+        let start = frame.len();
+        frame.resize(start + count, 0);
+        stream.read_exact(&mut frame[start..]).await.map_err(|error| error.to_string())?;
     }
     Ok(frame)
 }
 
-/// Keeps a line to every other member, as the list of members says.
-pub(crate) async fn dial_members(council: Rc<GroupMember>, spawner: Spawner, hear: Rc<dyn Fn(GroupEvent)>) {
-    let mut dialling: BTreeMap<u64, async_executor::Task<()>> = BTreeMap::new();
+/// Keeps a connection to each peer, as the list of peers changes.
+pub(crate) async fn connect_to_peers(
+    group_member: Rc<GroupMember>,
+    spawner: Spawner,
+    on_event: Rc<dyn Fn(GroupEvent)>,
+) {
+    let mut connections: BTreeMap<u64, async_executor::Task<()>> = BTreeMap::new();
     loop {
-        let others = council.others();
-        dialling.retain(|id, _| others.iter().any(|other| other.id == *id));
-        council.posts.borrow_mut().retain(|id, _| dialling.contains_key(id));
-        for other in others {
-            dialling.entry(other.id).or_insert_with(|| {
-                let post = Rc::new(Post::new());
-                council.posts.borrow_mut().insert(other.id, post.clone());
-                spawner.spawn_with_handle(dial(council.clone(), other, post, hear.clone()))
+        let peers = group_member.peers();
+        connections.retain(|id, _| peers.iter().any(|peer| peer.id == *id));
+        group_member.outboxes.borrow_mut().retain(|id, _| connections.contains_key(id));
+        for peer in peers {
+            connections.entry(peer.id).or_insert_with(|| {
+                let outbox = Rc::new(Outbox::new());
+                group_member.outboxes.borrow_mut().insert(peer.id, outbox.clone());
+                spawner.spawn_with_handle(keep_connected(
+                    group_member.clone(),
+                    peer,
+                    outbox,
+                    on_event.clone(),
+                ))
             });
         }
-        council.changed(LOOK).await;
+        group_member.wait_for_member_change(PEER_CHECK_INTERVAL).await;
     }
 }
 
-/// Somebody to be dialled.
+/// A member to connect to.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Other {
+pub(crate) struct Peer {
     pub id: u64,
     pub name: String,
-    pub at: String,
+    pub address: String,
 }
 
-async fn dial(council: Rc<GroupMember>, other: Other, post: Rc<Post>, hear: Rc<dyn Fn(GroupEvent)>) {
-    let mut down = false;
+/// Connects to a peer again whenever the connection ends.
+async fn keep_connected(
+    group_member: Rc<GroupMember>,
+    peer: Peer,
+    outbox: Rc<Outbox>,
+    on_event: Rc<dyn Fn(GroupEvent)>,
+) {
+    let mut is_down = false;
     loop {
-        let why = match stay(&council, &other, &post, &mut down).await {
-            Err(Why::NotYou) => {
-                warn!(council.log, "refused by a member that knows another disk of this one"; "by" => &other.name);
-                council.end();
-                council.hand_out(&*hear);
+        let reason = match send(&group_member, &peer, &outbox, &mut is_down).await {
+            Err(ConnectionError::DiskRejected) => {
+                warn!(group_member.log, "refused by a member that knows another disk of this one"; "by" => &peer.name);
+                group_member.fail();
+                group_member.deliver_events(&*on_event);
                 return;
             }
-            Err(Why::Broke(why)) => why,
+            Err(ConnectionError::Lost(reason)) => reason,
             Ok(()) => return,
         };
-        if !std::mem::replace(&mut down, true) {
-            info!(council.log, "member not reached"; "member" => &other.name, "why" => why, "name" => &council.name);
+        if !std::mem::replace(&mut is_down, true) {
+            info!(group_member.log, "no connection to member"; "member" => &peer.name, "why" => reason, "name" => &group_member.name);
         }
-        council.seat.borrow_mut().report_unreachable(other.id);
-        post.clear();
-        Timer::after(PAUSE).await;
+        group_member.replica.borrow_mut().report_unreachable(peer.id);
+        outbox.clear();
+        Timer::after(RECONNECT_DELAY).await;
     }
 }
 
-enum Why {
-    Broke(String),
-    /// It says that this member's disk is not the one it had.
-    NotYou,
+enum ConnectionError {
+    Lost(String),
+    /// The peer remembers another disk of this member.
+    DiskRejected,
 }
 
-impl From<String> for Why {
-    fn from(why: String) -> Why {
-        Why::Broke(why)
+impl From<String> for ConnectionError {
+    fn from(reason: String) -> ConnectionError {
+        ConnectionError::Lost(reason)
     }
 }
 
-async fn stay(council: &GroupMember, other: &Other, post: &Post, down: &mut bool) -> Result<(), Why> {
-    let at: SocketAddr = other.at.parse().map_err(|_| format!("{:?} is no address", other.at))?;
-    let (me, disk) = (council.seat.borrow().id(), council.seat.borrow().disk());
-    let stream = with_timeout(CONNECT, "not up in time", async {
-        Async::<TcpStream>::connect(at).await.map_err(|why| why.to_string())
+/// Connects to a peer and sends it the messages of its outbox until the connection ends.
+async fn send(
+    group_member: &GroupMember,
+    peer: &Peer,
+    outbox: &Outbox,
+    is_down: &mut bool,
+) -> Result<(), ConnectionError> {
+    let address: SocketAddr =
+        peer.address.parse().map_err(|_| format!("{:?} is not a valid address", peer.address))?;
+    let (local_id, local_disk) = (group_member.replica.borrow().id(), group_member.replica.borrow().disk());
+    let stream = with_timeout(CONNECT_TIMEOUT, "connecting timed out", async {
+        Async::<TcpStream>::connect(address).await.map_err(|error| error.to_string())
     })
     .await?;
     let _ = stream.get_ref().set_nodelay(true);
-    write_text(&stream, hello(me, disk, other.id, &council.own_place()).as_bytes(), CONNECT).await?;
-    let answer = with_timeout(STALL, "no answer to the hello", read_line(&stream)).await?;
+    write_text(
+        &stream,
+        encode_handshake(local_id, local_disk, peer.id, &group_member.local_address()).as_bytes(),
+        CONNECT_TIMEOUT,
+    )
+    .await?;
+    let answer = with_timeout(IO_TIMEOUT, "no answer to the handshake", read_line(&stream)).await?;
     if answer == "NOT YOU\n" {
-        return Err(Why::NotYou);
+        return Err(ConnectionError::DiskRejected);
     }
-    let number = answer.strip_prefix("DISK ").and_then(|n| u64::from_str_radix(n.trim_end(), 16).ok());
-    let number = number.ok_or_else(|| "another member is there".to_string())?;
-    let met = council.seat.borrow_mut().verify_disk(other.id, number);
-    council.pump();
-    if !met {
-        return Err(format!("{} is on another disk than before", other.name).into());
+    let disk = answer.strip_prefix("DISK ").and_then(|n| u64::from_str_radix(n.trim_end(), 16).ok());
+    let disk = disk.ok_or_else(|| "another member has this address".to_string())?;
+    let is_known_disk = group_member.replica.borrow_mut().verify_disk(peer.id, disk);
+    group_member.pump();
+    if !is_known_disk {
+        return Err(format!("{} is on another disk than before", peer.name).into());
     }
-    *down = false;
+    *is_down = false;
     let write = async {
         loop {
-            let bytes = match post.pop() {
+            let bytes = match outbox.pop() {
                 Some(bytes) => bytes,
                 None => {
-                    let wake = post.wake.listen();
-                    if post.waiting.get() == 0 {
-                        futures_lite::future::or(wake, async {
-                            Timer::after(BEAT).await;
+                    let pushed = outbox.pushed.listen();
+                    if outbox.queued_bytes.get() == 0 {
+                        futures_lite::future::or(pushed, async {
+                            Timer::after(KEEPALIVE_INTERVAL).await;
                         })
                         .await;
                     }
-                    post.pop().unwrap_or_default()
+                    outbox.pop().unwrap_or_default()
                 }
             };
             let frame = [&(bytes.len() as u32).to_be_bytes()[..], &bytes].concat();
-            let wrote = with_timeout(STALL, "it takes nothing", async {
-                (&stream).write_all(&frame).await.map_err(|why| why.to_string())
+            let written = with_timeout(IO_TIMEOUT, "write timed out", async {
+                (&stream).write_all(&frame).await.map_err(|error| error.to_string())
             });
-            if let Err(why) = wrote.await {
-                return why;
+            if let Err(reason) = written.await {
+                return reason;
             }
         }
     };
-    // The other side says nothing more on this line: what can be read is its end, which a write would learn of too late.
+    // The peer sends nothing more on this connection. Reading detects its end earlier than a failed write.
     let closed = async {
         let mut byte = [0];
         match (&stream).read(&mut byte).await {
             Ok(0) => "closed".to_string(),
-            Ok(_) => "it speaks where it should listen".to_string(),
-            Err(why) => why.to_string(),
+            Ok(_) => "unexpected data from the peer".to_string(),
+            Err(error) => error.to_string(),
         }
     };
     Err(futures_lite::future::or(write, closed).await.into())
--- a/crates/group-host/src/pending_effects.rs
+++ b/crates/group-host/src/pending_effects.rs
@@ -1,97 +1,103 @@
-//! Effects in their order, each behind the records that the group has to agree on first.
+//! A queue that holds each effect back until the group has committed the log entries before it.
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 
-enum Due<E> {
-    /// Nothing behind it may be done before this is agreed on.
-    Record(Vec<u8>),
+enum Pending<E> {
+    /// Nothing after this entry may be executed before it is committed.
+    Entry(Vec<u8>),
     Effect(E),
 }
 
-/// What a service that leads has decided and may not tell yet.
+/// Effects that a leader's service has decided on but may not execute yet, with the log entries they wait for.
 pub struct PendingEffects<E> {
-    due: RefCell<VecDeque<Due<E>>>,
-    /// How many came, and how many of them wait no more.
-    came: Cell<u64>,
-    done: Cell<u64>,
-    /// How often all of it was thrown away.
-    cleared: Cell<u64>,
+    queue: RefCell<VecDeque<Pending<E>>>,
+    /// Total number of elements that were added.
+    added: Cell<u64>,
+    /// Number of added elements that no longer wait.
+    completed: Cell<u64>,
+    /// How many times the queue was cleared.
+    clears: Cell<u64>,
 }
 
-/// All that waited at some moment.
+/// A position in the queue, up to which everything had been added at some moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    upto: u64,
-    cleared: u64,
+    added: u64,
+    clears: u64,
 }
 
 impl<E> Default for PendingEffects<E> {
     fn default() -> Self {
         PendingEffects {
-            due: RefCell::default(),
-            came: Cell::default(),
-            done: Cell::default(),
-            cleared: Cell::default(),
+            queue: RefCell::default(),
+            added: Cell::default(),
+            completed: Cell::default(),
+            clears: Cell::default(),
         }
     }
 }
 
 impl<E> PendingEffects<E> {
-    fn add(&self, due: Due<E>) {
-        self.due.borrow_mut().push_back(due);
-        self.came.set(self.came.get() + 1);
+    fn add(&self, pending: Pending<E>) {
+        self.queue.borrow_mut().push_back(pending);
+        self.added.set(self.added.get() + 1);
     }
 
-    pub fn push_entry(&self, record: Vec<u8>) {
-        self.add(Due::Record(record));
+    /// Adds a proposed log entry, for which all later effects wait.
+    pub fn push_entry(&self, entry: Vec<u8>) {
+        self.add(Pending::Entry(entry));
     }
 
+    /// Adds an effect, which waits for all entries before it.
     pub fn push_effect(&self, effect: E) {
-        self.add(Due::Effect(effect));
+        self.add(Pending::Effect(effect));
     }
 
-    /// The group has agreed on something. Only the record at the head frees what is behind it: anything else is not this
-    /// member's, or was decided before it led.
+    /// Handles an entry that the group has committed. Only the entry at the head of the queue releases what follows it:
+    /// any other was proposed by another member, or before this member became leader.
     pub fn on_committed(&self, data: &[u8]) {
-        let mut due = self.due.borrow_mut();
-        if matches!(due.front(), Some(Due::Record(own)) if own == data) {
-            due.pop_front();
-            self.done.set(self.done.get() + 1);
+        let mut queue = self.queue.borrow_mut();
+        if matches!(queue.front(), Some(Pending::Entry(entry)) if entry == data) {
+            queue.pop_front();
+            self.completed.set(self.completed.get() + 1);
         }
     }
 
-    /// The next effect that waits for nothing.
+    /// Removes and returns the next effect, unless it still waits for an entry.
     pub fn pop_ready(&self) -> Option<E> {
-        let mut due = self.due.borrow_mut();
-        match due.pop_front()? {
-            Due::Effect(effect) => {
-                self.done.set(self.done.get() + 1);
+        let mut queue = self.queue.borrow_mut();
+        match queue.pop_front()? {
+            Pending::Effect(effect) => {
+                self.completed.set(self.completed.get() + 1);
                 Some(effect)
             }
-            record => {
-                due.push_front(record);
+            entry => {
+                queue.push_front(entry);
                 None
             }
         }
     }
 
+    /// Returns whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.due.borrow().is_empty()
+        self.queue.borrow().is_empty()
     }
 
-    /// All that waits now.
+    /// Returns the current end of the queue.
     pub fn position(&self) -> Position {
-        Position { upto: self.came.get(), cleared: self.cleared.get() }
+        Position { added: self.added.get(), clears: self.clears.get() }
     }
 
-    /// Whether all that waited at the mark was agreed on and done, whatever has come since. None: it was thrown away.
-    pub fn is_completed(&self, mark: Position) -> Option<bool> {
-        (mark.cleared == self.cleared.get()).then(|| self.done.get() >= mark.upto)
+    /// Returns whether everything up to a position is committed and executed, regardless of later additions. None if it
+    /// was discarded by [`PendingEffects::clear`].
+    pub fn is_completed(&self, position: Position) -> Option<bool> {
+        (position.clears == self.clears.get()).then(|| self.completed.get() >= position.added)
     }
 
+    /// Discards everything that waits.
     pub fn clear(&self) {
-        self.due.borrow_mut().clear();
-        self.done.set(self.came.get());
-        self.cleared.set(self.cleared.get() + 1);
+        self.queue.borrow_mut().clear();
+        self.completed.set(self.added.get());
+        self.clears.set(self.clears.get() + 1);
     }
 }
--- a/crates/group-host/src/recent_items.rs
+++ b/crates/group-host/src/recent_items.rs
@@ -1,44 +1,47 @@
-//! The newest of things that are numbered one after another.
+//! A bounded buffer of the newest consecutively numbered items.
 use std::collections::VecDeque;
 
-/// Holds a bounded number of things; what is after a number is found by its place, not by a search.
+/// Keeps the newest items. Their numbers are consecutive, so items after a given number are found by position
+/// instead of by a search.
 pub struct RecentItems<T> {
-    held: VecDeque<T>,
-    /// The number of the newest; 0: there was none.
+    items: VecDeque<T>,
+    /// Number of the newest item, 0 if there was none.
     last: u64,
-    most: usize,
+    capacity: usize,
 }
 
 impl<T> RecentItems<T> {
-    pub fn new(most: usize) -> RecentItems<T> {
-        RecentItems { held: VecDeque::new(), last: 0, most }
+    /// Creates an empty buffer that keeps at most `capacity` items.
+    pub fn new(capacity: usize) -> RecentItems<T> {
+        RecentItems { items: VecDeque::new(), last: 0, capacity }
     }
 
-    /// A number that does not follow the last one begins anew: nothing before it is held.
-    pub fn push(&mut self, number: u64, what: T) {
+    /// Appends an item. If its number does not follow the last one, all earlier items are dropped.
+    pub fn push(&mut self, number: u64, item: T) {
         if number != self.last + 1 {
-            self.held.clear();
+            self.items.clear();
         }
         self.last = number;
-        self.held.push_back(what);
-        if self.held.len() > self.most {
-            self.held.pop_front();
+        self.items.push_back(item);
+        if self.items.len() > self.capacity {
+            self.items.pop_front();
         }
     }
 
+    /// Returns the number of the newest item, or 0.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// What is held after a number, in order.
+    /// Returns the buffered items with a higher number, in order.
     pub fn after(&self, number: u64) -> impl Iterator<Item = &T> {
-        let newer = self.last.saturating_sub(number).min(self.held.len() as u64) as usize;
-        self.held.range(self.held.len() - newer..)
+        let newer = self.last.saturating_sub(number).min(self.items.len() as u64) as usize;
+        self.items.range(self.items.len() - newer..)
     }
 
-    /// Holds nothing, as at first.
+    /// Resets the buffer to its initial state.
     pub fn clear(&mut self) {
-        self.held.clear();
+        self.items.clear();
         self.last = 0;
     }
 }
