--- a/crates/purger/src/gatherer.rs
+++ b/crates/purger/src/gatherer.rs
@@ -1,5 +1,6 @@
-//! A site's gatherer on sockets: one thread, one task for the line to the service and one for each member of the site.
-//! Nothing here decides: see `harestage_purge::gather`.
+//! A site's gatherer on sockets. It aggregates the acknowledgements of the site's members for the purge service, and
+//! distributes items to them. It uses one thread, with one task for the connection to the service and one for each member.
+//! The decisions are made in `harestage_purge::gather`.
 use crate::RETENTION;
 use crate::member_connection::{self, UpdateSource};
 use async_channel::Receiver;
@@ -22,21 +23,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const LONGEST_LINE: usize = 64 << 10;
-/// The members of one site, and those who ask wrongly.
-const MOST_CONNECTIONS: usize = 4_096;
-/// What is old is looked for so often.
-const LOOK_BACK: Duration = Duration::from_secs(10);
-/// Whether something is due to be said is looked at so often, where nothing happens.
-const IDLE: Duration = Duration::from_millis(50);
+const MAX_LINE_BYTES: usize = 64 << 10;
+/// Covers the members of one site and clients that connect by mistake.
+const MAX_CONNECTIONS: usize = 4_096;
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval at which an idle gatherer checks whether a report is due.
+const REPORT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The line to the service. It answers each word at once, and words go up some times a second.
-fn terms() -> Line {
+/// Settings of the connection to the service, which answers each report at once. Reports are sent several times a second.
+fn connection_settings() -> Line {
     Line {
         connect: Duration::from_millis(1_000),
         silence: Duration::from_millis(1_500),
         pause: Duration::from_millis(60),
-        report_every: IDLE,
+        report_every: REPORT_CHECK_INTERVAL,
         bytes: 8 << 20,
     }
 }
@@ -45,190 +45,199 @@
     gatherer: RefCell<Gatherer>,
     clock: Clock,
     log: Logger,
-    /// Something new came from the service.
-    news: Event,
-    /// Somebody below has said something, or is gone.
-    said: Event,
+    /// Notified when new items arrived from the service.
+    updated: Event,
+    /// Notified when the service answered, and when a member sent an acknowledgement or disconnected.
+    report_changed: Event,
 }
 
-/// What is set for a gatherer.
+/// The configuration of a gatherer.
 #[derive(Clone, Debug)]
 pub struct GathererConfig {
     pub name: String,
     pub listen: SocketAddr,
-    /// The members of the service of purges.
+    /// Addresses of the members of the purge service.
     pub services: Vec<SocketAddr>,
 }
 
-/// A gatherer that listens already.
+/// A gatherer whose listening socket is bound.
 pub struct GathererServer {
-    start: GathererConfig,
+    config: GathererConfig,
     listener: Async<TcpListener>,
 }
 
 impl GathererServer {
-    /// Takes the address; an error is one line, and nothing listens then.
-    pub fn bind(start: GathererConfig) -> Result<GathererServer, String> {
-        if !harestage_purge::messages::is_valid_name(&start.name) {
+    /// Checks the configuration and binds the listening socket. An error is one line of text.
+    pub fn bind(config: GathererConfig) -> Result<GathererServer, String> {
+        if !harestage_purge::messages::is_valid_name(&config.name) {
             return Err(format!(
                 "key name: {:?} is not a name of letters, digits, dots and dashes",
-                start.name
+                config.name
             ));
         }
-        if start.services.is_empty() {
-            return Err("key services: there has to be one at least".into());
+        if config.services.is_empty() {
+            return Err("key services: at least one address is required".into());
         }
-        let listener = Async::<TcpListener>::bind(start.listen)
-            .map_err(|why| format!("key listen: {} can't be listened on: {why}", start.listen))?;
-        Ok(GathererServer { start, listener })
+        let listener = Async::<TcpListener>::bind(config.listen)
+            .map_err(|error| format!("key listen: {} can't be listened on: {error}", config.listen))?;
+        Ok(GathererServer { config, listener })
     }
 
-    /// Serves until `stop` says so.
+    /// Serves until `stop` receives a message or is closed.
     pub fn serve(self, log: Logger, stop: Receiver<()>) {
         let (spawner, clock) = (Spawner::default(), Clock::start());
-        let GathererServer { start, listener } = self;
-        // No other start of it has this number: clocks go on between two of them.
-        let gatherer = Gatherer::new(&start.name, clock.now().micros());
+        let GathererServer { config, listener } = self;
+        // The time of the start is the incarnation. It differs from that of any earlier start.
+        let gatherer = Gatherer::new(&config.name, clock.now().micros());
         let site = Rc::new(Site {
             gatherer: RefCell::new(gatherer),
             clock,
             log: log.clone(),
-            news: Event::new(),
-            said: Event::new(),
+            updated: Event::new(),
+            report_changed: Event::new(),
         });
-        info!(log, "ready"; "name" => &start.name);
-        spawner.spawn(follow(site.clone(), start.services));
-        spawner.spawn(forget(site.clone()));
-        let (serving, failing) = (site.clone(), log.clone());
-        let one = move |stream| {
-            let site = serving.clone();
+        info!(log, "ready"; "name" => &config.name);
+        spawner.spawn(follow(site.clone(), config.services));
+        spawner.spawn(evict_old_items(site.clone()));
+        let (connection_site, accept_log) = (site.clone(), log.clone());
+        let serve_connection = move |stream| {
+            let site = connection_site.clone();
             async move {
-                let why = member(&site, &stream).await.err().unwrap_or_default();
-                if !why.is_empty() {
-                    info!(site.log, "connection ended"; "why" => why);
+                let reason = accept_member(&site, &stream).await.err().unwrap_or_default();
+                if !reason.is_empty() {
+                    info!(site.log, "connection ended"; "why" => reason);
                 }
             }
         };
-        let failed = move |why| warn!(failing, "accept failed"; "why" => %why);
-        spawner.spawn(accept(listener, ConnectionLimit::new(MOST_CONNECTIONS), spawner.clone(), one, failed));
+        let on_accept_error = move |error| warn!(accept_log, "accept failed"; "why" => %error);
+        spawner.spawn(accept(
+            listener,
+            ConnectionLimit::new(MAX_CONNECTIONS),
+            spawner.clone(),
+            serve_connection,
+            on_accept_error,
+        ));
         spawner.block_on(async {
             let _ = stop.recv().await;
         });
-        info!(log, "ended"; "name" => &start.name);
+        info!(log, "ended"; "name" => &config.name);
     }
 }
 
-async fn forget(site: Rc<Site>) {
+/// Evicts items that are older than the retention.
+async fn evict_old_items(site: Rc<Site>) {
     loop {
-        Timer::after(LOOK_BACK).await;
-        let before = site.clock.now().before(RETENTION).micros() / 1_000;
-        site.gatherer.borrow_mut().forget_before(before);
+        Timer::after(EXPIRY_CHECK_INTERVAL).await;
+        let oldest_ms = site.clock.now().before(RETENTION).micros() / 1_000;
+        site.gatherer.borrow_mut().forget_before(oldest_ms);
     }
 }
 
-/// Keeps a line to whoever speaks for the service.
+/// Keeps a connection to the leader of the service.
 async fn follow(site: Rc<Site>, services: Vec<SocketAddr>) {
-    let mut down = false;
+    let mut is_down = false;
     let Some(mut leader) = LeaderFinder::from_addresses(services) else { return };
     loop {
-        let why = stay(&site, &mut leader, &mut down).await.err().unwrap_or_default();
-        if !std::mem::replace(&mut down, true) {
-            warn!(site.log, "purges down"; "why" => why, "has" => site.gatherer.borrow().last());
+        let reason = follow_once(&site, &mut leader, &mut is_down).await.err().unwrap_or_default();
+        if !std::mem::replace(&mut is_down, true) {
+            warn!(site.log, "purges down"; "why" => reason, "has" => site.gatherer.borrow().last());
         }
-        Timer::after(terms().pause * leader.backoff_factor()).await;
+        Timer::after(connection_settings().pause * leader.backoff_factor()).await;
     }
 }
 
-async fn stay(site: &Site, leader: &mut LeaderFinder, down: &mut bool) -> Result<(), String> {
-    let at = leader.next_address();
-    // Where it breaks without a word of who speaks, the next one is tried.
+/// Connects to one member of the service, and exchanges reports and items until the connection ends.
+async fn follow_once(site: &Site, leader: &mut LeaderFinder, is_down: &mut bool) -> Result<(), String> {
+    let address = leader.next_address();
+    // If the connection ends without a redirect, the next address is tried.
     leader.on_failure();
     site.gatherer.borrow_mut().on_connected();
     let first = site.gatherer.borrow_mut().next_report(site.clock.now());
-    let first = first.ok_or("nothing to say at first")?;
-    let stream = subscribe(at, &to_line(&first), terms().connect).await?;
-    or(hear(site, &stream, at, leader, down), speak(site, &stream)).await
+    let first = first.ok_or("no initial report")?;
+    let stream = subscribe(address, &to_line(&first), connection_settings().connect).await?;
+    or(receive_items(site, &stream, address, leader, is_down), send_reports(site, &stream)).await
 }
 
-async fn hear(
+async fn receive_items(
     site: &Site,
     stream: &Stream,
-    at: SocketAddr,
+    address: SocketAddr,
     leader: &mut LeaderFinder,
-    down: &mut bool,
+    is_down: &mut bool,
 ) -> Result<(), String> {
-    let mut lines = LineReader::new(stream, terms().bytes);
-    let mut up = false;
+    let mut lines = LineReader::new(stream, connection_settings().bytes);
+    let mut is_up = false;
     loop {
-        let told = with_timeout(terms().silence, "silent", lines.next_line()).await?;
-        let told: ToMember =
-            serde_json::from_slice(&told).map_err(|why| format!("an unreadable line: {why}"))?;
-        if let ToMember::NotLeader { leader: serves } = &told {
-            leader.on_redirect(serves.as_deref());
-            return Err("this member does not speak".into());
+        let message = with_timeout(connection_settings().silence, "silent", lines.next_line()).await?;
+        let message: ToMember =
+            serde_json::from_slice(&message).map_err(|error| format!("line can't be parsed: {error}"))?;
+        if let ToMember::NotLeader { leader: leader_address } = &message {
+            leader.on_redirect(leader_address.as_deref());
+            return Err("this member is not the leader".into());
         }
-        let before = site.gatherer.borrow().last();
-        let heard = site.gatherer.borrow_mut().handle(told, site.clock.now());
-        heard.map_err(|why| format!("{why:?}"))?;
-        if !std::mem::replace(&mut up, true) {
-            leader.on_leader(at);
-            *down = false;
+        let last = site.gatherer.borrow().last();
+        let result = site.gatherer.borrow_mut().handle(message, site.clock.now());
+        result.map_err(|error| format!("{error:?}"))?;
+        if !std::mem::replace(&mut is_up, true) {
+            leader.on_leader(address);
+            *is_down = false;
             info!(site.log, "purges up"; "has" => site.gatherer.borrow().last());
         }
-        if site.gatherer.borrow().last() != before {
-            site.news.notify(usize::MAX);
+        if site.gatherer.borrow().last() != last {
+            site.updated.notify(usize::MAX);
         }
-        site.said.notify(usize::MAX);
+        site.report_changed.notify(usize::MAX);
     }
 }
 
-async fn speak(site: &Site, stream: &Stream) -> Result<(), String> {
+async fn send_reports(site: &Site, stream: &Stream) -> Result<(), String> {
     loop {
-        let due = site.gatherer.borrow_mut().next_report(site.clock.now());
-        match due {
-            Some(due) => {
-                write_text(stream, &to_line(&due), PEER_TIMEOUT).await?;
+        let report = site.gatherer.borrow_mut().next_report(site.clock.now());
+        match report {
+            Some(report) => {
+                write_text(stream, &to_line(&report), PEER_TIMEOUT).await?;
                 Timer::after(MIN_REPORT_INTERVAL.into()).await;
             }
             None => {
-                wait_for_event(&site.said, IDLE).await;
-                // What others say in the same moment goes up in the same line.
+                wait_for_event(&site.report_changed, REPORT_CHECK_INTERVAL).await;
+                // Batches acknowledgements that arrive at nearly the same time into one report.
                 Timer::after(Duration::from(MIN_REPORT_INTERVAL) / 3).await;
             }
         }
     }
 }
 
-async fn member(site: &Site, stream: &Stream) -> Result<(), String> {
-    let mut lines = LineReader::new(stream, LONGEST_LINE);
-    let first = with_timeout(PEER_TIMEOUT, "too slow", lines.next_line()).await?;
+/// Serves a connection whose first line is that of a member of the site.
+async fn accept_member(site: &Site, stream: &Stream) -> Result<(), String> {
+    let mut lines = LineReader::new(stream, MAX_LINE_BYTES);
+    let first = with_timeout(PEER_TIMEOUT, "no first line in time", lines.next_line()).await?;
     let Ok(first) = serde_json::from_slice::<Ack>(&first) else {
         return write_message(stream, &ToMember::NotLeader { leader: None }).await;
     };
-    let below = Below { site, is: RefCell::new((first.member.clone(), first.incarnation)) };
-    let done = member_connection::serve_member(&below, &mut lines, first).await;
-    let (name, start) = below.is.into_inner();
-    site.gatherer.borrow_mut().on_disconnect(&name, start);
-    site.said.notify(usize::MAX);
-    done
+    let member = SiteMember { site, identity: RefCell::new((first.member.clone(), first.incarnation)) };
+    let result = member_connection::serve_member(&member, &mut lines, first).await;
+    let (name, incarnation) = member.identity.into_inner();
+    site.gatherer.borrow_mut().on_disconnect(&name, incarnation);
+    site.report_changed.notify(usize::MAX);
+    result
 }
 
-/// One member of the site, under the number of the process that it said last.
-struct Below<'a> {
+/// One member of the site, with its name and the incarnation of its last acknowledgement.
+struct SiteMember<'a> {
     site: &'a Site,
-    is: RefCell<(String, u64)>,
+    identity: RefCell<(String, u64)>,
 }
 
-impl UpdateSource for Below<'_> {
-    async fn on_ack(&self, said: &Ack) -> Option<ToMember> {
-        self.is.replace((said.member.clone(), said.incarnation));
-        let answer = self.site.gatherer.borrow_mut().on_ack(said, self.site.clock.now());
-        self.site.said.notify(usize::MAX);
+impl UpdateSource for SiteMember<'_> {
+    async fn on_ack(&self, ack: &Ack) -> Option<ToMember> {
+        self.identity.replace((ack.member.clone(), ack.incarnation));
+        let answer = self.site.gatherer.borrow_mut().on_ack(ack, self.site.clock.now());
+        self.site.report_changed.notify(usize::MAX);
         match answer {
-            Ok(told) => Some(told),
+            Ok(message) => Some(message),
             Err(GatherError::NotServing) => None,
             Err(GatherError::TooManyMembers) => {
-                warn!(self.site.log, "too many below"; "member" => &said.member);
+                warn!(self.site.log, "too many members"; "member" => &ack.member);
                 None
             }
         }
@@ -244,11 +253,11 @@
     }
 
     fn updates_after(&self, number: u64) -> Option<ToMember> {
-        let (term, missing) = self.site.gatherer.borrow().after(number)?;
-        Some(ToMember::from_catch_up(term, missing))
+        let (term, catch_up) = self.site.gatherer.borrow().after(number)?;
+        Some(ToMember::from_catch_up(term, catch_up))
     }
 
-    async fn wait_for_update(&self, at_most: Duration) {
-        wait_for_event(&self.site.news, at_most).await;
+    async fn wait_for_update(&self, timeout: Duration) {
+        wait_for_event(&self.site.updated, timeout).await;
     }
 }
--- a/crates/purger/src/lib.rs
+++ b/crates/purger/src/lib.rs
@@ -1,8 +1,9 @@
-//! The service of purges on sockets and disk: one thread; one task turns the state machine of `harestage_purge`, and
-//! one for each connection of a member or a client. Nothing here decides.
+//! The purge service on sockets and disk. It uses one thread, with one task that runs the state machine of
+//! `harestage_purge` and one task for each connection of a member or a client. It makes no decisions.
 //!
-//! Members call it themselves, or their site's gatherer does for them ([`gatherer`]). It is a member of a group, alone or with others: whoever leads runs the state machine on what the group has agreed on.
-//! All that came within a turn is written with one sync, and told once it is agreed on: nobody hears of it before.
+//! Members connect directly or through the gatherer of their site ([`gatherer`]). The service is a member of a group, alone
+//! or with others: the leader runs the state machine on what the group has committed. All entries of a step are written
+//! with one sync. Nothing is sent before the group has committed it.
 pub mod gatherer;
 pub mod member_connection;
 
@@ -35,52 +36,52 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const BEAT: Duration = Duration::from_millis(20);
-/// Of members and clients; a gatherer names all of its site.
-const LONGEST_LINE: usize = 256 << 10;
-const MOST_CONNECTIONS: usize = 8_192;
-/// Items and reports that are kept for whoever waits for them.
-const MOST_REPORTS: usize = 65_536;
-/// Purges are kept for members that were away; one that was away for longer drops all that is older. Regions lose each
-/// other for an hour: one that comes back after it, and after half an hour more, is told what it missed.
+const TICK: Duration = Duration::from_millis(20);
+/// Maximum length of a line. A gatherer names all members of its site in one.
+const MAX_LINE_BYTES: usize = 256 << 10;
+const MAX_CONNECTIONS: usize = 8_192;
+/// Maximum number of items, and of reports, kept for connections that wait for them.
+const MAX_REPORTS: usize = 65_536;
+/// Time for which purges are kept for disconnected members. A member that was disconnected for longer drops all older
+/// copies. Regions may lose each other for an hour. A member that reconnects within half an hour after that still gets the
+/// items it missed.
 pub const RETENTION: Span = Span::millis(90 * 60_000);
-/// Purges on a page of a list.
-const PAGE: usize = 4_096;
-/// What is old is looked for so often.
-const LOOK_BACK: Duration = Duration::from_secs(10);
-/// Purges a second and at once that a tenant may ask for.
-const LIMIT: RateLimit = RateLimit { rate: 200.0, burst: 2_000.0 };
+/// Maximum number of purges in one response to a list request.
+const LIST_PAGE_SIZE: usize = 4_096;
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(10);
+/// Limit of purges per tenant, per second and in a burst.
+const TENANT_RATE_LIMIT: RateLimit = RateLimit { rate: 200.0, burst: 2_000.0 };
 
-/// What this member may tell of what the group has agreed on.
+/// What the leader may send, because the group has committed it.
 struct Purges {
-    /// Items in the order in which they may be told.
-    told: RefCell<RecentItems<Item>>,
+    /// Items in the order in which they are sent.
+    published: RefCell<RecentItems<Item>>,
     reports: RefCell<BTreeMap<u64, Report>>,
 }
 
-type Keeper = Host<Purges>;
+type PurgeHost = Host<Purges>;
 
-/// A service that listens already.
+/// A purge service whose listening socket is bound.
 pub struct PurgeServer(HostListener<Purges>);
 
 fn read_entries(data: &[Vec<u8>]) -> Result<Vec<LogEntry>, String> {
     let read = |(n, bytes): (usize, &Vec<u8>)| {
-        serde_json::from_slice(bytes).map_err(|why| format!("record {n} can't be read: {why}"))
+        serde_json::from_slice(bytes).map_err(|error| format!("record {n} can't be read: {error}"))
     };
     data.iter().enumerate().map(read).collect()
 }
 
-fn bytes(entry: &LogEntry) -> Vec<u8> {
+fn encode_entry(entry: &LogEntry) -> Vec<u8> {
     serde_json::to_vec(entry).unwrap_or_default()
 }
 
-/// The log of a service that was not a group yet: a list of entries as a snapshot, then entries.
-fn read_old(snapshot: Option<&[u8]>, records: &[Vec<u8>]) -> Result<Vec<Vec<u8>>, String> {
+/// Converts the log of an unreplicated service: a snapshot with a list of entries, and the entries after it.
+fn read_legacy(snapshot: Option<&[u8]>, records: &[Vec<u8>]) -> Result<Vec<Vec<u8>>, String> {
     let mut data = Vec::new();
     if let Some(snapshot) = snapshot {
-        let whole: Vec<LogEntry> =
-            serde_json::from_slice(snapshot).map_err(|why| format!("the snapshot can't be read: {why}"))?;
-        data.extend(whole.iter().map(bytes));
+        let entries: Vec<LogEntry> = serde_json::from_slice(snapshot)
+            .map_err(|error| format!("the snapshot can't be read: {error}"))?;
+        data.extend(entries.iter().map(encode_entry));
     }
     read_entries(records)?;
     data.extend_from_slice(records);
@@ -88,28 +89,28 @@
 }
 
 impl PurgeServer {
-    /// A group of one: takes the service up from its log. An error is one line.
+    /// Opens the only member of a group from its log. An error is one line of text.
     pub fn open(listen: SocketAddr, folder: &Path, logger: Logger) -> Result<PurgeServer, String> {
         PurgeServer::open_member(listen, folder, &GroupMemberConfig::standalone("purges"), logger)
     }
 
-    /// One member of a group.
+    /// Opens one member of a group. An error is one line of text.
     pub fn open_member(
         listen: SocketAddr,
         folder: &Path,
-        start: &GroupMemberConfig,
+        config: &GroupMemberConfig,
         logger: Logger,
     ) -> Result<PurgeServer, String> {
         let clock = Clock::start();
-        let council = GroupMember::open(start, folder, Vec::new(), read_old, clock, logger.clone())
-            .map_err(|why| why.to_string())?;
-        read_entries(&council.data()).map_err(|why| format!("{}: {why}", folder.display()))?;
-        let told = RefCell::new(RecentItems::new(MOST_REPORTS));
-        let purges = Purges { told, reports: RefCell::default() };
-        HostListener::bind(listen, council, purges, ConnectionLimit::new(MOST_CONNECTIONS)).map(PurgeServer)
+        let member = GroupMember::open(config, folder, Vec::new(), read_legacy, clock, logger.clone())
+            .map_err(|error| error.to_string())?;
+        read_entries(&member.data()).map_err(|error| format!("{}: {error}", folder.display()))?;
+        let published = RefCell::new(RecentItems::new(MAX_REPORTS));
+        let purges = Purges { published, reports: RefCell::default() };
+        HostListener::bind(listen, member, purges, ConnectionLimit::new(MAX_CONNECTIONS)).map(PurgeServer)
     }
 
-    /// Serves until `stop` says so; an error if the log could not be written.
+    /// Serves until `stop` receives a message or is closed. Returns an error if the group member has failed.
     pub fn serve(self, stop: Receiver<()>) -> Result<(), String> {
         self.0.serve(async move {
             let _ = stop.recv().await;
@@ -122,38 +123,38 @@
     type Effect = Effect;
 
     const FAILURE_TEXT: &'static str = "the log can't be written, or is not this member's";
-    const MAX_LINE_BYTES: usize = LONGEST_LINE;
+    const MAX_LINE_BYTES: usize = MAX_LINE_BYTES;
 
-    fn open(host: &Keeper, data: &[Vec<u8>]) -> Result<(Service, Vec<Effect>), String> {
-        let (service, effects) = Service::open(&read_entries(data)?, LIMIT, host.now());
+    fn open(host: &PurgeHost, data: &[Vec<u8>]) -> Result<(Service, Vec<Effect>), String> {
+        let (service, effects) = Service::open(&read_entries(data)?, TENANT_RATE_LIMIT, host.now());
         info!(host.log(), "takes up the service"; "term" => service.term(), "last" => service.last());
         Ok((service, effects))
     }
 
     fn log_entry(effect: &Effect) -> Option<Vec<u8>> {
         match effect {
-            Effect::Write(entry) => Some(bytes(entry)),
+            Effect::Write(entry) => Some(encode_entry(entry)),
             Effect::Broadcast(_) | Effect::Report(_) => None,
         }
     }
 
-    fn execute_effect(host: &Keeper, effect: Effect) {
+    fn execute_effect(host: &PurgeHost, effect: Effect) {
         match effect {
             Effect::Write(_) => {}
             Effect::Broadcast(item) => {
                 info!(host.log(), "told"; "number" => item.number,
                     "item" => serde_json::to_string(&item).unwrap_or_default());
-                host.service.told.borrow_mut().push(item.number, item);
+                host.service.published.borrow_mut().push(item.number, item);
             }
             Effect::Report(report) => {
-                let words = serde_json::to_string(&report).unwrap_or_default();
+                let text = serde_json::to_string(&report).unwrap_or_default();
                 match report.kept {
-                    true => info!(host.log(), "reached"; "number" => report.number, "report" => words),
-                    false => warn!(host.log(), "reached late"; "number" => report.number, "report" => words),
+                    true => info!(host.log(), "reached"; "number" => report.number, "report" => text),
+                    false => warn!(host.log(), "reached late"; "number" => report.number, "report" => text),
                 }
                 let mut reports = host.service.reports.borrow_mut();
                 reports.insert(report.number, report);
-                if reports.len() > MOST_REPORTS {
+                if reports.len() > MAX_REPORTS {
                     reports.pop_first();
                 }
             }
@@ -161,18 +162,18 @@
     }
 
     fn on_step_down(&self) {
-        self.told.borrow_mut().clear();
+        self.published.borrow_mut().clear();
     }
 
-    async fn run(host: &Rc<Keeper>, _: &Spawner) {
-        let mut looked = Instant::now();
+    async fn run(host: &Rc<PurgeHost>, _: &Spawner) {
+        let mut expiry_checked = Instant::now();
         while !host.member.has_failed() {
-            Timer::after(BEAT).await;
-            if looked.elapsed() > LOOK_BACK {
-                looked = Instant::now();
-                forget(host);
+            Timer::after(TICK).await;
+            if expiry_checked.elapsed() > EXPIRY_CHECK_INTERVAL {
+                expiry_checked = Instant::now();
+                evict_old_items(host);
             }
-            tidy(host);
+            compact_log(host);
             let now = host.now();
             let effects = host.with_state(|service| service.tick(now)).unwrap_or_default();
             if !effects.is_empty() {
@@ -181,153 +182,160 @@
         }
     }
 
-    async fn serve(host: &Keeper, lines: &mut LineReader<'_>, first: Vec<u8>) -> Result<(), String> {
-        if let Ok(confirm) = serde_json::from_slice::<Ack>(&first) {
-            return member_connection::serve_member(&Direct(host), lines, confirm).await;
+    async fn serve(host: &PurgeHost, lines: &mut LineReader<'_>, first: Vec<u8>) -> Result<(), String> {
+        if let Ok(ack) = serde_json::from_slice::<Ack>(&first) {
+            return member_connection::serve_member(&DirectMembers(host), lines, ack).await;
         }
-        if let Ok(FromGatherer::Gathered(line)) = serde_json::from_slice(&first) {
-            return gatherer(host, lines, line).await;
+        if let Ok(FromGatherer::Gathered(report)) = serde_json::from_slice(&first) {
+            return serve_gatherer(host, lines, report).await;
         }
         match serde_json::from_slice::<Request>(&first) {
-            Ok(call) => client(host, lines.stream(), call).await,
-            Err(why) => {
-                write_message(lines.stream(), &Response::Refused(format!("the call can't be read: {why}")))
+            Ok(request) => serve_client(host, lines.stream(), request).await,
+            Err(error) => {
+                write_message(lines.stream(), &Response::Refused(format!("request can't be parsed: {error}")))
                     .await
             }
         }
     }
 }
 
-/// Forgets what is old.
-fn forget(host: &Keeper) {
+/// Evicts items that are older than the retention.
+fn evict_old_items(host: &PurgeHost) {
     let now = host.now();
-    let before = now.before(RETENTION).micros() / 1_000;
-    let effects = host.with_state(|service| service.forget_before(before, now)).unwrap_or_default();
+    let oldest_ms = now.before(RETENTION).micros() / 1_000;
+    let effects = host.with_state(|service| service.forget_before(oldest_ms, now)).unwrap_or_default();
     if !effects.is_empty() {
         host.execute(effects);
     }
 }
 
-/// Writes the log anew once it has grown.
-fn tidy(host: &Keeper) {
+/// Replaces the log by a snapshot once it has grown.
+fn compact_log(host: &PurgeHost) {
     if !host.is_settled() {
         return;
     }
     host.member.compact_log(|data| match host.with_unleased_state(|service| service.snapshot()) {
-        Some(whole) => whole.iter().map(bytes).collect(),
-        // Who does not lead goes by what was agreed on.
+        Some(snapshot) => snapshot.iter().map(encode_entry).collect(),
+        // A member that is not the leader compacts the committed entries.
         None => match read_entries(&data) {
-            Ok(entries) => Service::compacted(&entries, LIMIT, host.now()).iter().map(bytes).collect(),
+            Ok(entries) => {
+                Service::compacted(&entries, TENANT_RATE_LIMIT, host.now()).iter().map(encode_entry).collect()
+            }
             Err(_) => data,
         },
     });
 }
 
-/// Members that call the service itself.
-struct Direct<'a>(&'a Keeper);
+/// The source of items for members that connect to the service directly.
+struct DirectMembers<'a>(&'a PurgeHost);
 
-impl UpdateSource for Direct<'_> {
-    async fn on_ack(&self, said: &Ack) -> Option<ToMember> {
+impl UpdateSource for DirectMembers<'_> {
+    async fn on_ack(&self, ack: &Ack) -> Option<ToMember> {
         let now = self.0.now();
-        let heard = self.0.with_state(|service| (service.term(), service.on_ack(said, now)))?;
-        let (term, (missing, effects)) = match heard {
-            (term, Ok(heard)) => (term, heard),
+        let result = self.0.with_state(|service| (service.term(), service.on_ack(ack, now)))?;
+        let (term, (catch_up, effects)) = match result {
+            (term, Ok(accepted)) => (term, accepted),
             (_, Err(MessageError::Replaced)) => return Some(ToMember::Replaced),
-            (_, Err(why)) => {
-                warn!(self.0.log(), "a line refused"; "member" => &said.member, "why" => format!("{why:?}"));
+            (_, Err(error)) => {
+                warn!(self.0.log(), "acknowledgement refused"; "member" => &ack.member, "why" => format!("{error:?}"));
                 return Some(ToMember::Items { term: 0, items: Vec::new() });
             }
         };
         if !effects.is_empty() {
             self.0.execute(effects);
         }
-        // What the group has not agreed on yet must not be told, though the state has it already.
-        self.0.wait_settled().await.then(|| ToMember::from_catch_up(term, missing))
+        // The state already contains entries that the group has not committed yet. They must not be sent.
+        self.0.wait_settled().await.then(|| ToMember::from_catch_up(term, catch_up))
     }
 
     fn redirect(&self) -> ToMember {
-        elsewhere(self.0)
+        redirect(self.0)
     }
 
     fn last_published(&self) -> Option<u64> {
-        self.0.member.holds_leader_lease().then(|| self.0.service.told.borrow().last())
+        self.0.member.holds_leader_lease().then(|| self.0.service.published.borrow().last())
     }
 
     fn updates_after(&self, number: u64) -> Option<ToMember> {
         let term = self.0.with_state(|service| service.term())?;
-        let items = self.0.service.told.borrow().after(number).take(MAX_BATCH_ITEMS).cloned().collect();
+        let items = self.0.service.published.borrow().after(number).take(MAX_BATCH_ITEMS).cloned().collect();
         Some(ToMember::Items { term, items })
     }
 
-    async fn wait_for_update(&self, at_most: Duration) {
-        self.0.wait_for_update(at_most).await;
+    async fn wait_for_update(&self, timeout: Duration) {
+        self.0.wait_for_update(timeout).await;
     }
 }
 
-/// A gatherer: each of its lines is heard, and what is new goes to it as it comes.
-async fn gatherer(host: &Keeper, lines: &mut LineReader<'_>, first: GatheredReport) -> Result<(), String> {
+/// Serves a gatherer: handles each of its reports, and pushes new items at once.
+async fn serve_gatherer(
+    host: &PurgeHost,
+    lines: &mut LineReader<'_>,
+    first: GatheredReport,
+) -> Result<(), String> {
     let stream = lines.stream();
-    let (mut pushed, mut next, mut is_first) = (PushState::default(), first, true);
+    let (mut push_state, mut report, mut is_first) = (PushState::default(), first, true);
     loop {
-        let (now, may_tell) = (host.now(), host.service.told.borrow().last());
-        let heard = host.with_state(|service| {
-            let (answered, effects) = service.on_gathered(&next, now)?;
-            Ok::<_, MessageError>((pushed.reply(service, &next, answered, may_tell), effects))
+        let (now, may_send) = (host.now(), host.service.published.borrow().last());
+        let result = host.with_state(|service| {
+            let (answered, effects) = service.on_gathered(&report, now)?;
+            Ok::<_, MessageError>((push_state.reply(service, &report, answered, may_send), effects))
         });
-        let (told, effects) = match heard {
-            None => return write_message(stream, &elsewhere(host)).await,
-            Some(Err(why)) => return Err(format!("{}: a line refused: {why:?}", next.gatherer.member)),
-            Some(Ok(heard)) => heard,
+        let (messages, effects) = match result {
+            None => return write_message(stream, &redirect(host)).await,
+            Some(Err(error)) => return Err(format!("{}: report refused: {error:?}", report.gatherer.member)),
+            Some(Ok(accepted)) => accepted,
         };
-        // Whom it takes in, and what comes first, may be told once the group has agreed on all of it; the rest was.
-        let waits = std::mem::take(&mut is_first) || !effects.is_empty();
+        // The first answer, and one that admits members, may contain uncommitted items. Later answers contain only items up
+        // to `may_send`.
+        let needs_commit = std::mem::take(&mut is_first) || !effects.is_empty();
         if !effects.is_empty() {
             host.execute(effects);
         }
-        if waits && !host.wait_settled().await {
-            return write_message(stream, &elsewhere(host)).await;
+        if needs_commit && !host.wait_settled().await {
+            return write_message(stream, &redirect(host)).await;
         }
-        for told in told {
-            write_message(stream, &told).await?;
+        for message in messages {
+            write_message(stream, &message).await?;
         }
         let line = loop {
-            let heard = async { Some(lines.next_line().await) };
-            let new = async {
-                while !pushed.can_push(host.service.told.borrow().last()) && host.is_serving() {
+            let received = async { Some(lines.next_line().await) };
+            let updated = async {
+                while !push_state.can_push(host.service.published.borrow().last()) && host.is_serving() {
                     host.wait_for_update(LEASE_CHECK_INTERVAL).await;
                 }
                 None
             };
-            let late = async {
+            let timed_out = async {
                 Timer::after(PEER_TIMEOUT).await;
-                Some(Err("it says nothing".to_string()))
+                Some(Err("no report in time".to_string()))
             };
-            if let Some(line) = or(or(heard, new), late).await {
+            if let Some(line) = or(or(received, updated), timed_out).await {
                 break line?;
             }
-            let may_tell = host.service.told.borrow().last();
-            match host.with_state(|service| pushed.next_push(service, may_tell)) {
-                None => return write_message(stream, &elsewhere(host)).await,
-                Some(Some(news)) => write_message(stream, &news).await?,
-                Some(None) => return Err("what it lacks is forgotten: it has to begin anew".into()),
+            let may_send = host.service.published.borrow().last();
+            match host.with_state(|service| push_state.next_push(service, may_send)) {
+                None => return write_message(stream, &redirect(host)).await,
+                Some(Some(update)) => write_message(stream, &update).await?,
+                Some(None) => return Err("items that it lacks were evicted: it has to reconnect".into()),
             }
         };
-        let line = serde_json::from_slice(&line).map_err(|why| format!("an unreadable line: {why}"))?;
-        let FromGatherer::Gathered(gathered) = line;
-        if gathered.gatherer.member != next.gatherer.member {
-            return Err(format!("{} calls itself {}", next.gatherer.member, gathered.gatherer.member));
+        let line = serde_json::from_slice(&line).map_err(|error| format!("line can't be parsed: {error}"))?;
+        let FromGatherer::Gathered(next) = line;
+        if next.gatherer.member != report.gatherer.member {
+            return Err(format!("{} changed its name to {}", report.gatherer.member, next.gatherer.member));
         }
-        next = gathered;
+        report = next;
     }
 }
 
-fn elsewhere(host: &Keeper) -> ToMember {
+fn redirect(host: &PurgeHost) -> ToMember {
     ToMember::NotLeader { leader: host.member.leader_service_address() }
 }
 
-async fn client(host: &Keeper, stream: &Stream, call: Request) -> Result<(), String> {
-    let elsewhere = |serves| Response::NotLeader { leader: serves };
-    let answer = match call {
+async fn serve_client(host: &PurgeHost, stream: &Stream, request: Request) -> Result<(), String> {
+    let redirect = |leader| Response::NotLeader { leader };
+    let response = match request {
         Request::Submit { scope, tenant, key } => {
             let now = host.now();
             match host.with_state(|service| service.submit(scope, tenant, &key, now)) {
@@ -335,12 +343,12 @@
                     host.execute(effects);
                     match host.wait_settled().await {
                         true => Response::Accepted { number, promise },
-                        // It may still come about: under the same key it is the same purge, whoever is asked.
-                        false => elsewhere(host.member.leader_service_address()),
+                        // The purge may still be committed. A retry with the same key refers to the same purge on any leader.
+                        false => redirect(host.member.leader_service_address()),
                     }
                 }
-                Some(Err(why)) => Response::Refused(why.to_string()),
-                None => elsewhere(host.member.leader_service_address()),
+                Some(Err(error)) => Response::Refused(error.to_string()),
+                None => redirect(host.member.leader_service_address()),
             }
         }
         Request::Wait { number } => loop {
@@ -348,41 +356,40 @@
                 break Response::Report(report);
             }
             match host.with_state(|service| (service.last(), service.is_reported(number))) {
-                None => break elsewhere(host.member.leader_service_address()),
+                None => break redirect(host.member.leader_service_address()),
                 Some((last, _)) if number == 0 || number > last => {
                     break Response::Refused(format!("there is no purge {number}"));
                 }
-                // A member that led before gave the report; or this one will, once the group has agreed on it.
+                // An earlier leader made the report. If this leader makes it, it is available once committed.
                 Some((_, true)) if host.is_settled() => break Response::Reached { number },
                 Some(_) => host.wait_for_update(LEASE_CHECK_INTERVAL).await,
             }
         },
         Request::Status => {
             let now = host.now();
-            host.with_state_or(|service| Response::Status(status(service, now)), elsewhere)
-        }
-        Request::List { after } => {
-            host.with_state_or(|service| Response::List(service.purges_after(after, PAGE)), elsewhere)
+            host.with_state_or(|service| Response::Status(status(service, now)), redirect)
         }
+        Request::List { after } => host
+            .with_state_or(|service| Response::List(service.purges_after(after, LIST_PAGE_SIZE)), redirect),
     };
-    write_message(stream, &answer).await
+    write_message(stream, &response).await
 }
 
 fn status(service: &Service, now: Moment) -> Status {
     let members = service.members();
-    let each = members.names().map(|name| MemberStatus {
+    let statuses = members.names().map(|name| MemberStatus {
         name: name.into(),
-        applied: members.progress(name).map_or(0, |(_, has)| has),
+        applied: members.progress(name).map_or(0, |(_, applied)| applied),
         fenced: members.is_fenced(name),
         gatherer: members.gatherer_of(name).map(str::to_string),
     });
-    let each = each.collect();
+    let statuses = statuses.collect();
     Status {
         term: service.term(),
         last: service.last(),
         open: service.pending_purges(),
         promise: service.promise(now),
-        members: each,
+        members: statuses,
         refused_lines: members.refused_lines(),
     }
 }
--- a/crates/purger/src/member_connection.rs
+++ b/crates/purger/src/member_connection.rs
@@ -1,5 +1,5 @@
-//! The line of a member: each of its words is answered with what it lacks, and what is new is told at once. The service
-//! and each gatherer serve their members by it.
+//! The connection of a member. Each of its acknowledgements is answered with the items that it lacks, and new items are
+//! pushed at once. Both the purge service and the gatherers serve their members with this module.
 use async_io::Timer;
 use futures_lite::future::or;
 use harestage_group_host::host::{LEASE_CHECK_INTERVAL, PEER_TIMEOUT, write_message};
@@ -8,101 +8,104 @@
 use harestage_sockets::lines::{LineReader, with_timeout};
 use std::time::Duration;
 
-/// Whoever tells members: what it says, and when it may.
+/// The source of the items that are sent to a member.
 pub trait UpdateSource {
-    /// What a member's word is answered with. None: another one has to be asked.
-    fn on_ack(&self, said: &Ack) -> impl Future<Output = Option<ToMember>>;
+    /// Returns the answer to an acknowledgement. None if the member has to be redirected.
+    fn on_ack(&self, ack: &Ack) -> impl Future<Output = Option<ToMember>>;
 
-    /// Where to ask else.
+    /// Returns the message that redirects a member to another source.
     fn redirect(&self) -> ToMember;
 
-    /// The last number that may be told, for as long as this one may tell anything.
+    /// Returns the number of the last item that may be sent. None if this source may not send anything now.
     fn last_published(&self) -> Option<u64>;
 
-    /// What follows a number, a piece at most, of what may be told.
+    /// Returns the items after a number that may be sent, at most one batch.
     fn updates_after(&self, number: u64) -> Option<ToMember>;
 
-    fn wait_for_update(&self, at_most: Duration) -> impl Future<Output = ()>;
+    /// Waits for new items, at most for `timeout`.
+    fn wait_for_update(&self, timeout: Duration) -> impl Future<Output = ()>;
 }
 
-/// What a word is answered with, without what this connection has told that process already. Words are behind what was told by
-/// the way there and back: answered by what they say alone, each brought the same items again, the more the longer it took,
-/// and in a storm members had more lines to read than items were told.
-fn untold(answer: ToMember, told: u64) -> ToMember {
+/// Removes items that this connection has already sent to the same process. An acknowledgement is older than the last items
+/// sent by a round trip. When answers went by the acknowledgement alone, each one repeated these items, more of them the
+/// longer the round trip, and in a storm of purges members read more lines than there were items.
+fn without_sent_items(answer: ToMember, last_sent: u64) -> ToMember {
     match answer {
         ToMember::Items { term, mut items } => {
-            items.retain(|item| item.number > told);
+            items.retain(|item| item.number > last_sent);
             ToMember::Items { term, items }
         }
         other => other,
     }
 }
 
-/// Up to which number a member has been told, and whether the piece was full: then it has to say first that it has it.
-fn upto(told: &ToMember, had: u64) -> (u64, bool) {
-    match told {
+/// Returns the number up to which a message brings a member, and whether the batch was full. After a full batch the member
+/// has to acknowledge before it gets more.
+fn last_number(message: &ToMember, previous: u64) -> (u64, bool) {
+    match message {
         ToMember::Items { items, .. } => {
-            (items.last().map_or(had, |item| item.number), items.len() >= MAX_BATCH_ITEMS)
+            (items.last().map_or(previous, |item| item.number), items.len() >= MAX_BATCH_ITEMS)
         }
         ToMember::Snapshot { after, items, .. } => {
             (items.last().map_or(*after, |item| item.number), items.len() >= MAX_BATCH_ITEMS)
         }
-        _ => (had, true),
+        _ => (previous, true),
     }
 }
 
-/// Serves a member from its first word on, to the end of its connection.
+/// Serves a member from its first acknowledgement to the end of its connection.
 pub async fn serve_member(
-    teller: &impl UpdateSource,
+    source: &impl UpdateSource,
     lines: &mut LineReader<'_>,
     first: Ack,
 ) -> Result<(), String> {
     if !first.has_valid_name() {
-        return Err("a member of no usable name".into());
+        return Err("member name is not valid".into());
     }
     let (name, stream) = (first.member.clone(), lines.stream());
-    // Up to where this connection has told which start of it.
-    let (mut next, mut told) = (first, (0, 0));
+    // The incarnation of the member and the last number that this connection has sent to it.
+    let (mut ack, mut sent) = (first, (0, 0));
     loop {
-        if next.member != name {
-            return Err(format!("{name} calls itself {}", next.member));
+        if ack.member != name {
+            return Err(format!("{name} changed its name to {}", ack.member));
         }
-        let Some(answer) = teller.on_ack(&next).await else {
-            return write_message(stream, &teller.redirect()).await;
+        let Some(answer) = source.on_ack(&ack).await else {
+            return write_message(stream, &source.redirect()).await;
         };
-        if told.0 != next.incarnation {
-            told = (next.incarnation, 0);
+        if sent.0 != ack.incarnation {
+            sent = (ack.incarnation, 0);
         }
-        let answer = untold(answer, told.1);
-        let (has, is_full) = upto(&answer, next.applied.max(told.1));
-        told.1 = has;
-        // Whoever was not told all yet waits for its own turn, and is told nothing else.
-        let waits =
-            is_full || !next.bootstrapped && matches!(answer, ToMember::Items { .. }) && next.applied == 0;
+        let answer = without_sent_items(answer, sent.1);
+        let (last, is_full) = last_number(&answer, ack.applied.max(sent.1));
+        sent.1 = last;
+        // Nothing is pushed to a member that still lacks items, or that has to wait until it can be bootstrapped.
+        let needs_ack =
+            is_full || !ack.bootstrapped && matches!(answer, ToMember::Items { .. }) && ack.applied == 0;
         write_message(stream, &answer).await?;
-        // What is new is told without being asked; the next line comes in its time.
-        let heard = async { Some(lines.next_line().await) };
-        let new = async {
-            while waits || teller.last_published().is_some_and(|told| told <= has) {
-                teller.wait_for_update(LEASE_CHECK_INTERVAL).await;
+        // Waits for the next acknowledgement, or for new items to push before it arrives.
+        let received = async { Some(lines.next_line().await) };
+        let updated = async {
+            while needs_ack || source.last_published().is_some_and(|published| published <= last) {
+                source.wait_for_update(LEASE_CHECK_INTERVAL).await;
             }
             None
         };
-        let late = async {
+        let timed_out = async {
             Timer::after(PEER_TIMEOUT).await;
-            Some(Err("it says nothing".to_string()))
+            Some(Err("no message in time".to_string()))
         };
-        let line = match or(or(heard, new), late).await {
+        let line = match or(or(received, updated), timed_out).await {
             Some(line) => line?,
             None => {
-                let Some(news) = teller.last_published().and_then(|_| teller.updates_after(has)) else {
-                    return write_message(stream, &teller.redirect()).await;
+                let Some(update) = source.last_published().and_then(|_| source.updates_after(last)) else {
+                    return write_message(stream, &source.redirect()).await;
                 };
-                write_message(stream, &news).await?;
-                told.1 = upto(&news, has).0;
-                with_timeout(PEER_TIMEOUT, "it says nothing", lines.next_line()).await?
+                write_message(stream, &update).await?;
+                sent.1 = last_number(&update, last).0;
+                with_timeout(PEER_TIMEOUT, "no message in time", lines.next_line()).await?
             }
         };
-        next = serde_json::from_slice(&line).map_err(|why| format!("{name}: an unreadable line: {why}"))?;
+        ack = serde_json::from_slice(&line)
+            .map_err(|error| format!("{name}: line can't be parsed: {error}"))?;
     }
 }
--- a/crates/purger/tests/member_connection.rs
+++ b/crates/purger/tests/member_connection.rs
@@ -1,4 +1,4 @@
-//! The line of a member, against a teller by a script: what it is told, word by word.
+//! The messages that a member's connection sends, with a scripted source of items.
 use async_io::Async;
 use harestage_purge::messages::{Ack, Past, ToMember, to_line};
 use harestage_purge::scope::Scope;
@@ -11,20 +11,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Has told so many items, and answers each word by what it says.
-struct Script(Rc<Cell<u64>>);
+/// A source that has published a given number of items, and answers each acknowledgement with the items after it.
+struct ScriptedSource(Rc<Cell<u64>>);
 
 fn items(after: u64, upto: u64) -> ToMember {
     let item = |number: u64| {
-        let what = Payload::Purge { scope: Scope::Group(number as u32), tenant: 0, key: "k".into() };
-        Item { number, term: 1, at_ms: number, payload: what }
+        let payload = Payload::Purge { scope: Scope::Group(number as u32), tenant: 0, key: "k".into() };
+        Item { number, term: 1, at_ms: number, payload }
     };
     ToMember::Items { term: 1, items: (after + 1..=upto).map(item).collect() }
 }
 
-impl UpdateSource for Script {
-    async fn on_ack(&self, said: &Ack) -> Option<ToMember> {
-        Some(items(said.applied, self.0.get()))
+impl UpdateSource for ScriptedSource {
+    async fn on_ack(&self, ack: &Ack) -> Option<ToMember> {
+        Some(items(ack.applied, self.0.get()))
     }
 
     fn redirect(&self) -> ToMember {
@@ -44,51 +44,46 @@
     }
 }
 
-/// A word is behind what was told by the way there and back. What is on its way to the member is not told again for it.
+/// An acknowledgement is older than the last items sent by a round trip. Items that are under way are not sent again.
 #[test]
-fn a_late_word_brings_nothing_again() {
+fn items_under_way_are_not_sent_again_after_a_late_acknowledgement() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let near = Async::new(TcpStream::connect(listener.local_addr().unwrap()).unwrap()).unwrap();
-    let far = Async::new(listener.accept().unwrap().0).unwrap();
+    let client = Async::new(TcpStream::connect(listener.local_addr().unwrap()).unwrap()).unwrap();
+    let server = Async::new(listener.accept().unwrap().0).unwrap();
     let last = Rc::new(Cell::new(3));
-    let (spawner, script) = (Spawner::default(), Script(last.clone()));
+    let (spawner, source) = (Spawner::default(), ScriptedSource(last.clone()));
     spawner.spawn(async move {
-        let mut lines = LineReader::new(&far, 64 << 10);
+        let mut lines = LineReader::new(&server, 64 << 10);
         let first = lines.next_line().await.unwrap();
-        let _ = serve_member(&script, &mut lines, serde_json::from_slice(&first).unwrap()).await;
+        let _ = serve_member(&source, &mut lines, serde_json::from_slice(&first).unwrap()).await;
     });
     spawner.block_on(async {
-        let mut lines = LineReader::new(&near, 64 << 10);
-        let say = async |start: u64, has: u64| {
-            let said = Ack {
-                member: "a".into(),
-                incarnation: start,
-                applied: has,
-                bootstrapped: true,
-                past: Past::default(),
-            };
-            write_text(&near, &to_line(&said), Duration::from_secs(5)).await.unwrap();
+        let mut lines = LineReader::new(&client, 64 << 10);
+        let acknowledge = async |incarnation: u64, applied: u64| {
+            let ack =
+                Ack { member: "a".into(), incarnation, applied, bootstrapped: true, past: Past::default() };
+            write_text(&client, &to_line(&ack), Duration::from_secs(5)).await.unwrap();
         };
-        let mut told = async || {
-            let text = lines.next_line().await.unwrap();
-            match serde_json::from_slice(&text).unwrap() {
+        let mut received = async || {
+            let line = lines.next_line().await.unwrap();
+            match serde_json::from_slice(&line).unwrap() {
                 ToMember::Items { items, .. } => items.iter().map(|item| item.number).collect::<Vec<_>>(),
                 other => panic!("{other:?}"),
             }
         };
-        say(1, 0).await;
-        assert_eq!(told().await, [1, 2, 3]);
+        acknowledge(1, 0).await;
+        assert_eq!(received().await, [1, 2, 3]);
         last.set(4);
-        assert_eq!(told().await, [4], "what is new comes without being asked for");
-        // It had not read that yet when it said what it had before.
-        say(1, 3).await;
-        assert_eq!(told().await, Vec::<u64>::new(), "4 is on its way");
+        assert_eq!(received().await, [4], "new items are pushed");
+        // The member had not read item 4 yet when it sent this.
+        acknowledge(1, 3).await;
+        assert_eq!(received().await, Vec::<u64>::new(), "item 4 is under way");
         last.set(6);
-        assert_eq!(told().await, [5, 6]);
-        say(1, 4).await;
-        assert_eq!(told().await, Vec::<u64>::new());
-        // Another start of it was told nothing yet.
-        say(2, 4).await;
-        assert_eq!(told().await, [5, 6]);
+        assert_eq!(received().await, [5, 6]);
+        acknowledge(1, 4).await;
+        assert_eq!(received().await, Vec::<u64>::new());
+        // Nothing was sent to another incarnation yet.
+        acknowledge(2, 4).await;
+        assert_eq!(received().await, [5, 6]);
     });
 }
