--- a/crates/keeper/src/parquet_file.rs
+++ b/crates/keeper/src/parquet_file.rs
@@ -1,8 +1,8 @@
-//! Records of processes as columnar files (Parquet), one row a link, so that usual tools read them: what is asked for most
-//! has columns of its own, and the link's words stand beside them whole, since its hash is over those.
+//! Records of processes as Parquet files with one row per link, so that common tools can read them. Frequently queried
+//! values have their own columns. The body of the link is stored in full beside them, since its hash covers it.
 //!
-//! A file that can't be read is named, and the others still are; so is a row whose words are not those of its hash, or that
-//! is of a later form.
+//! A file that can't be read is reported and the others are still read. The same holds for a row whose body does not match
+//! its hash, or that has a newer format.
 use bytes::Bytes;
 use harestage_audit::chain::{Body, FORMAT_VERSION, Link};
 use parquet::basic::{Compression, ZstdLevel};
@@ -34,11 +34,11 @@
     required binary hash (UTF8);
 }";
 
-/// What is wrong with a file or one of its rows.
+/// An error in a file or in one of its rows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadError {
     pub file: String,
-    /// From 1 on; none: the file as a whole.
+    /// Row number from 1 on. None if the error concerns the whole file.
     pub row: Option<usize>,
     pub reason: String,
 }
@@ -52,7 +52,7 @@
     }
 }
 
-/// A link's own columns.
+/// The column values that are derived from the body of a link.
 struct Row {
     kind: &'static str,
     stamp: String,
@@ -64,7 +64,7 @@
 }
 
 fn row(link: &Link) -> Row {
-    let of = |kind, stamp: harestage_audit::stamp::Stamp| Row {
+    let base = |kind, stamp: harestage_audit::stamp::Stamp| Row {
         kind,
         stamp: stamp.to_string(),
         shape: stamp.shape as i64,
@@ -74,37 +74,37 @@
         downloads: 0,
     };
     match &link.body {
-        Body::Began { versions: goes, .. } => of("began", goes.stamp()),
-        Body::Switched { versions: goes } => of("switched", goes.stamp()),
-        Body::Interval(span) => Row {
-            from: span.from as i64,
-            to: span.to as i64,
-            downloads: span.download_count() as i64,
-            ..of("span", span.stamp)
+        Body::Began { versions, .. } => base("began", versions.stamp()),
+        Body::Switched { versions } => base("switched", versions.stamp()),
+        Body::Interval(interval) => Row {
+            from: interval.from as i64,
+            to: interval.to as i64,
+            downloads: interval.download_count() as i64,
+            ..base("span", interval.stamp)
         },
-        Body::Ended => of("ended", Default::default()),
+        Body::Ended => base("ended", Default::default()),
     }
 }
 
-/// A file's bytes.
+/// Encodes links as the bytes of a file.
 pub fn write(links: &[Link]) -> Result<Vec<u8>, String> {
-    let told = |why: parquet::errors::ParquetError| why.to_string();
-    let schema = Arc::new(parse_message_type(SCHEMA).map_err(told)?);
-    let level = ZstdLevel::try_new(6).map_err(told)?;
+    let to_text = |error: parquet::errors::ParquetError| error.to_string();
+    let schema = Arc::new(parse_message_type(SCHEMA).map_err(to_text)?);
+    let level = ZstdLevel::try_new(6).map_err(to_text)?;
     let properties = WriterProperties::builder().set_compression(Compression::ZSTD(level)).build();
-    let mut file = SerializedFileWriter::new(Vec::new(), schema, Arc::new(properties)).map_err(told)?;
+    let mut file = SerializedFileWriter::new(Vec::new(), schema, Arc::new(properties)).map_err(to_text)?;
     let rows: Vec<Row> = links.iter().map(row).collect();
     let text = |text: &str| ByteArray::from(text.as_bytes().to_vec());
     let body = |link: &Link| ByteArray::from(serde_json::to_vec(&link.body).unwrap_or_default());
-    let mut group = file.next_row_group().map_err(told)?;
+    let mut group = file.next_row_group().map_err(to_text)?;
     for column in 0.. {
-        let Some(mut writer) = group.next_column().map_err(told)? else { break };
+        let Some(mut writer) = group.next_column().map_err(to_text)? else { break };
         let written = match writer.untyped() {
-            ColumnWriter::Int32ColumnWriter(to) => {
+            ColumnWriter::Int32ColumnWriter(column_writer) => {
                 let values: Vec<i32> = links.iter().map(|link| link.format as i32).collect();
-                to.write_batch(&values, None, None)
+                column_writer.write_batch(&values, None, None)
             }
-            ColumnWriter::Int64ColumnWriter(to) => {
+            ColumnWriter::Int64ColumnWriter(column_writer) => {
                 let value = |(link, row): (&Link, &Row)| match column {
                     2 => link.start as i64,
                     3 => link.number as i64,
@@ -115,9 +115,13 @@
                     10 => row.to,
                     _ => row.downloads,
                 };
-                to.write_batch(&links.iter().zip(&rows).map(value).collect::<Vec<i64>>(), None, None)
+                column_writer.write_batch(
+                    &links.iter().zip(&rows).map(value).collect::<Vec<i64>>(),
+                    None,
+                    None,
+                )
             }
-            ColumnWriter::ByteArrayColumnWriter(to) => {
+            ColumnWriter::ByteArrayColumnWriter(column_writer) => {
                 let value = |(link, row): (&Link, &Row)| match column {
                     1 => text(&link.member),
                     5 => text(row.kind),
@@ -126,58 +130,62 @@
                     13 => text(&link.previous_hash),
                     _ => text(&link.hash),
                 };
-                to.write_batch(&links.iter().zip(&rows).map(value).collect::<Vec<ByteArray>>(), None, None)
+                column_writer.write_batch(
+                    &links.iter().zip(&rows).map(value).collect::<Vec<ByteArray>>(),
+                    None,
+                    None,
+                )
             }
             _ => Ok(0),
         };
-        written.map_err(told)?;
-        writer.close().map_err(told)?;
+        written.map_err(to_text)?;
+        writer.close().map_err(to_text)?;
     }
-    group.close().map_err(told)?;
-    file.into_inner().map_err(told)
+    group.close().map_err(to_text)?;
+    file.into_inner().map_err(to_text)
 }
 
-/// The links of a file, and what is wrong with it: a bad row is named, and the others are still read.
+/// Reads the links of a file. A row with an error is reported, and the others are still read.
 pub fn read(name: &str, bytes: Vec<u8>) -> (Vec<Link>, Vec<ReadError>) {
-    let of_file = |why: String| vec![ReadError { file: name.into(), row: None, reason: why }];
+    let file_error = |reason: String| vec![ReadError { file: name.into(), row: None, reason }];
     let reader = match SerializedFileReader::new(Bytes::from(bytes)) {
         Ok(reader) => reader,
-        Err(why) => return (Vec::new(), of_file(format!("can't be read: {why}"))),
+        Err(error) => return (Vec::new(), file_error(format!("can't be read: {error}"))),
     };
     let rows = match reader.get_row_iter(None) {
         Ok(rows) => rows,
-        Err(why) => return (Vec::new(), of_file(format!("can't be read: {why}"))),
+        Err(error) => return (Vec::new(), file_error(format!("can't be read: {error}"))),
     };
-    let (mut links, mut wrong) = (Vec::new(), Vec::new());
+    let (mut links, mut errors) = (Vec::new(), Vec::new());
     for (n, row) in rows.enumerate() {
-        let at = |why: String| ReadError { file: name.into(), row: Some(n + 1), reason: why };
+        let row_error = |reason: String| ReadError { file: name.into(), row: Some(n + 1), reason };
         match row {
-            Ok(row) => match link_of(&row) {
+            Ok(row) => match decode_link(&row) {
                 Ok(link) => links.push(link),
-                Err(why) => wrong.push(at(why)),
+                Err(reason) => errors.push(row_error(reason)),
             },
-            // What follows in this file can't be told from it any more.
-            Err(why) => {
-                wrong.push(at(format!("can't be read: {why}")));
+            // The positions of later rows in this file are unknown.
+            Err(error) => {
+                errors.push(row_error(format!("can't be read: {error}")));
                 break;
             }
         }
     }
-    (links, wrong)
+    (links, errors)
 }
 
-fn link_of(row: &parquet::record::Row) -> Result<Link, String> {
-    let told = |why: parquet::errors::ParquetError| why.to_string();
-    let text = |at: usize| row.get_string(at).cloned().map_err(told);
-    let number = |at: usize| row.get_long(at).map(|n| n as u64).map_err(told);
-    let form = row.get_int(0).map_err(told)? as u32;
-    if form != FORMAT_VERSION {
-        return Err(format!("of form {form}, and {FORMAT_VERSION} is known here"));
+fn decode_link(row: &parquet::record::Row) -> Result<Link, String> {
+    let to_text = |error: parquet::errors::ParquetError| error.to_string();
+    let text = |column: usize| row.get_string(column).cloned().map_err(to_text);
+    let number = |column: usize| row.get_long(column).map(|n| n as u64).map_err(to_text);
+    let format = row.get_int(0).map_err(to_text)? as u32;
+    if format != FORMAT_VERSION {
+        return Err(format!("of form {format}, and {FORMAT_VERSION} is known here"));
     }
     let body: Body =
-        serde_json::from_str(&text(12)?).map_err(|why| format!("its words can't be read: {why}"))?;
+        serde_json::from_str(&text(12)?).map_err(|error| format!("its body can't be read: {error}"))?;
     let link = Link {
-        format: form,
+        format,
         member: text(1)?,
         start: number(2)?,
         number: number(3)?,
@@ -186,10 +194,11 @@
         hash: text(14)?,
         body,
     };
-    let own = self::row(&link);
+    let expected = self::row(&link);
     let columns = (text(5)?, text(6)?, number(9)? as i64, number(10)? as i64, number(11)? as i64);
-    if columns != (own.kind.to_string(), own.stamp, own.from, own.to, own.downloads) {
-        return Err("its columns are not those of its words".into());
+    if columns != (expected.kind.to_string(), expected.stamp, expected.from, expected.to, expected.downloads)
+    {
+        return Err("its columns do not match its body".into());
     }
     if !link.is_intact() {
         return Err("its words are not those of its hash".into());
--- a/crates/keeper/src/server.rs
+++ b/crates/keeper/src/server.rs
@@ -1,6 +1,6 @@
-//! The keeper on sockets: one thread; one task turns the state machine, one makes links safe with a sync for all that came
-//! meanwhile, and one serves each connection. It is a member of a group, alone or with others; whoever leads takes reports.
-//! It follows the control service and the service of purges, to know what is due.
+//! The audit keeper on sockets. It uses one thread. One task runs the state machine, one syncs appended links in batches,
+//! and one serves each connection. The keeper is a member of a group, alone or with others, and the leader accepts reports.
+//! It follows the control service and the purge service, to know which versions and purges the processes have to apply.
 use crate::store::Store;
 use async_channel::Receiver;
 use async_io::Timer;
@@ -20,7 +20,7 @@
 use harestage_purge::messages::Past;
 use harestage_shape::config::ShapeConfig;
 use harestage_shape::control::HubReport as ShapeReport;
-use harestage_shape::messages as shape_lines;
+use harestage_shape::messages as shape_messages;
 use harestage_sockets::Spawner;
 use harestage_sockets::accept::ConnectionLimit;
 use harestage_sockets::clock::Clock;
@@ -32,23 +32,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const BEAT: Duration = Duration::from_millis(100);
-/// Links that came within as long are made safe with one sync.
-const SYNC_EVERY: Duration = Duration::from_millis(5);
-/// A report with as many links as one takes.
-const LONGEST_LINE: usize = 4 << 20;
-const MOST_CONNECTIONS: usize = 8_192;
-/// A version that is to be taken back is asked for so often.
-const TRIES: usize = 12;
+const TICK: Duration = Duration::from_millis(100);
+/// Links that are appended within this time share one sync.
+const SYNC_DELAY: Duration = Duration::from_millis(5);
+/// Fits a report with the maximum number of links.
+const MAX_LINE_BYTES: usize = 4 << 20;
+const MAX_CONNECTIONS: usize = 8_192;
+/// Number of attempts per control service to have a withdrawn version replaced.
+const REVERT_ATTEMPTS: usize = 12;
 
-/// What the keeper follows.
+/// Addresses of the services that the keeper follows.
 #[derive(Clone, Debug, Default)]
 pub struct Upstreams {
     pub control_services: Vec<SocketAddr>,
     pub purge_services: Vec<SocketAddr>,
 }
 
-fn terms() -> Line {
+/// Settings of the connections to the services that the keeper follows.
+fn connection_settings() -> Line {
     Line {
         connect: Duration::from_millis(400),
         silence: Duration::from_secs(3),
@@ -58,286 +59,311 @@
     }
 }
 
-/// What this member keeps beside the group: links on its own disk, and what it has heard.
-struct Links {
+/// State of this member outside of the group: links on its disk, and the versions and purges it has received.
+struct LinkStore {
     store: RefCell<Store>,
-    /// What was appended, and what of it is safe.
+    /// Number of appended links.
     appended: Cell<u64>,
-    safe: Cell<u64>,
-    broken: Cell<bool>,
-    /// Something was appended, or is safe, or the disk takes nothing more.
-    written: Event,
-    /// All links that the disk held at the start, until the first time that this member leads.
-    held: RefCell<Vec<Link>>,
-    /// The last version that was heard, for whoever takes the keeper up.
+    /// Number of appended links that are synced.
+    synced: Cell<u64>,
+    /// Whether the disk can't be written any more.
+    failed: Cell<bool>,
+    /// Notified when links are appended or synced, and when the disk fails.
+    changed: Event,
+    /// Links that were on the disk at the start, until this member first becomes the leader.
+    stored: RefCell<Vec<Link>>,
+    /// The last version received, for when this member becomes the leader.
     version: RefCell<Option<Box<ShapeConfig>>>,
-    purges: Cell<u64>,
-    follows: Upstreams,
+    /// Number of the last purge received.
+    last_purge: Cell<u64>,
+    upstreams: Upstreams,
 }
 
-type Service = Host<Links>;
+type KeeperHost = Host<LinkStore>;
 
-/// A keeper that listens already.
-pub struct KeeperServer(HostListener<Links>);
+/// A keeper whose listening socket is bound.
+pub struct KeeperServer(HostListener<LinkStore>);
 
-fn records(data: &[Vec<u8>]) -> Result<Vec<Record>, String> {
+fn decode_records(data: &[Vec<u8>]) -> Result<Vec<Record>, String> {
     let read = |(n, bytes): (usize, &Vec<u8>)| {
-        serde_json::from_slice(bytes).map_err(|why| format!("record {n} can't be read: {why}"))
+        serde_json::from_slice(bytes).map_err(|error| format!("record {n} can't be read: {error}"))
     };
     data.iter().enumerate().map(read).collect()
 }
 
-fn bytes(record: &Record) -> Vec<u8> {
+fn encode_record(record: &Record) -> Vec<u8> {
     serde_json::to_vec(record).unwrap_or_default()
 }
 
-/// There was never a keeper that was no group.
-fn no_old(_: Option<&[u8]>, _: &[Vec<u8>]) -> Result<Vec<Vec<u8>>, String> {
-    Err("the folder holds something else".into())
+/// The keeper has no unreplicated format.
+fn reject_legacy(_: Option<&[u8]>, _: &[Vec<u8>]) -> Result<Vec<Vec<u8>>, String> {
+    Err("the folder has an unknown format".into())
 }
 
 impl KeeperServer {
-    /// One member of the keeper. An error is one line.
+    /// Opens one member of the keeper. An error is one line of text.
     pub fn open(
         listen: SocketAddr,
         folder: &Path,
-        start: &GroupMemberConfig,
-        follows: Upstreams,
+        config: &GroupMemberConfig,
+        upstreams: Upstreams,
         log: Logger,
     ) -> Result<KeeperServer, String> {
         let clock = Clock::start();
-        let council = GroupMember::open(start, folder, Vec::new(), no_old, clock, log.clone())
-            .map_err(|why| why.to_string())?;
-        records(&council.data()).map_err(|why| format!("{}: {why}", folder.display()))?;
-        let (store, held) = Store::open(folder).map_err(|why| format!("{}: {why}", folder.display()))?;
-        for wrong in &store.read_errors {
-            warn!(log, "a record can't be read"; "file" => &wrong.file, "row" => wrong.row, "why" => &wrong.reason);
+        let member = GroupMember::open(config, folder, Vec::new(), reject_legacy, clock, log.clone())
+            .map_err(|error| error.to_string())?;
+        decode_records(&member.data()).map_err(|error| format!("{}: {error}", folder.display()))?;
+        let (store, stored) =
+            Store::open(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
+        for error in &store.read_errors {
+            warn!(log, "a record can't be read"; "file" => &error.file, "row" => error.row, "why" => &error.reason);
         }
-        let links = Links {
+        let link_store = LinkStore {
             store: RefCell::new(store),
             appended: Cell::new(0),
-            safe: Cell::new(0),
-            broken: Cell::new(false),
-            written: Event::new(),
-            held: RefCell::new(held),
+            synced: Cell::new(0),
+            failed: Cell::new(false),
+            changed: Event::new(),
+            stored: RefCell::new(stored),
             version: RefCell::new(None),
-            purges: Cell::new(0),
-            follows,
+            last_purge: Cell::new(0),
+            upstreams,
         };
-        HostListener::bind(listen, council, links, ConnectionLimit::new(MOST_CONNECTIONS)).map(KeeperServer)
+        HostListener::bind(listen, member, link_store, ConnectionLimit::new(MAX_CONNECTIONS))
+            .map(KeeperServer)
     }
 
-    /// Serves until `stop` says so; an error if the disk takes nothing more.
+    /// Serves until `stop` receives a message or is closed. Returns an error if the disk can't be written.
     pub fn serve(self, stop: Receiver<()>) -> Result<(), String> {
         let host = self.0.host().clone();
-        let done = self.0.serve(async move {
+        let result = self.0.serve(async move {
             let _ = stop.recv().await;
         });
-        // What is on the log becomes a file, so that usual tools see all of it.
-        let rolled = host.service.store.borrow_mut().roll(true).map_err(|why| why.to_string());
-        done.and_then(|()| match host.service.broken.get() {
-            true => Err(Links::FAILURE_TEXT.into()),
+        // Writes the links of the log to a file, so that common tools see all of them.
+        let rolled = host.service.store.borrow_mut().roll(true).map_err(|error| error.to_string());
+        result.and_then(|()| match host.service.failed.get() {
+            true => Err(LinkStore::FAILURE_TEXT.into()),
             false => rolled.map(drop),
         })
     }
 }
 
-impl HostedService for Links {
+impl HostedService for LinkStore {
     type State = KeeperState;
     type Effect = Effect;
 
     const NAME: &'static str = "keeper";
-    const FAILURE_TEXT: &'static str = "the disk takes nothing more, or is not this member's";
-    const MAX_LINE_BYTES: usize = LONGEST_LINE;
-
-    fn open(host: &Service, data: &[Vec<u8>]) -> Result<(KeeperState, Vec<Effect>), String> {
-        let (records, now) = (records(data)?, host.now());
-        let (mut keep, effects) = KeeperState::open(&records, now);
-        if let Some(form) = host.service.version.borrow().as_ref() {
-            keep.shape_published(form, now);
+    const FAILURE_TEXT: &'static str = "the disk can't be written, or is not this member's";
+    const MAX_LINE_BYTES: usize = MAX_LINE_BYTES;
+
+    fn open(host: &KeeperHost, data: &[Vec<u8>]) -> Result<(KeeperState, Vec<Effect>), String> {
+        let (records, now) = (decode_records(data)?, host.now());
+        let (mut state, effects) = KeeperState::open(&records, now);
+        if let Some(shape) = host.service.version.borrow().as_ref() {
+            state.shape_published(shape, now);
         }
-        keep.purges_published(host.service.purges.get(), now);
-        // What this disk has of earlier times: chains go on where they stood.
-        let held = std::mem::take(&mut *host.service.held.borrow_mut());
-        keep.restore_links(&held, now);
-        info!(host.log(), "takes up the service"; "term" => keep.term(), "links" => held.len());
-        Ok((keep, effects))
+        state.purges_published(host.service.last_purge.get(), now);
+        // Restores the links on this disk, so that chains continue after them.
+        let stored = std::mem::take(&mut *host.service.stored.borrow_mut());
+        state.restore_links(&stored, now);
+        info!(host.log(), "takes up the service"; "term" => state.term(), "links" => stored.len());
+        Ok((state, effects))
     }
 
     fn log_entry(effect: &Effect) -> Option<Vec<u8>> {
         match effect {
-            Effect::Write(record) => Some(bytes(record)),
+            Effect::Write(record) => Some(encode_record(record)),
             Effect::Decided(_) => None,
         }
     }
 
-    fn execute_effect(host: &Service, effect: Effect) {
+    fn execute_effect(host: &KeeperHost, effect: Effect) {
         let Effect::Decided(decision) = effect else { return };
-        let words = serde_json::to_string(&decision).unwrap_or_default();
+        let text = serde_json::to_string(&decision).unwrap_or_default();
         match &decision {
             Decision::Excluded { member, .. } => {
-                warn!(host.log(), "shut out"; "member" => member, "said" => words)
+                warn!(host.log(), "shut out"; "member" => member, "said" => text)
             }
             Decision::ShareRaised { member, share } => {
                 info!(host.log(), "let in by a share"; "member" => member, "share" => share.0);
             }
             Decision::Readmitted { member } => info!(host.log(), "let in again"; "member" => member),
             Decision::Withdrawn { shape, .. } => {
-                warn!(host.log(), "version withdrawn"; "shape" => shape, "said" => words);
+                warn!(host.log(), "version withdrawn"; "shape" => shape, "said" => text);
             }
         }
         let now = host.now();
-        host.with_unleased_state(|keep| keep.apply_decision(&decision, now));
+        host.with_unleased_state(|state| state.apply_decision(&decision, now));
     }
 
-    fn log_ready(host: &Service) {
-        let links = host.service.held.borrow().len();
+    fn log_ready(host: &KeeperHost) {
+        let links = host.service.stored.borrow().len();
         info!(host.log(), "ready"; "name" => host.name(), "links" => links);
     }
 
-    fn start_tasks(host: &Rc<Service>, spawner: &Spawner) {
-        spawner.spawn(sync(host.clone()));
-        let follows = &host.service.follows;
-        let of_control = Follower(host.clone());
+    fn start_tasks(host: &Rc<KeeperHost>, spawner: &Spawner) {
+        spawner.spawn(sync_appended(host.clone()));
+        let upstreams = &host.service.upstreams;
+        let shape_follower = ShapeFollower(host.clone());
         spawner.spawn(control::follow(
-            of_control,
-            follows.control_services.clone(),
-            terms(),
+            shape_follower,
+            upstreams.control_services.clone(),
+            connection_settings(),
             host.log().clone(),
         ));
-        if !follows.purge_services.is_empty() {
-            let (own, services) = (host.clone(), follows.purge_services.clone());
+        if !upstreams.purge_services.is_empty() {
+            let (host, services) = (host.clone(), upstreams.purge_services.clone());
             spawner.spawn(async move {
-                let (name, number, log) = (own.name().to_string(), own.now().micros(), own.log().clone());
-                purges::follow(&name, number, Past::Cold, services, terms(), Purges(own), log).await;
+                let (name, incarnation, log) =
+                    (host.name().to_string(), host.now().micros(), host.log().clone());
+                purges::follow(
+                    &name,
+                    incarnation,
+                    Past::Cold,
+                    services,
+                    connection_settings(),
+                    PurgeFollower(host),
+                    log,
+                )
+                .await;
             });
         }
     }
 
-    async fn run(host: &Rc<Service>, spawner: &Spawner) {
-        turns(host, spawner).await;
+    async fn run(host: &Rc<KeeperHost>, spawner: &Spawner) {
+        run_ticks(host, spawner).await;
     }
 
-    async fn serve(host: &Service, lines: &mut LineReader<'_>, first: Vec<u8>) -> Result<(), String> {
-        serve(host, lines, first).await
+    async fn serve(host: &KeeperHost, lines: &mut LineReader<'_>, first: Vec<u8>) -> Result<(), String> {
+        serve_connection(host, lines, first).await
     }
 }
 
-impl Links {
+impl LinkStore {
+    /// Appends links. They are durable once [`LinkStore::wait_synced`] returns.
     fn append(&self, links: &[Link]) -> Result<(), String> {
         if links.is_empty() {
             return Ok(());
         }
-        let done = self.store.borrow_mut().append(links);
+        let result = self.store.borrow_mut().append(links);
         self.appended.set(self.appended.get() + links.len() as u64);
-        self.written.notify(usize::MAX);
-        done.map_err(|why| why.to_string())
+        self.changed.notify(usize::MAX);
+        result.map_err(|error| error.to_string())
     }
 
-    /// Waits until all that was appended is safe.
-    async fn safe(&self) -> Result<(), String> {
+    /// Waits until all links appended so far are synced.
+    async fn wait_synced(&self) -> Result<(), String> {
         let upto = self.appended.get();
-        while self.safe.get() < upto {
-            if self.broken.get() {
-                return Err("the disk takes nothing more".into());
+        while self.synced.get() < upto {
+            if self.failed.get() {
+                return Err("the disk can't be written".into());
             }
-            wait_for_event(&self.written, LEASE_CHECK_INTERVAL).await;
+            wait_for_event(&self.changed, LEASE_CHECK_INTERVAL).await;
         }
         Ok(())
     }
 }
 
-/// The disk takes nothing more.
-fn breaks(service: &Service, why: &str) -> String {
-    error!(service.log(), "records not written"; "why" => why);
-    service.service.broken.set(true);
-    service.service.written.notify(usize::MAX);
-    why.into()
+/// Marks the disk as failed, which ends the process.
+fn on_disk_failure(host: &KeeperHost, reason: &str) -> String {
+    error!(host.log(), "records not written"; "why" => reason);
+    host.service.failed.set(true);
+    host.service.changed.notify(usize::MAX);
+    reason.into()
 }
 
-async fn sync(service: Rc<Service>) {
-    let links = &service.service;
-    while !links.broken.get() {
-        let upto = links.appended.get();
-        if links.safe.get() == upto {
-            wait_for_event(&links.written, LEASE_CHECK_INTERVAL).await;
-            if links.safe.get() == links.appended.get() {
+/// Syncs appended links in batches.
+async fn sync_appended(host: Rc<KeeperHost>) {
+    let link_store = &host.service;
+    while !link_store.failed.get() {
+        let upto = link_store.appended.get();
+        if link_store.synced.get() == upto {
+            wait_for_event(&link_store.changed, LEASE_CHECK_INTERVAL).await;
+            if link_store.synced.get() == link_store.appended.get() {
                 continue;
             }
         }
-        Timer::after(SYNC_EVERY).await;
-        let upto = links.appended.get();
-        let done = links.store.borrow_mut().sync().map_err(|why| why.to_string());
-        match done {
-            Ok(()) => links.safe.set(upto),
-            Err(why) => drop(breaks(&service, &why)),
+        Timer::after(SYNC_DELAY).await;
+        let upto = link_store.appended.get();
+        let result = link_store.store.borrow_mut().sync().map_err(|error| error.to_string());
+        match result {
+            Ok(()) => link_store.synced.set(upto),
+            Err(reason) => drop(on_disk_failure(&host, &reason)),
         }
-        links.written.notify(usize::MAX);
+        link_store.changed.notify(usize::MAX);
     }
 }
 
-async fn turns(service: &Rc<Service>, spawner: &Spawner) {
+/// Runs the ticks of the state machine until the group member or the disk fails.
+async fn run_ticks(host: &Rc<KeeperHost>, spawner: &Spawner) {
     let mut withdrawn = None;
-    while !service.member.has_failed() && !service.service.broken.get() {
-        Timer::after(BEAT).await;
-        let now = service.now();
-        let effects = service.with_state(|keep| keep.tick(now)).unwrap_or_default();
+    while !host.member.has_failed() && !host.service.failed.get() {
+        Timer::after(TICK).await;
+        let now = host.now();
+        let effects = host.with_state(|state| state.tick(now)).unwrap_or_default();
         for effect in &effects {
             if let Effect::Decided(Decision::Withdrawn { shape, .. }) = effect {
                 withdrawn = Some(*shape);
             }
         }
         if !effects.is_empty() {
-            service.execute(effects);
+            host.execute(effects);
         }
-        // Asked for once the group has agreed on it.
-        if service.is_settled()
+        // The previous version is requested once the group has committed the withdrawal.
+        if host.is_settled()
             && let Some(shape) = withdrawn.take()
-            && let Some(before) = service.with_state(|keep| keep.previous_version(shape)).flatten()
+            && let Some(previous) = host.with_state(|state| state.previous_version(shape)).flatten()
         {
-            spawner.spawn(take_back(service.clone(), shape, before));
+            spawner.spawn(revert_version(host.clone(), shape, previous));
         }
-        let rolled = service.service.store.borrow_mut().roll(false);
+        let rolled = host.service.store.borrow_mut().roll(false);
         match rolled {
-            Ok(Some(file)) => info!(service.log(), "records rolled"; "file" => file),
+            Ok(Some(file)) => info!(host.log(), "records rolled"; "file" => file),
             Ok(None) => {}
-            Err(why) => drop(breaks(service, &why.to_string())),
+            Err(error) => drop(on_disk_failure(host, &error.to_string())),
         }
-        if service.is_settled() {
-            service.member.compact_log(|data| match service.with_unleased_state(|keep| keep.snapshot()) {
-                Some(whole) => whole.iter().map(bytes).collect(),
+        if host.is_settled() {
+            host.member.compact_log(|data| match host.with_unleased_state(|state| state.snapshot()) {
+                Some(snapshot) => snapshot.iter().map(encode_record).collect(),
                 None => data,
             });
         }
     }
 }
 
-/// Asks the control service for the version before the one that is withdrawn.
-async fn take_back(service: Rc<Service>, shape: u64, before: ShapeConfig) {
-    let form = Box::new(ShapeConfig { version: 0, ..before });
-    let call =
-        shape_lines::Request::Apply { form, expect: Some(shape), by: format!("audit, withdrawing {shape}") };
-    let controls = &service.service.follows.control_services;
-    for n in 0..TRIES * controls.len().max(1) {
-        let at = controls[n % controls.len()];
-        let said = async {
-            let stream = subscribe(at, &shape_lines::encode_line(&call), terms().connect).await?;
-            let mut lines = LineReader::new(&stream, terms().bytes);
-            let line = with_timeout(terms().silence, "silent", lines.next_line()).await?;
-            serde_json::from_slice::<shape_lines::Response>(&line).map_err(|why| why.to_string())
+/// Asks the control service to apply the version before a withdrawn one again.
+async fn revert_version(host: Rc<KeeperHost>, shape: u64, previous: ShapeConfig) {
+    let form = Box::new(ShapeConfig { version: 0, ..previous });
+    let request = shape_messages::Request::Apply {
+        form,
+        expect: Some(shape),
+        by: format!("audit, withdrawing {shape}"),
+    };
+    let controls = &host.service.upstreams.control_services;
+    for attempt in 0..REVERT_ATTEMPTS * controls.len().max(1) {
+        let address = controls[attempt % controls.len()];
+        let exchange = async {
+            let stream =
+                subscribe(address, &shape_messages::encode_line(&request), connection_settings().connect)
+                    .await?;
+            let mut lines = LineReader::new(&stream, connection_settings().bytes);
+            let line = with_timeout(connection_settings().silence, "silent", lines.next_line()).await?;
+            serde_json::from_slice::<shape_messages::Response>(&line).map_err(|error| error.to_string())
         };
-        match said.await {
-            Ok(shape_lines::Response::Event(_)) => {
-                info!(service.log(), "goes back"; "from" => shape);
+        match exchange.await {
+            Ok(shape_messages::Response::Event(_)) => {
+                info!(host.log(), "goes back"; "from" => shape);
                 return;
             }
-            // Another change has to end first; it may be the one that brought this version.
-            Ok(shape_lines::Response::Refused(why)) if why.iter().any(|why| why.contains("under way")) => {
+            // Another change has to end first. It may be the one that introduced this version.
+            Ok(shape_messages::Response::Refused(reasons))
+                if reasons.iter().any(|reason| reason.contains("under way")) =>
+            {
                 Timer::after(LEASE_CHECK_INTERVAL * 5).await;
                 continue;
             }
-            Ok(shape_lines::Response::Refused(why)) => {
-                warn!(service.log(), "not gone back"; "from" => shape, "why" => why.join("; "));
+            Ok(shape_messages::Response::Refused(reasons)) => {
+                warn!(host.log(), "not gone back"; "from" => shape, "why" => reasons.join("; "));
                 return;
             }
             _ => Timer::after(LEASE_CHECK_INTERVAL).await,
@@ -345,16 +371,16 @@
     }
 }
 
-/// The keeper as a member of the control service: it is told whole versions, with all branches.
-struct Follower(Rc<Service>);
+/// Follows the control service. The keeper receives complete versions with all branches.
+struct ShapeFollower(Rc<KeeperHost>);
 
-impl Member for Follower {
+impl Member for ShapeFollower {
     fn hello(&self) -> String {
-        shape_lines::subscribe_all_line(self.version(), self.0.name())
+        shape_messages::subscribe_all_line(self.version(), self.0.name())
     }
 
     fn version(&self) -> u64 {
-        self.0.service.version.borrow().as_ref().map_or(0, |form| form.version)
+        self.0.service.version.borrow().as_ref().map_or(0, |shape| shape.version)
     }
 
     fn now(&self) -> Moment {
@@ -365,68 +391,74 @@
         ShapeReport { version: self.version(), ..ShapeReport::default() }
     }
 
-    async fn hear(&self, heard: Heard) {
-        if let Heard::Version { shape, .. } = heard {
+    async fn hear(&self, message: Heard) {
+        if let Heard::Version { shape, .. } = message {
             let now = self.now();
-            self.0.with_unleased_state(|keep| keep.shape_published(&shape, now));
+            self.0.with_unleased_state(|state| state.shape_published(&shape, now));
             *self.0.service.version.borrow_mut() = Some(shape);
         }
     }
 }
 
-struct Purges(Rc<Service>);
+/// Follows the purge service, to know the number of the last purge.
+struct PurgeFollower(Rc<KeeperHost>);
 
-impl purges::Hands for Purges {
-    async fn apply(&mut self, _: Vec<Action>, has: u64, _: bool) {
-        if has > self.0.service.purges.replace(has) {
+impl purges::Hands for PurgeFollower {
+    async fn apply(&mut self, _: Vec<Action>, last: u64, _: bool) {
+        if last > self.0.service.last_purge.replace(last) {
             let now = self.0.now();
-            self.0.with_unleased_state(|keep| keep.purges_published(has, now));
+            self.0.with_unleased_state(|state| state.purges_published(last, now));
         }
     }
 }
 
-async fn serve(service: &Service, lines: &mut LineReader<'_>, first: Vec<u8>) -> Result<(), String> {
-    let (mut next, stream) = (first, lines.stream());
+/// Serves a connection: reports of a process, or a single request of an operator.
+async fn serve_connection(
+    host: &KeeperHost,
+    lines: &mut LineReader<'_>,
+    first: Vec<u8>,
+) -> Result<(), String> {
+    let (mut line, stream) = (first, lines.stream());
     loop {
-        if let Ok(ProcessMessage::Report(report)) = serde_json::from_slice(&next) {
-            let answer = audited(service, &report).await?;
-            let elsewhere = matches!(answer, KeeperMessage::NotLeader { .. });
+        if let Ok(ProcessMessage::Report(report)) = serde_json::from_slice(&line) {
+            let answer = handle_report(host, &report).await?;
+            let is_redirect = matches!(answer, KeeperMessage::NotLeader { .. });
             write_message(stream, &answer).await?;
-            if elsewhere {
+            if is_redirect {
                 return Ok(());
             }
-            next = with_timeout(PEER_TIMEOUT, "silent", lines.next_line()).await?;
+            line = with_timeout(PEER_TIMEOUT, "silent", lines.next_line()).await?;
             continue;
         }
-        // Staff may ask for the group on a line that reports came on.
-        if let Some(answer) = service.answer_group_request(&next) {
+        // A request about the group may also follow reports on the same connection.
+        if let Some(answer) = host.answer_group_request(&line) {
             return write_message(stream, &answer).await;
         }
-        let answer = match serde_json::from_slice::<OperatorRequest>(&next) {
-            Ok(call) => {
-                let now = service.now();
-                service.with_state_or(
-                    |keep| keep.answer_operator(&call, now),
-                    |serves| OperatorResponse::NotLeader { leader_address: serves },
+        let answer = match serde_json::from_slice::<OperatorRequest>(&line) {
+            Ok(request) => {
+                let now = host.now();
+                host.with_state_or(
+                    |state| state.answer_operator(&request, now),
+                    |leader_address| OperatorResponse::NotLeader { leader_address },
                 )
             }
-            Err(why) => OperatorResponse::Refused(format!("the call can't be read: {why}")),
+            Err(error) => OperatorResponse::Refused(format!("request can't be parsed: {error}")),
         };
         return write_message(stream, &answer).await;
     }
 }
 
-/// A report is answered once all that is new in it is safe.
-async fn audited(service: &Service, report: &Report) -> Result<KeeperMessage, String> {
-    let elsewhere = |serves| KeeperMessage::NotLeader { leader_address: serves };
-    let now = service.now();
-    let Some(new) = service.with_state(|keep| keep.on_report(report, now)) else {
-        return Ok(elsewhere(service.member.leader_service_address()));
+/// Handles a report. It is answered once all new links in it are synced.
+async fn handle_report(host: &KeeperHost, report: &Report) -> Result<KeeperMessage, String> {
+    let redirect = |leader_address| KeeperMessage::NotLeader { leader_address };
+    let now = host.now();
+    let Some(new_links) = host.with_state(|state| state.on_report(report, now)) else {
+        return Ok(redirect(host.member.leader_service_address()));
     };
-    if !new.is_empty() {
-        service.service.append(&new).map_err(|why| breaks(service, &why))?;
-        service.service.safe().await?;
+    if !new_links.is_empty() {
+        host.service.append(&new_links).map_err(|reason| on_disk_failure(host, &reason))?;
+        host.service.wait_synced().await?;
     }
-    let now = service.now();
-    Ok(service.with_state_or(|keep| keep.answer_report(report, now), elsewhere))
+    let now = host.now();
+    Ok(host.with_state_or(|state| state.answer_report(report, now), redirect))
 }
--- a/crates/keeper/src/store.rs
+++ b/crates/keeper/src/store.rs
@@ -1,6 +1,6 @@
-//! Links on disk: on the log of `harestage_segments` at first, which one sync makes safe for all that came meanwhile, and
-//! then in columnar files, rolled by size and time. A link is in the log until the file that has it is synced under its
-//! name; after a crash between the two it is in both, and counts once.
+//! Storage of links. A link is first written to the log of `harestage_segments`, where one sync covers all links that were
+//! appended meanwhile. Links are then moved to Parquet files, which are rolled by size and time. A link stays in the log
+//! until its file is synced and renamed. After a crash between the two it is in both, and counts once.
 use crate::parquet_file;
 use harestage_audit::chain::Link;
 use harestage_segments::{Files, Folder, Log, LogError};
@@ -8,40 +8,42 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const SEGMENT: usize = 4 << 20;
-/// A file is made of so many links, or of those of so long.
+const SEGMENT_BYTES: usize = 4 << 20;
+/// A file is written once there are this many links, or after [`ROLL_INTERVAL`].
 const ROLL_LINKS: usize = 20_000;
-const ROLL_AFTER: Duration = Duration::from_secs(300);
-/// Files that are kept; the oldest go.
-const MOST_FILES: usize = 512;
+const ROLL_INTERVAL: Duration = Duration::from_secs(300);
+/// Maximum number of files. The oldest ones are deleted.
+const MAX_FILES: usize = 512;
 
+/// An error of the disk or of a file.
 #[derive(Debug)]
 pub enum StoreError {
-    Folder { path: String, why: std::io::Error },
+    Folder { path: String, reason: std::io::Error },
     Log(LogError),
-    File { file: String, why: String },
+    File { file: String, reason: String },
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Folder { path, why } => write!(f, "{path}: {why}"),
-            Self::Log(why) => write!(f, "{why}"),
-            Self::File { file, why } => write!(f, "{file}: {why}"),
+            Self::Folder { path, reason } => write!(f, "{path}: {reason}"),
+            Self::Log(error) => write!(f, "{error}"),
+            Self::File { file, reason } => write!(f, "{file}: {reason}"),
         }
     }
 }
 
 impl std::error::Error for StoreError {}
 
+/// The store of links of one keeper.
 pub struct Store {
     log: Log<Folder>,
     files: Folder,
-    /// Links that are in no file yet.
+    /// Links that are not in a file yet.
     links: Vec<Link>,
-    rolled: Instant,
-    /// The number that the next file gets.
-    next: u64,
+    last_roll: Instant,
+    next_file_number: u64,
+    /// Errors of files and records that [`Store::open`] could not read.
     pub read_errors: Vec<parquet_file::ReadError>,
 }
 
@@ -54,51 +56,54 @@
 }
 
 impl Store {
-    /// Opens what is in a folder, and gives all links that it holds, oldest first. Files and rows that can't be read are in
-    /// `wrong`; the others still count.
+    /// Opens a folder and returns all links in it, oldest first. Files and rows that can't be read are listed in
+    /// `read_errors`, and the others are still read.
     pub fn open(folder: &Path) -> Result<(Store, Vec<Link>), StoreError> {
-        let within = |name: &str| {
-            Folder::open_within(folder, name)
-                .map_err(|why| StoreError::Folder { path: folder.join(name).display().to_string(), why })
+        let open_subfolder = |name: &str| {
+            Folder::open_within(folder, name).map_err(|reason| StoreError::Folder {
+                path: folder.join(name).display().to_string(),
+                reason,
+            })
         };
-        let files = within("files")?;
-        let (log, found) = Log::open(within("links")?, SEGMENT).map_err(StoreError::Log)?;
-        let mut names =
-            files.list().map_err(|why| StoreError::Folder { path: folder.display().to_string(), why })?;
+        let files = open_subfolder("files")?;
+        let (log, contents) = Log::open(open_subfolder("links")?, SEGMENT_BYTES).map_err(StoreError::Log)?;
+        let mut names = files
+            .list()
+            .map_err(|reason| StoreError::Folder { path: folder.display().to_string(), reason })?;
         names.sort();
-        let (mut all, mut wrong, mut next) = (Vec::new(), Vec::new(), 1);
+        let (mut all_links, mut read_errors, mut next_file_number) = (Vec::new(), Vec::new(), 1);
         for name in names.iter().filter(|name| file_number(name).is_some()) {
-            next = next.max(file_number(name).unwrap_or(0) + 1);
+            next_file_number = next_file_number.max(file_number(name).unwrap_or(0) + 1);
             match files.read(name) {
                 Ok(bytes) => {
-                    let (links, bad) = parquet_file::read(name, bytes);
-                    all.extend(links);
-                    wrong.extend(bad);
+                    let (links, file_errors) = parquet_file::read(name, bytes);
+                    all_links.extend(links);
+                    read_errors.extend(file_errors);
                 }
-                Err(why) => {
-                    wrong.push(parquet_file::ReadError {
+                Err(error) => {
+                    read_errors.push(parquet_file::ReadError {
                         file: name.clone(),
                         row: None,
-                        reason: why.to_string(),
+                        reason: error.to_string(),
                     });
                 }
             }
         }
         let mut links = Vec::new();
-        for record in found.records {
+        for record in contents.records {
             match serde_json::from_slice::<Link>(&record.bytes) {
                 Ok(link) => links.push(link),
-                Err(why) => {
+                Err(error) => {
                     let file = format!("links, record {}", record.number);
-                    wrong.push(parquet_file::ReadError { file, row: None, reason: why.to_string() });
+                    read_errors.push(parquet_file::ReadError { file, row: None, reason: error.to_string() });
                 }
             }
         }
-        all.extend(links.iter().cloned());
-        Ok((Store { log, files, links, rolled: Instant::now(), next, read_errors: wrong }, all))
+        all_links.extend(links.iter().cloned());
+        Ok((Store { log, files, links, last_roll: Instant::now(), next_file_number, read_errors }, all_links))
     }
 
-    /// Takes links in; they are kept after the next sync.
+    /// Appends links. They are durable after the next sync.
     pub fn append(&mut self, links: &[Link]) -> Result<(), StoreError> {
         for link in links {
             let bytes = serde_json::to_vec(link).unwrap_or_default();
@@ -108,43 +113,46 @@
         Ok(())
     }
 
+    /// Syncs the log.
     pub fn sync(&mut self) -> Result<(), StoreError> {
         self.log.sync().map(drop).map_err(StoreError::Log)
     }
 
-    /// Makes a file of what is in none, where that is enough or old enough; `now` makes one of whatever there is.
-    pub fn roll(&mut self, now: bool) -> Result<Option<String>, StoreError> {
-        let due = self.links.len() >= ROLL_LINKS || self.rolled.elapsed() >= ROLL_AFTER || now;
+    /// Moves the links of the log to a new file if there are enough of them or enough time has passed, or if `force` is set.
+    /// Returns the name of the file if one was written.
+    pub fn roll(&mut self, force: bool) -> Result<Option<String>, StoreError> {
+        let due = self.links.len() >= ROLL_LINKS || self.last_roll.elapsed() >= ROLL_INTERVAL || force;
         if !due || self.links.is_empty() {
             return Ok(None);
         }
         self.sync()?;
-        let name = file_name(self.next);
-        let of_file = |why: String| StoreError::File { file: name.clone(), why };
-        let bytes = parquet_file::write(&self.links).map_err(of_file)?;
-        self.make(&name, &bytes)
-            .map_err(|why| StoreError::File { file: name.clone(), why: why.to_string() })?;
-        // Only now that the file stands: what the log has is not needed any more.
+        let name = file_name(self.next_file_number);
+        let file_error = |reason: String| StoreError::File { file: name.clone(), reason };
+        let bytes = parquet_file::write(&self.links).map_err(file_error)?;
+        self.write_file(&name, &bytes)
+            .map_err(|error| StoreError::File { file: name.clone(), reason: error.to_string() })?;
+        // The log may be emptied only after the file is durable.
         self.log.snapshot(&[]).map_err(StoreError::Log)?;
         self.links.clear();
-        (self.next, self.rolled) = (self.next + 1, Instant::now());
+        (self.next_file_number, self.last_roll) = (self.next_file_number + 1, Instant::now());
         Ok(Some(name))
     }
 
-    fn make(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
-        let beside = format!("{name}.new");
-        self.files.create(&beside)?;
-        self.files.truncate(&beside, 0)?;
-        self.files.append(&beside, bytes)?;
-        self.files.sync(&beside)?;
-        self.files.rename(&beside, name)?;
+    /// Writes and syncs a file, renames it, and deletes the oldest files above the limit.
+    fn write_file(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
+        let temporary_name = format!("{name}.new");
+        self.files.create(&temporary_name)?;
+        self.files.truncate(&temporary_name, 0)?;
+        self.files.append(&temporary_name, bytes)?;
+        self.files.sync(&temporary_name)?;
+        self.files.rename(&temporary_name, name)?;
         self.files.sync_folder()?;
         let mut names: Vec<String> =
             self.files.list()?.into_iter().filter(|name| file_number(name).is_some()).collect();
         names.sort();
-        let over = names.len().saturating_sub(MOST_FILES);
-        if over > 0 {
-            names[..over].iter().try_for_each(|name| self.files.remove(name))?;
+        let excess = names.len().saturating_sub(MAX_FILES);
+        if excess > 0 {
+            names[..excess].iter().try_for_each(|name| self.files.remove(name))?;
             self.files.sync_folder()?;
         }
         Ok(())
