--- a/crates/group-host/src/lib.rs
+++ b/crates/group-host/src/lib.rs
@@ -88,7 +88,7 @@
     pub clock: Clock,
     log: Logger,
     name: String,
-    broken: Cell<bool>,
+    failed: Cell<bool>,
     /// Whether it held the leader lease at the last tick, to log changes.
     held_lease: Cell<bool>,
     /// Address at which it listens for other members.
@@ -103,7 +103,7 @@
     /// Opens a member from its folder. `initial_data` is the data of a newly founded group. A folder in the unreplicated
     /// format of the service is converted by `read_legacy`.
     pub fn open(
-        start: &GroupMemberConfig,
+        config: &GroupMemberConfig,
         folder: &Path,
         initial_data: Vec<Vec<u8>>,
         read_legacy: LegacyReader,
@@ -111,13 +111,13 @@
         log: Logger,
     ) -> Result<Rc<GroupMember>, GroupMemberError> {
         let opened = disk::open(folder, read_legacy)?;
-        let founding = match (start.founders.is_empty(), opened.legacy_data) {
+        let founding = match (config.founders.is_empty(), opened.legacy_data) {
             (true, _) => Start::Join,
-            (false, Some(data)) => Start::Found { members: start.founders.clone(), data },
-            (false, None) => Start::Found { members: start.founders.clone(), data: initial_data },
+            (false, Some(data)) => Start::Found { members: config.founders.clone(), data },
+            (false, None) => Start::Found { members: config.founders.clone(), data: initial_data },
         };
         let disk_id = rand::random();
-        let (name, incarnation) = (&start.name, start.incarnation);
+        let (name, incarnation) = (&config.name, config.incarnation);
         let replica = Replica::open(name, incarnation, &opened.records, founding, disk_id, clock.now())
             .map_err(|reason| GroupMemberError::Start { path: folder.into(), reason })?;
         let group_member = GroupMember {
@@ -127,10 +127,10 @@
             events: RefCell::default(),
             clock,
             log,
-            name: start.name.clone(),
-            broken: Cell::new(false),
+            name: config.name.clone(),
+            failed: Cell::new(false),
             held_lease: Cell::new(false),
-            listen: start.listen,
+            listen: config.listen,
             callers: RefCell::default(),
             members_changed: Event::new(),
         };
@@ -195,7 +195,7 @@
     /// Runs all steps of the replica that are due. Their events are queued for [`GroupMember::next_event`].
     pub fn pump(&self) {
         loop {
-            if self.broken.get() {
+            if self.failed.get() {
                 return;
             }
             let step = self.replica.borrow_mut().step(self.clock.now());
@@ -215,7 +215,7 @@
     }
 
     fn fail(&self) {
-        self.broken.set(true);
+        self.failed.set(true);
         self.events.borrow_mut().push_back(GroupEvent::Failed);
         self.members_changed.notify(usize::MAX);
     }
@@ -276,7 +276,7 @@
     /// Proposes an entry. Once committed, it comes back as an event. Several proposals are written with one sync: call
     /// [`GroupMember::pump`] after the last one.
     pub fn propose(&self, data: Vec<u8>) -> Result<(), NotLeaderError> {
-        if self.broken.get() {
+        if self.failed.get() {
             return Err(NotLeaderError { leader: None });
         }
         self.replica.borrow_mut().propose(data)
@@ -294,12 +294,12 @@
 
     /// Returns whether this member is the leader and holds the lease, so that it may respond to clients.
     pub fn holds_leader_lease(&self) -> bool {
-        !self.broken.get() && self.replica.borrow().holds_leader_lease(self.clock.now())
+        !self.failed.get() && self.replica.borrow().holds_leader_lease(self.clock.now())
     }
 
     /// Returns whether the disk can't be written or is not this member's. The process has to end then.
     pub fn has_failed(&self) -> bool {
-        self.broken.get()
+        self.failed.get()
     }
 
     /// Returns the service address of the leader, if it is known and another member.
@@ -314,7 +314,7 @@
 
     /// Replaces the log by a snapshot if it has grown. `compact` returns the data that is still needed.
     pub fn compact_log(&self, compact: impl FnOnce(Vec<Vec<u8>>) -> Vec<Vec<u8>>) {
-        if self.broken.get() || !self.replica.borrow().needs_compaction() {
+        if self.failed.get() || !self.replica.borrow().needs_compaction() {
             return;
         }
         let data = compact(self.data());
--- a/crates/group-host/src/peers.rs
+++ b/crates/group-host/src/peers.rs
@@ -87,8 +87,14 @@
                 }
             }
         };
-        let on_accept_error = |error| warn!(log, "accept failed"; "why" => %error);
-        accept(listener, connection_limit, accept_spawner, serve_connection, on_accept_error).await;
+        accept(
+            listener,
+            connection_limit,
+            accept_spawner,
+            serve_connection,
+            |error| warn!(log, "accept failed"; "why" => %error),
+        )
+        .await;
     });
     Ok(())
 }
@@ -159,7 +165,7 @@
     stream.read_exact(&mut length).await.map_err(|error| error.to_string())?;
     let length = u32::from_be_bytes(length) as usize;
     if length > MAX_FRAME_BYTES {
-        return Err(format!("frame of {length} bytes exceeds the limit"));
+        return Err("frame exceeds the size limit".into());
     }
     let mut frame = Vec::with_capacity(length.min(64 << 10));
     // Allocates as bytes arrive, and not by the announced length.
