--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,5 @@
-//! One router on sockets, by layer: `transport` (sockets), `routing` (the one owner
-//! of the core), `program` (configuration, limits, start and end).
+//! One router process, in layers: `transport` (sockets), `routing` (owner of the decision core) and `program`
+//! (configuration, limits, start and end).
 pub mod program;
 pub mod routing;
 pub mod transport;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,3 +1,4 @@
+//! The router program: `harestage-router [CONFIGURATION]`.
 use harestage_router::program::{config, run};
 use std::process::ExitCode;
 
--- a/crates/router/src/program/log.rs
+++ b/crates/router/src/program/log.rs
@@ -1,10 +1,10 @@
-//! The log goes to standard error through a bounded queue: lines past it are dropped and counted, so that a
-//! slow reader of the log never holds up serving.
+//! Logs to standard error through a bounded queue. When it is full, lines are dropped and counted, so that a
+//! slow log reader never delays serving.
 use slog::{Drain, Logger, o};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 use slog_term::{FullFormat, PlainDecorator};
 
-/// The guard writes out what is queued when it is dropped.
+/// Opens the log. Dropping the guard writes out what is queued.
 pub fn open(name: &str, lines: usize) -> (Logger, AsyncGuard) {
     let format = FullFormat::new(PlainDecorator::new(std::io::stderr())).build().fuse();
     let queue = Async::new(format).chan_size(lines).overflow_strategy(OverflowStrategy::DropAndReport);
--- a/crates/router/src/program/mod.rs
+++ b/crates/router/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! Start and end of a router.
+//! Startup and shutdown of a router.
 pub mod config;
 pub mod limits;
 pub mod log;
@@ -18,46 +18,57 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// Serves what the configuration at `path` says until a signal ends it. An error is one line, and nothing
-/// listens then.
+/// Serves by the configuration at `path` until a signal ends the program. On an error nothing was served; its
+/// text is one line.
 pub fn run(path: &str) -> Result<(), String> {
     run_with(path, Vec::new(), None)
 }
 
-/// What was recorded last has so long to be told at the end.
-const LAST_WORD: std::time::Duration = std::time::Duration::from_millis(1_000);
+/// Time for the observer to send its last reports at shutdown.
+const FINAL_REPORT_TIME: std::time::Duration = std::time::Duration::from_millis(1_000);
 
-/// What somebody who attaches a witness is given.
+/// What an observer gets to know of the router.
 pub struct ObserverContext {
     pub name: String,
-    /// Content types by the numbers that the witness hears.
+    /// Names of content types, indexed by the numbers that the observer is given.
     pub contents: Vec<String>,
     pub clock: Clock,
     pub inbox: async_channel::Sender<Input>,
     pub log: Logger,
 }
 
-/// The router ends when this does, as at a signal.
+/// Runs beside the router, which shuts down when this task ends, as on a signal.
 pub type BackgroundTask = std::pin::Pin<Box<dyn Future<Output = ()>>>;
+/// Creates an observer and its background task.
 pub type AttachObserver = Box<dyn FnOnce(ObserverContext) -> (Rc<dyn Observer>, BackgroundTask)>;
 
-/// The same where the control feed is a group: further addresses of it, one of which tells at a time. The platform has one.
+/// Like [`run`], with further addresses of the control feed if a group serves it, and with an observer. One
+/// member of such a group serves the feed at a time. The platform has neither.
 pub fn run_with(
     path: &str,
     feeds: Vec<std::net::SocketAddr>,
     attach: Option<AttachObserver>,
 ) -> Result<(), String> {
-    // Before the file is read: a signal to read it again must not end what has only just begun.
+    // Signals are handled before the file is read: a SIGHUP must not kill a process that has only just
+    // started.
     let wanted = [Signal::Term, Signal::Int, Signal::Hup];
-    let signals = Signals::new(wanted).map_err(|why| format!("no signals: {why}"))?;
-    let start = config::load(path)?;
-    let (log, _written_at_end) = log::open(&start.name, start.limits.log_lines);
+    let signals = Signals::new(wanted).map_err(|why| format!("signals can't be handled: {why}"))?;
+    let router_config = config::load(path)?;
+    let (log, _written_at_end) = log::open(&router_config.name, router_config.limits.log_lines);
     let executor = Rc::new(LocalExecutor::new());
-    async_io::block_on(executor.run(serve(start, path, feeds, attach, signals, log, executor.clone())))
+    async_io::block_on(executor.run(serve(
+        router_config,
+        path,
+        feeds,
+        attach,
+        signals,
+        log,
+        executor.clone(),
+    )))
 }
 
 async fn serve(
-    start: Config,
+    router_config: Config,
     path: &str,
     feeds: Vec<std::net::SocketAddr>,
     attach: Option<AttachObserver>,
@@ -66,53 +77,47 @@
     executor: Rc<LocalExecutor<'static>>,
 ) -> Result<(), String> {
     let Config { name, listen, seed, feed, last_event, initial_events, profile, kinds, outside, limits } =
-        start;
+        router_config;
     let limits = Rc::new(limits);
     let clock = Clock::start();
-    let (inbox, news) = async_channel::bounded(limits.inbox);
-    // Never full: what waits in it is bounded by the downloads that clients may have open, and by what their readers
-    // read between two turns of the routing task, which takes all of it.
-    let (from_clients, clients_news) = async_channel::unbounded();
-    let clients = client::Clients::new(limits.clone(), clock, from_clients, log.clone());
+    let (inbox, inputs) = async_channel::bounded(limits.inbox);
+    // Unbounded, but never large: it holds no more than the downloads that clients may have open, and what
+    // their readers take between two steps of the routing task, which empties it.
+    let (client_sender, client_inputs) = async_channel::unbounded();
+    let clients = client::Clients::new(limits.clone(), clock, client_sender, log.clone());
     let mut nodes = node::NodeConnections::new(limits.clone(), inbox.clone(), log.clone(), executor.clone());
     let contents = outside.contents.clone();
     let attached = attach.map(|attach| {
         attach(ObserverContext { name, contents, clock, inbox: inbox.clone(), log: log.clone() })
     });
-    let (observer, mut beside) = attached.unzip();
-    let last_word = observer.clone();
+    let (observer, mut background) = attached.unzip();
+    let final_observer = observer.clone();
     observer.iter().for_each(|observer: &Rc<dyn Observer>| nodes.set_observer(observer.clone()));
     let mut transport = SocketTransport { clients: clients.clone(), nodes };
     let (answer_grace, cancel_settles) = (limits.answer_grace, limits.call_back_settles);
-    let gone_kept = limits.gone_kept;
-    let purges_kept = profile.purge_settles;
-    let terms = RoutingConfig {
-        profile,
-        kinds,
-        outside,
-        answer_grace,
-        cancel_settles,
-        removed_node_retention: gone_kept,
-    };
-    let mut routing = Routing::new(terms, seed, clock.now());
-    let marks = observer.is_some();
+    let removed_node_retention = limits.gone_kept;
+    let purge_retention = profile.purge_settles;
+    let config =
+        RoutingConfig { profile, kinds, outside, answer_grace, cancel_settles, removed_node_retention };
+    let mut routing = Routing::new(config, seed, clock.now());
+    let track_service_state = observer.is_some();
     observer.into_iter().for_each(|observer| routing.set_observer(observer));
     routing.step(clock.now(), initial_events.into_iter().map(Input::Feed), &mut transport);
     let listener = Async::<TcpListener>::bind(listen)
         .map_err(|why| format!("key listen: {listen} can't be listened on: {why}"))?;
-    let routing = task::run(routing, clients_news, news, transport, clock, limits.inbox);
+    let routing = task::run(routing, client_inputs, inputs, transport, clock, limits.inbox);
     executor.spawn(routing).detach();
-    let place = feed::FeedAddress::new(feed);
-    let (limits_of, place_of, last) = (limits.clone(), place.clone(), last_event);
+    let feed_address = feed::FeedAddress::new(feed);
+    let (feed_limits, shared_address, last) = (limits.clone(), feed_address.clone(), last_event);
     let feed = feed::FeedClient {
-        limits: limits_of,
+        limits: feed_limits,
         inbox,
         log: log.clone(),
-        address: place_of,
+        address: shared_address,
         last_event: last,
         group_addresses: feeds.into(),
-        track_service_state: marks,
-        purge_retention: purges_kept,
+        track_service_state,
+        purge_retention,
         applied_purges: None,
     };
     executor.spawn(feed::follow(feed)).detach();
@@ -121,43 +126,43 @@
     let sweeping = executor.spawn(client::sweep(clients.clone()));
     clients.set_ready(true);
     info!(log, "ready"; "listen" => %listen, "known" => last_event, "limits" => ?limits);
-    let anew = async {
-        match &mut beside {
-            Some(beside) => beside.await,
+    let background_end = async {
+        match &mut background {
+            Some(background) => background.await,
             None => std::future::pending().await,
         }
     };
-    let anew_asked = or(
+    let ended_by_background = or(
         async {
-            until_told_to_end(&mut signals, path, &place, &log).await;
+            wait_for_shutdown_signal(&mut signals, path, &feed_address, &log).await;
             false
         },
         async {
-            anew.await;
+            background_end.await;
             true
         },
     )
     .await;
     info!(log, "ending"; "open" => clients.open_downloads());
-    let deaf_to_ends = async {
+    let ignore_further_signals = async {
         loop {
-            until_told_to_end(&mut signals, path, &place, &log).await;
+            wait_for_shutdown_signal(&mut signals, path, &feed_address, &log).await;
         }
     };
     let drained = async {
-        // Until then new connections and downloads may come as before.
+        // Until then new connections and downloads are accepted as before.
         Timer::after(limits.drain_serve).await;
         listening.cancel().await;
         client::accept_pending(&clients, &listener, &executor);
         drop(listener);
         drain(&clients, &limits, &log).await;
     };
-    or(drained, deaf_to_ends).await;
+    or(drained, ignore_further_signals).await;
     drop(sweeping);
-    if let (Some(observer), Some(beside), false) = (last_word, beside, anew_asked) {
+    if let (Some(observer), Some(background), false) = (final_observer, background, ended_by_background) {
         observer.on_shutdown();
-        or(beside, async {
-            Timer::after(LAST_WORD).await;
+        or(background, async {
+            Timer::after(FINAL_REPORT_TIME).await;
         })
         .await;
     }
@@ -165,28 +170,28 @@
     Ok(())
 }
 
-/// Reads the configuration again at each SIGHUP; returns at the first signal that ends the program.
-async fn until_told_to_end(signals: &mut Signals, path: &str, feed: &feed::FeedAddress, log: &Logger) {
+/// Reloads the configuration at each SIGHUP; returns at the first signal that ends the program.
+async fn wait_for_shutdown_signal(signals: &mut Signals, path: &str, feed: &feed::FeedAddress, log: &Logger) {
     while let Some(Ok(Signal::Hup)) = signals.next().await {
-        // A wrong file must not end what serves: the configuration that was read last stays.
+        // An invalid file must not end a running router: the previous configuration stays in force.
         match config::load(path) {
-            Ok(start) => {
-                info!(log, "configuration read again"; "feed" => %start.feed);
-                feed.move_to(start.feed);
+            Ok(router_config) => {
+                info!(log, "configuration reloaded"; "feed" => %router_config.feed);
+                feed.move_to(router_config.feed);
             }
-            Err(why) => warn!(log, "configuration not taken over"; "why" => why),
+            Err(why) => warn!(log, "configuration not reloaded"; "why" => why),
         }
     }
 }
 
-/// Shutdown, once nothing new is accepted: each connection is closed when it comes to rest. What is still open when
-/// the time of a restart is over is answered all the same: a kill would leave it without any answer.
+/// Shuts down once nothing new is accepted: each connection is closed as soon as it is idle. What is still
+/// open near the end is abandoned, since a kill would leave it without any answer.
 async fn drain(clients: &client::Clients, limits: &Limits, log: &Logger) {
     clients.close_all();
     let late = async {
         Timer::after(limits.drain_abandon - limits.drain_serve).await;
         if clients.open_downloads() > 0 {
-            warn!(log, "abandoned at the end"; "open" => clients.open_downloads());
+            warn!(log, "downloads abandoned at shutdown"; "open" => clients.open_downloads());
         }
         clients.abandon_all();
         Timer::after(limits.drain_end - limits.drain_abandon).await;
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -1,5 +1,6 @@
-//! The one owner of the core. What happens outside comes in as `News`, what the core orders goes out through
-//! `Outward`; time-outs, deadlines and the register of what is open are kept here. Nothing here decides.
+//! The only owner of the decision core. Outside events come in as [`Input`], and the core's orders go out
+//! through [`Transport`]. Timeouts, deadlines and open downloads are tracked here; decisions are left to the
+//! core.
 pub mod nodes;
 pub mod observer;
 pub mod task;
@@ -21,27 +22,30 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 
+/// Number of a client connection.
 pub type ClientId = u64;
+/// Number of a pull; never used twice.
 pub type PullId = u64;
 type DownloadId = u64;
-/// When it rings, and a number that tells it from others of that moment.
+/// When the timer fires, and a number that makes the key unique.
 type TimerKey = (Moment, u64);
 
-/// A pull that will bring no answer.
+/// Why a pull gets no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// Nothing of it can have run: the connection never came up, or ended before it was written whole.
+    /// The node can't have run it: the connection never came up, or ended before the pull was written whole.
     NotSent,
-    /// It was written whole: a break proves nothing.
+    /// The pull was written whole before its connection broke: the node may have run it.
     ConnectionBroken,
 }
 
 #[derive(Clone, Debug)]
+/// An outside event for the routing task.
 pub enum Input {
     Download {
         client: ClientId,
         tag: u64,
-        wish: DownloadRequest,
+        request: DownloadRequest,
         at: Moment,
     },
     Cancel {
@@ -54,7 +58,7 @@
     Answered {
         pull: PullId,
         answer: Answer,
-        /// The copy that an answer without bytes is about.
+        /// Digest of the copy that an answer without a body refers to.
         copy_digest: Option<Bytes>,
     },
     Lost {
@@ -62,19 +66,21 @@
         loss: Loss,
     },
     Feed(FeedEvent),
-    /// What the events before it amount to; only where a witness is attached.
+    /// State of our own services after all events before it; only sent while an observer is attached.
     ServiceState(ServiceState),
-    /// Once the core has taken in all that came before, the number goes to whoever asked; what waits there is replaced.
+    /// Sends `number` to `to` once the core has processed all inputs before it. A number that still waits
+    /// there is replaced.
     Confirm {
         number: u64,
         to: Sender<u64>,
     },
 }
 
-/// Where answers and pulls go. Every call only queues: none of them waits.
+/// Sends answers to clients and pulls to nodes. Every call only queues and returns at once.
 pub trait Transport {
+    /// Answers a download.
     fn answer(&mut self, client: ClientId, tag: u64, answer: ToClient);
-    /// False: there is no way to that node now, and nothing was queued.
+    /// Queues a pull. `false`: no connection to the node is available, and nothing was queued.
     fn send_pull(
         &mut self,
         node: NodeId,
@@ -83,65 +89,74 @@
         id: HexId,
         packet: Packet,
     ) -> bool;
-    /// Gives a pull up. True: it had not been written whole, and now never will be.
+    /// Gives up a pull. `true`: it was not written whole, and never will be.
     fn cancel_pull(&mut self, node: NodeId, pull: PullId) -> bool;
-    /// Takes a pull out of its queue. True: not a byte of it had been written.
+    /// Removes a pull from its queue. `true`: no byte of it was written.
     fn remove_queued(&mut self, node: NodeId, pull: PullId) -> bool;
-    /// A pull was called back, and its node has not been told yet.
+    /// Whether the cancel of a pull has not been written to its node yet.
     fn is_cancel_pending(&self, node: NodeId, pull: PullId) -> bool;
-    /// Nothing new goes over the connections that this node has now.
+    /// Sends nothing new over the connections that this node has now.
     fn replace_connections(&mut self, node: NodeId);
-    /// Nothing is sent to this node any more.
+    /// Sends nothing to this node any more.
     fn forget_node(&mut self, node: NodeId);
 }
 
 #[derive(Clone, Copy)]
 enum Timer {
+    /// Set by the core.
     Core(u32),
-    PullTimesOut(PullId),
-    /// What has not left by then must not leave any more.
-    StartsTooLate(PullId),
-    CalledBack(PullId),
+    PullTimeout(PullId),
+    /// A pull that is still queued by then must not be sent.
+    StartDeadline(PullId),
+    /// The node of a cancelled pull is assumed to have stopped.
+    CancelSettled(PullId),
+    /// The deadline of a download.
     Deadline(DownloadId),
-    Overdue(DownloadId),
-    Forget(NodeId),
+    /// The grace period after the deadline is over.
+    AnswerOverdue(DownloadId),
+    /// The node was removed long ago.
+    ForgetNode(NodeId),
 }
 
-struct Out {
+/// A pull that has not ended yet.
+struct InFlightPull {
     dl: DownloadId,
+    /// The core's number of the pull within its download.
     number: u8,
     node: NodeId,
     source: Option<NodeId>,
-    sent: Moment,
+    sent_at: Moment,
 }
 
-struct Held {
+/// A download that the core still knows, whether it is answered or not.
+struct HeldDownload {
     client: ClientId,
     tag: u64,
-    wish: DownloadRequest,
+    request: DownloadRequest,
     content: ContentIx,
     leaves_at: Moment,
-    deadline: TimerKey,
+    deadline_timer: TimerKey,
     answered: bool,
-    /// All its pulls, by the numbers that the core gives them.
+    /// All pulls of the download, indexed by the core's number of each pull.
     pulls: Vec<PullId>,
-    /// What the router went by when the last of them was made, where somebody records it.
-    acted: Option<u64>,
+    /// The observer's state number when the last pull was sent, if there is an observer.
+    state_number: Option<u64>,
 }
 
-/// What a routing task is told at its start.
+/// Settings of the routing task.
 pub struct RoutingConfig {
     pub profile: ServiceProfile,
     pub kinds: Kinds,
     pub outside: Outside,
-    /// How long after its deadline a download waits for the core's answer before it is abandoned here.
+    /// How long after its deadline a download waits for the core's answer before the router abandons it.
     pub answer_grace: Span,
-    /// How long a pull that was called back is taken to be still at its node.
+    /// How long a cancelled pull is assumed to be still running at its node.
     pub cancel_settles: Span,
-    /// How long a node that is gone is remembered.
+    /// How long a removed node is remembered.
     pub removed_node_retention: Span,
 }
 
+/// Runs the decision core on inputs and timers.
 pub struct Routing {
     brain: Brain,
     register: Register,
@@ -152,27 +167,28 @@
     removed_node_retention: Span,
     contents: HashMap<Vec<u8>, ContentIx>,
     node_table: NodeTable,
-    held: HashMap<DownloadId, Held>,
+    held: HashMap<DownloadId, HeldDownload>,
     open: HashMap<(ClientId, u64), DownloadId>,
-    /// Those whose downloads are held, so that no two are under way under one.
+    /// Ids of the held downloads, so that no two downloads with one id are in progress.
     ids: HashSet<HexId>,
-    out: HashMap<PullId, Out>,
+    in_flight: HashMap<PullId, InFlightPull>,
     timers: BTreeMap<TimerKey, Timer>,
     events: Vec<Event>,
     timers_set: u64,
     last_dl: DownloadId,
     last_pull: PullId,
     observer: Option<Rc<dyn Observer>>,
-    /// To be confirmed when the turn has ended.
+    /// To be confirmed at the end of the step.
     confirms: Vec<(u64, Sender<u64>)>,
-    /// The moment of the turn, for the witness.
+    /// Time of the current step, for the observer.
     now: Moment,
 }
 
 impl Routing {
-    pub fn new(terms: RoutingConfig, seed: u64, now: Moment) -> Routing {
+    /// A routing task with the core's state at `now`; `seed` is the core's seed for random choices.
+    pub fn new(config: RoutingConfig, seed: u64, now: Moment) -> Routing {
         let RoutingConfig { profile, kinds, outside, answer_grace, cancel_settles, removed_node_retention } =
-            terms;
+            config;
         let names = outside.contents.iter().enumerate();
         Routing {
             brain: Brain::open(profile, seed, now),
@@ -187,7 +203,7 @@
             held: HashMap::new(),
             open: HashMap::new(),
             ids: HashSet::new(),
-            out: HashMap::new(),
+            in_flight: HashMap::new(),
             timers: BTreeMap::new(),
             events: Vec::new(),
             timers_set: 0,
@@ -199,174 +215,195 @@
         }
     }
 
-    /// From now on this hears of what the router does.
+    /// Reports what the router does to `observer` from now on.
     pub fn set_observer(&mut self, observer: Rc<dyn Observer>) {
         self.observer = Some(observer);
     }
 
-    /// Downloads that are not answered yet.
+    /// Number of downloads that are not answered yet.
     pub fn unanswered(&self) -> usize {
         self.open.len()
     }
 
-    /// When `step` has to be called at the latest, news or none.
+    /// When `step` has to be called at the latest, even without inputs.
     pub fn next_timer(&self) -> Option<Moment> {
         self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes in what has come up to `now` and carries out what the core orders on it. News go before timers,
-    /// so that an answer that is here in time is not lost to a time-out of the same turn.
-    pub fn step(&mut self, now: Moment, news: impl Iterator<Item = Input>, transport: &mut dyn Transport) {
+    /// Handles the inputs up to `now` and carries out the core's orders. Inputs are handled before timers, so
+    /// that an answer that arrived in time is not lost to a timeout in the same step.
+    pub fn step(&mut self, now: Moment, inputs: impl Iterator<Item = Input>, transport: &mut dyn Transport) {
         self.now = now;
-        for news in news {
-            self.take_in(news, now, transport);
+        for input in inputs {
+            self.handle_input(input, now, transport);
         }
         while let Some(first) = self.timers.first_entry().filter(|first| first.key().0 <= now) {
             let timer = first.remove();
-            self.fire(timer, now, transport);
+            self.on_timer(timer, now, transport);
         }
         let mut orders = Vec::new();
         while !self.events.is_empty() {
             self.brain.turn(now, std::mem::take(&mut self.events), &mut orders);
             for order in orders.drain(..) {
-                self.carry_out(order, now, transport);
+                self.execute(order, now, transport);
             }
         }
         for (number, to) in self.confirms.drain(..) {
-            // Its connection may have gone meanwhile: then nobody waits for the number.
+            // Sending fails if the connection that asked is gone: then nobody waits for the number.
             let _ = to.force_send(number);
         }
     }
 
-    fn take_in(&mut self, news: Input, now: Moment, transport: &mut dyn Transport) {
-        match news {
-            Input::Download { client, tag, wish, at } => self.asked(client, tag, wish, at, transport),
+    fn handle_input(&mut self, input: Input, now: Moment, transport: &mut dyn Transport) {
+        match input {
+            Input::Download { client, tag, request, at } => {
+                self.on_download(client, tag, request, at, transport)
+            }
             Input::Cancel { client, tag } => {
                 if let Some(dl) = self.open.get(&(client, tag)).copied() {
-                    self.left(dl);
+                    self.on_cancel(dl);
                 }
             }
             Input::Disconnected { client } => {
                 let of_client = self.open.iter().filter(|((c, _), _)| *c == client);
-                let mut gone: Vec<DownloadId> = of_client.map(|(_, dl)| *dl).collect();
-                gone.sort_unstable();
-                gone.into_iter().for_each(|dl| self.left(dl));
+                let mut downloads: Vec<DownloadId> = of_client.map(|(_, dl)| *dl).collect();
+                downloads.sort_unstable();
+                downloads.into_iter().for_each(|dl| self.on_cancel(dl));
             }
-            Input::Answered { pull, answer, copy_digest: names } => {
-                self.pull_answered(pull, answer, names, now, transport)
+            Input::Answered { pull, answer, copy_digest } => {
+                self.on_answer(pull, answer, copy_digest, now, transport)
             }
             Input::Lost { pull, loss } => {
                 let ending =
                     if loss == Loss::ConnectionBroken { Ending::Broken } else { Ending::NoConnection };
-                self.ended(pull, ending, Remark::Nothing, Span::ZERO, now);
+                self.end_pull(pull, ending, Remark::Nothing, Span::ZERO, now);
             }
-            Input::Feed(told) => self.told(told, now, transport),
+            Input::Feed(event) => self.on_feed_event(event, now, transport),
             Input::Confirm { number, to } => self.confirms.push((number, to)),
-            Input::ServiceState(marks) => {
-                self.observer.iter().for_each(|observer| observer.on_service_state(&marks, now))
+            Input::ServiceState(state) => {
+                self.observer.iter().for_each(|observer| observer.on_service_state(&state, now))
             }
         }
     }
 
-    /// Turned away before the core hears of it: this process may not act on what it has.
-    fn turned_away(&self, content: ContentIx, id: u64, now: Moment) -> Option<u64> {
+    /// The delay after which a client may retry, if the router must not act on the state that it has. The
+    /// core does not see such a download.
+    fn refusal_delay(&self, content: ContentIx, id: u64, now: Moment) -> Option<u64> {
         let observer = self.observer.as_ref().filter(|observer| !observer.may_send())?;
         observer.on_download_end(content, DownloadOutcome::Throttled, id, None, now);
         Some(observer.retry_after_ms())
     }
 
-    fn asked(
+    fn on_download(
         &mut self,
         client: ClientId,
         tag: u64,
-        wish: DownloadRequest,
+        request: DownloadRequest,
         at: Moment,
         transport: &mut dyn Transport,
     ) {
-        let Some(content) = self.contents.get(wish.content.as_ref()).copied() else {
+        let Some(content) = self.contents.get(request.content.as_ref()).copied() else {
             return transport.answer(client, tag, ToClient::Abandoned);
         };
-        if let Some(retry_after_ms) = self.turned_away(content, wish.id.as_u64(), at) {
+        if let Some(retry_after_ms) = self.refusal_delay(content, request.id.as_u64(), at) {
             return transport.answer(client, tag, ToClient::Throttled { retry_after_ms });
         }
-        // Guards against a client that uses the id of another download: on one connection to a node the answers
-        // to both could not be told apart, and the bytes of one object would pass for the other's.
-        if !self.ids.insert(wish.id) {
+        // Guards against a client that uses the id of another open download: on one connection to a node the
+        // two answers would be indistinguishable, and a client could get the bytes of another object.
+        if !self.ids.insert(request.id) {
             return transport.answer(client, tag, ToClient::Abandoned);
         }
         self.last_dl += 1;
         let dl = self.last_dl;
-        let leaves_at = at + Span::millis(wish.timeout_ms.min(u64::from(u32::MAX)));
+        let leaves_at = at + Span::millis(request.timeout_ms.min(u64::from(u32::MAX)));
         let download = Download {
             content,
-            object: ObjectKey(wish.object.as_u64()),
-            part: wish.part,
-            group: wish.group,
-            kilobytes: wish.kilobytes,
+            object: ObjectKey(request.object.as_u64()),
+            part: request.part,
+            group: request.group,
+            kilobytes: request.kilobytes,
             leaves_at,
-            repeat: wish.repeat,
+            repeat: request.repeat,
+        };
+        let deadline_timer = self.set_timer(leaves_at, Timer::Deadline(dl));
+        let (answered, pulls, state_number) = (false, Vec::new(), None);
+        let held = HeldDownload {
+            client,
+            tag,
+            request,
+            content,
+            leaves_at,
+            deadline_timer,
+            answered,
+            pulls,
+            state_number,
         };
-        let deadline = self.set(leaves_at, Timer::Deadline(dl));
-        let (answered, pulls, acted) = (false, Vec::new(), None);
-        let held = Held { client, tag, wish, content, leaves_at, deadline, answered, pulls, acted };
         self.held.insert(dl, held);
         self.open.insert((client, tag), dl);
         self.events.push(Event::Arrived { dl: self.register.enter_dl(dl), download });
     }
 
-    /// Nothing is owed any more: whose answer it was, unless that had been said before.
+    /// Marks a download as answered. Returns its client and tag, or `None` if it was answered before.
     fn close(&mut self, dl: DownloadId) -> Option<(ClientId, u64)> {
         let held = self.held.get_mut(&dl).filter(|h| !h.answered)?;
         held.answered = true;
-        self.timers.remove(&held.deadline);
+        self.timers.remove(&held.deadline_timer);
         self.open.remove(&(held.client, held.tag));
         Some((held.client, held.tag))
     }
 
-    fn left(&mut self, dl: DownloadId) {
+    /// The client no longer wants this download.
+    fn on_cancel(&mut self, dl: DownloadId) {
         if self.close(dl).is_none() {
             return;
         }
-        self.witnessed(dl, DownloadOutcome::Left);
+        self.report_end(dl, DownloadOutcome::Left);
         self.events.extend(self.register.dl(dl).map(|dl| Event::Left { dl }));
     }
 
+    /// Answers the client, unless that was done before.
     fn reply(&mut self, dl: DownloadId, answer: ToClient, transport: &mut dyn Transport) {
         if let Some((client, tag)) = self.close(dl) {
             if self.observer.is_some() {
-                let became = match &answer {
+                let outcome = match &answer {
                     ToClient::Fulfilled { .. } | ToClient::NotModified => DownloadOutcome::Fulfilled,
                     ToClient::Throttled { .. } => DownloadOutcome::Throttled,
                     _ => DownloadOutcome::Abandoned,
                 };
-                self.witnessed(dl, became);
+                self.report_end(dl, outcome);
             }
             transport.answer(client, tag, answer);
         }
     }
 
-    fn witnessed(&self, dl: DownloadId, became: DownloadOutcome) {
+    fn report_end(&self, dl: DownloadId, outcome: DownloadOutcome) {
         if let Some((observer, held)) = self.observer.as_ref().zip(self.held.get(&dl)) {
-            observer.on_download_end(held.content, became, held.wish.id.as_u64(), held.acted, self.now);
+            observer.on_download_end(
+                held.content,
+                outcome,
+                held.request.id.as_u64(),
+                held.state_number,
+                self.now,
+            );
         }
     }
 
-    fn pull_answered(
+    fn on_answer(
         &mut self,
         pull: PullId,
         answer: Answer,
-        names: Option<Bytes>,
+        copy_digest: Option<Bytes>,
         now: Moment,
         transport: &mut dyn Transport,
     ) {
-        let Some(out) = self.out.get(&pull) else { return };
-        let dl = out.dl;
-        let held = self.held.get(&dl).and_then(|held| held.wish.known_digest.as_ref());
-        let offered = held.is_some() && held == names.as_ref();
+        let Some(sent) = self.in_flight.get(&pull) else { return };
+        let dl = sent.dl;
+        let known = self.held.get(&dl).and_then(|held| held.request.known_digest.as_ref());
+        let is_current = known.is_some() && known == copy_digest.as_ref();
         let ending = match answer.status {
             AnswerStatus::Fulfilled => Ending::Fulfilled,
-            // An answer may be spoilt, and then names no copy, or another one than the client has.
-            AnswerStatus::NotModified if offered => Ending::Fulfilled,
+            // A corrupted answer may name no copy, or another one than the client holds.
+            AnswerStatus::NotModified if is_current => Ending::Fulfilled,
             AnswerStatus::NotModified | AnswerStatus::Failed => Ending::Error,
             AnswerStatus::NotFound => Ending::Missed,
             AnswerStatus::Busy => Ending::Full,
@@ -379,15 +416,16 @@
             };
             self.reply(dl, good, transport);
         }
-        self.ended(pull, ending, answer.remark, Span::of_seconds(answer.first_byte_ms / 1e3), now);
+        self.end_pull(pull, ending, answer.remark, Span::of_seconds(answer.first_byte_ms / 1e3), now);
     }
 
-    fn ended(&mut self, pull: PullId, ending: Ending, remark: Remark, first_byte: Span, now: Moment) {
-        let Some(out) = self.out.remove(&pull) else { return };
-        let Some(held) = self.held.get(&out.dl) else { return };
-        let Some((dl, node)) = self.register.dl(out.dl).zip(self.register.node(out.node)) else { return };
-        let (closed, took) = (held.answered, now.since(out.sent));
-        let number = out.number;
+    /// Reports the end of a pull to the core.
+    fn end_pull(&mut self, pull: PullId, ending: Ending, remark: Remark, first_byte: Span, now: Moment) {
+        let Some(sent) = self.in_flight.remove(&pull) else { return };
+        let Some(held) = self.held.get(&sent.dl) else { return };
+        let Some((dl, node)) = self.register.dl(sent.dl).zip(self.register.node(sent.node)) else { return };
+        let (closed, took) = (held.answered, now.since(sent.sent_at));
+        let number = sent.number;
         self.events.push(Event::Ended(PullEnd {
             dl,
             pull: number,
@@ -400,39 +438,39 @@
         }));
     }
 
-    /// The core hears the news first: what is taken back because of them must not be placed again without
-    /// them.
-    fn told(&mut self, told: FeedEvent, now: Moment, transport: &mut dyn Transport) {
-        match told {
-            FeedEvent::Members { is_snapshot: whole, members } => {
+    /// The event is passed to the core before queued pulls are withdrawn because of it, so that the core does
+    /// not place them again without knowing it.
+    fn on_feed_event(&mut self, event: FeedEvent, now: Moment, transport: &mut dyn Transport) {
+        match event {
+            FeedEvent::Members { is_snapshot, members } => {
                 let mut listings = Vec::with_capacity(members.len());
-                let (mut closed, mut gone) = (Vec::new(), Vec::new());
+                let (mut draining, mut removed) = (Vec::new(), Vec::new());
                 for member in &members {
-                    let said =
+                    let update =
                         self.node_table.apply(member, &mut self.register, self.kinds, &self.outside, now);
-                    if said.replaced {
-                        transport.replace_connections(said.node);
+                    if update.replaced {
+                        transport.replace_connections(update.node);
                     }
-                    match said.record.phase {
+                    match update.record.phase {
                         Phase::Ready => {}
-                        Phase::Draining => closed.push(said.node),
-                        Phase::Gone => gone.push(said.node),
+                        Phase::Draining => draining.push(update.node),
+                        Phase::Gone => removed.push(update.node),
                     }
-                    listings.push(said.record);
+                    listings.push(update.record);
                 }
-                if whole {
-                    gone.extend(self.node_table.mark_missing_removed(&members, now));
+                if is_snapshot {
+                    removed.extend(self.node_table.mark_missing_removed(&members, now));
                 }
-                for node in &gone {
+                for node in &removed {
                     transport.replace_connections(*node);
-                    self.set(now + self.removed_node_retention, Timer::Forget(*node));
+                    self.set_timer(now + self.removed_node_retention, Timer::ForgetNode(*node));
                 }
-                closed.extend(gone);
-                let news = if whole { RosterNews::Whole } else { RosterNews::Changes };
+                draining.extend(removed);
+                let news = if is_snapshot { RosterNews::Whole } else { RosterNews::Changes };
                 self.events.push(Event::Roster { news, listings });
-                let is_closed = |node: &NodeId| closed.contains(node);
+                let is_unusable = |node: &NodeId| draining.contains(node);
                 self.remove_queued(
-                    |out, _| is_closed(&out.node) || out.source.iter().any(is_closed),
+                    |sent, _| is_unusable(&sent.node) || sent.source.iter().any(is_unusable),
                     now,
                     transport,
                 );
@@ -440,72 +478,78 @@
             FeedEvent::Purge { object, group, at_ms } => {
                 let ago = now.since(clock::moment_from_unix_ms(at_ms));
                 self.events.push(Event::Purged { object: object.map(ObjectKey), group, ago });
-                let meant = |w: &DownloadRequest| {
+                let is_purged = |w: &DownloadRequest| {
                     object.map_or(w.group == group, |object| w.object.as_u64() == object)
                 };
-                self.remove_queued(|_, held| meant(&held.wish), now, transport);
+                self.remove_queued(|_, held| is_purged(&held.request), now, transport);
             }
         }
     }
 
-    /// What has not left yet and no longer may: a queued pull must not reach a node that drains, nor ask
-    /// for a copy by limits from before a purge.
+    /// Withdraws queued pulls that must not be sent any more: a pull must not reach a draining node, nor
+    /// accept a copy by an age limit from before a purge.
     fn remove_queued(
         &mut self,
-        meant: impl Fn(&Out, &Held) -> bool,
+        applies: impl Fn(&InFlightPull, &HeldDownload) -> bool,
         now: Moment,
         transport: &mut dyn Transport,
     ) {
-        let meant = |out: &Out| self.held.get(&out.dl).is_some_and(|held| meant(out, held));
-        let mut pulls: Vec<(PullId, NodeId)> =
-            self.out.iter().filter(|(_, out)| meant(out)).map(|(pull, out)| (*pull, out.node)).collect();
+        let applies = |sent: &InFlightPull| self.held.get(&sent.dl).is_some_and(|held| applies(sent, held));
+        let mut pulls: Vec<(PullId, NodeId)> = self
+            .in_flight
+            .iter()
+            .filter(|(_, sent)| applies(sent))
+            .map(|(pull, sent)| (*pull, sent.node))
+            .collect();
         pulls.sort_unstable();
         for (pull, node) in pulls {
             if transport.remove_queued(node, pull) {
-                self.ended(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
+                self.end_pull(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
             }
         }
     }
 
-    fn set(&mut self, at: Moment, timer: Timer) -> TimerKey {
+    fn set_timer(&mut self, at: Moment, timer: Timer) -> TimerKey {
         self.timers_set += 1;
         self.timers.insert((at, self.timers_set), timer);
         (at, self.timers_set)
     }
 
-    fn fire(&mut self, timer: Timer, now: Moment, transport: &mut dyn Transport) {
+    fn on_timer(&mut self, timer: Timer, now: Moment, transport: &mut dyn Transport) {
         match timer {
             Timer::Core(timer) => self.events.push(Event::TimerFired { timer }),
-            Timer::PullTimesOut(pull) => self.time_out(pull, now, transport),
-            Timer::CalledBack(pull) => {
-                // Guards against two at work at once where the node takes nothing, not even the cancel.
-                if self.out.get(&pull).is_some_and(|out| transport.is_cancel_pending(out.node, pull)) {
-                    self.set(now + self.cancel_settles, Timer::CalledBack(pull));
+            Timer::PullTimeout(pull) => self.time_out_pull(pull, now, transport),
+            Timer::CancelSettled(pull) => {
+                // Guards against two concurrent pulls of one download where the node reads nothing, not even
+                // the cancel.
+                if self.in_flight.get(&pull).is_some_and(|sent| transport.is_cancel_pending(sent.node, pull))
+                {
+                    self.set_timer(now + self.cancel_settles, Timer::CancelSettled(pull));
                 } else {
-                    self.ended(pull, Ending::Cancelled, Remark::Nothing, Span::ZERO, now);
+                    self.end_pull(pull, Ending::Cancelled, Remark::Nothing, Span::ZERO, now);
                 }
             }
-            Timer::StartsTooLate(pull) => {
-                if self.out.get(&pull).is_some_and(|out| transport.remove_queued(out.node, pull)) {
-                    self.ended(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
+            Timer::StartDeadline(pull) => {
+                if self.in_flight.get(&pull).is_some_and(|sent| transport.remove_queued(sent.node, pull)) {
+                    self.end_pull(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
                 }
             }
             Timer::Deadline(dl) => {
                 if let Some(held) = self.held.get(&dl).filter(|h| !h.answered) {
-                    held.pulls.clone().into_iter().for_each(|pull| self.time_out(pull, now, transport));
-                    self.set(now + self.answer_grace, Timer::Overdue(dl));
+                    held.pulls.clone().into_iter().for_each(|pull| self.time_out_pull(pull, now, transport));
+                    self.set_timer(now + self.answer_grace, Timer::AnswerOverdue(dl));
                 }
             }
-            Timer::Forget(node) => {
-                let in_use = |out: &Out| out.node == node || out.source == Some(node);
-                if self.out.values().any(in_use) {
-                    self.set(now + self.removed_node_retention, Timer::Forget(node));
+            Timer::ForgetNode(node) => {
+                let in_use = |sent: &InFlightPull| sent.node == node || sent.source == Some(node);
+                if self.in_flight.values().any(in_use) {
+                    self.set_timer(now + self.removed_node_retention, Timer::ForgetNode(node));
                 } else if self.node_table.forget(node, self.removed_node_retention, now, &mut self.register) {
                     transport.forget_node(node);
                 }
             }
-            // Guards the rule that all are answered against a core that holds one without a pull.
-            Timer::Overdue(dl) => {
+            // Every download gets an answer, even if the core holds one without a pull.
+            Timer::AnswerOverdue(dl) => {
                 if self.held.get(&dl).is_some_and(|h| !h.answered) {
                     self.reply(dl, ToClient::Abandoned, transport);
                     self.events.extend(self.register.dl(dl).map(|dl| Event::Left { dl }));
@@ -514,29 +558,29 @@
         }
     }
 
-    fn time_out(&mut self, pull: PullId, now: Moment, transport: &mut dyn Transport) {
-        let Some(node) = self.out.get(&pull).map(|out| out.node) else { return };
-        let never_left = transport.cancel_pull(node, pull);
-        let ending = if never_left { Ending::NotSent } else { Ending::TimedOut };
-        self.ended(pull, ending, Remark::Nothing, Span::ZERO, now);
+    fn time_out_pull(&mut self, pull: PullId, now: Moment, transport: &mut dyn Transport) {
+        let Some(node) = self.in_flight.get(&pull).map(|sent| sent.node) else { return };
+        let not_sent = transport.cancel_pull(node, pull);
+        let ending = if not_sent { Ending::NotSent } else { Ending::TimedOut };
+        self.end_pull(pull, ending, Remark::Nothing, Span::ZERO, now);
     }
 
-    fn carry_out(&mut self, order: Order, now: Moment, transport: &mut dyn Transport) {
+    fn execute(&mut self, order: Order, now: Moment, transport: &mut dyn Transport) {
         match order {
-            Order::Pull(pull) => self.pull(pull, now, transport),
+            Order::Pull(pull) => self.send_pull(pull, now, transport),
             Order::Cancel { dl, pull: number } => {
                 let dl = self.register.dl_id(dl);
                 let pulls = self.held.get(&dl).map(|held| &held.pulls);
                 let Some(pull) = pulls.and_then(|p| p.get(number as usize)).copied() else { return };
-                let Some(node) = self.out.get(&pull).map(|out| out.node) else { return };
-                let never_left = transport.cancel_pull(node, pull);
-                if never_left || self.held.get(&dl).is_none_or(|held| held.answered) {
-                    let ending = if never_left { Ending::NotSent } else { Ending::Cancelled };
-                    return self.ended(pull, ending, Remark::Nothing, Span::ZERO, now);
+                let Some(node) = self.in_flight.get(&pull).map(|sent| sent.node) else { return };
+                let not_sent = transport.cancel_pull(node, pull);
+                if not_sent || self.held.get(&dl).is_none_or(|held| held.answered) {
+                    let ending = if not_sent { Ending::NotSent } else { Ending::Cancelled };
+                    return self.end_pull(pull, ending, Remark::Nothing, Span::ZERO, now);
                 }
-                // Guards against two pulls of one download at work at once: the next one may go over another
-                // connection, and would overtake the cancel on its way.
-                self.set(now + self.cancel_settles, Timer::CalledBack(pull));
+                // Guards against two concurrent pulls of one download: the next pull may use another
+                // connection, and would overtake the cancel.
+                self.set_timer(now + self.cancel_settles, Timer::CancelSettled(pull));
             }
             Order::Throttle { dl, retry_after } => {
                 let retry_after_ms = retry_after.as_micros().div_ceil(1_000);
@@ -544,20 +588,20 @@
             }
             Order::Abandon { dl } => self.reply(self.register.dl_id(dl), ToClient::Abandoned, transport),
             Order::SetTimer { after, timer } => {
-                self.set(now + after, Timer::Core(timer));
+                self.set_timer(now + after, Timer::Core(timer));
             }
-            // The feed runs from the start, asked for or not.
+            // The router subscribes to the feed at its start, whether the core asks for it or not.
             Order::WatchRoster => {}
             Order::Forget { dl } => {
                 if let Some(held) = self.held.remove(&self.register.dl_id(dl)) {
-                    self.ids.remove(&held.wish.id);
+                    self.ids.remove(&held.request.id);
                 }
                 self.register.forget_dl(dl);
             }
         }
     }
 
-    fn pull(&mut self, order: Pull, now: Moment, transport: &mut dyn Transport) {
+    fn send_pull(&mut self, order: Pull, now: Moment, transport: &mut dyn Transport) {
         let dl = self.register.dl_id(order.dl);
         let Some((node, contact)) = self.node_table.by_index(&self.register, order.node) else { return };
         let source = order.source.and_then(|source| self.node_table.by_index(&self.register, source));
@@ -565,7 +609,8 @@
         self.last_pull += 1;
         let (pull, number) = (self.last_pull, held.pulls.len() as u8);
         held.pulls.push(pull);
-        held.acted = self.observer.as_ref().map(|observer| observer.state_number()).or(held.acted);
+        held.state_number =
+            self.observer.as_ref().map(|observer| observer.state_number()).or(held.state_number);
         let until = match order.time_out {
             Span::ZERO => held.leaves_at,
             time_out => held.leaves_at.min(now + time_out),
@@ -573,39 +618,39 @@
         let may_send = self.observer.as_ref().is_none_or(|observer| observer.may_send());
         let mark = self.observer.as_ref().filter(|_| may_send).and_then(|w| w.on_pull(&contact.name, now));
         let request = Request {
-            id: held.wish.id,
+            id: held.request.id,
             content: &self.outside.contents[held.content.0 as usize],
-            object: held.wish.object,
-            part: held.wish.part,
+            object: held.request.object,
+            part: held.request.part,
             timeout_ms: until.since(now).as_micros().div_ceil(1_000).max(1),
             source: source.map(|(_, contact)| contact.name.as_str()),
             rank: order.rank,
-            // Rounded down: a copy that is a moment too old will not do, and 0 would mean the usual.
+            // Rounded down, since a slightly older copy is not acceptable; 0 would mean the default age.
             max_age_ms: (order.oldest > Span::ZERO).then(|| (order.oldest.as_micros() / 1_000).max(1)),
             join: order.join,
             only_if_cached: order.only_held,
             no_store: order.no_copy,
             stale_while_revalidate: order.renew,
-            dedup_key: held.wish.dedup_key.as_ref().and_then(|k| std::str::from_utf8(k).ok()),
-            known_digest: held.wish.known_digest.as_ref().and_then(|h| std::str::from_utf8(h).ok()),
-            body: held.wish.body.clone(),
-            // Nodes of the platform know no fields beyond its protocol.
+            dedup_key: held.request.dedup_key.as_ref().and_then(|k| std::str::from_utf8(k).ok()),
+            known_digest: held.request.known_digest.as_ref().and_then(|h| std::str::from_utf8(h).ok()),
+            body: held.request.body.clone(),
+            // Nodes of the platform don't know fields beyond its protocol.
             route: None,
             mark: mark.as_ref(),
         };
         let queued = may_send
             && until > now
-            && transport.send_pull(node, contact, pull, held.wish.id, node::encode_request(&request));
+            && transport.send_pull(node, contact, pull, held.request.id, node::encode_request(&request));
         let source = source.map(|(source, _)| source);
-        self.out.insert(pull, Out { dl, number, node, source, sent: now });
+        self.in_flight.insert(pull, InFlightPull { dl, number, node, source, sent_at: now });
         if !queued {
-            return self.ended(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
+            return self.end_pull(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
         }
         if order.time_out > Span::ZERO {
-            self.set(until, Timer::PullTimesOut(pull));
+            self.set_timer(until, Timer::PullTimeout(pull));
         }
         if order.start_within > Span::ZERO {
-            self.set(now + order.start_within, Timer::StartsTooLate(pull));
+            self.set_timer(now + order.start_within, Timer::StartDeadline(pull));
         }
     }
 }
--- a/crates/router/src/routing/nodes.rs
+++ b/crates/router/src/routing/nodes.rs
@@ -1,4 +1,4 @@
-//! Names and addresses of caches, parents and the origin, as the feed tells them.
+//! Names and addresses of caches, parents and the origin, from the control feed.
 use harestage::door::Register;
 use harestage::state::{Listing, NodeIx, Phase, Role};
 use harestage::time::{Moment, Span};
@@ -9,39 +9,43 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 
-/// A node's number at this router, given out in the order in which the feed first named them.
+/// A node's number at this router, in the order in which the feed first named the nodes.
 pub type NodeId = u32;
 
+/// What is known of one node.
 #[derive(Clone, Debug)]
 pub struct NodeEntry {
     pub name: String,
     pub address: Option<SocketAddr>,
     pub phase: Phase,
     since_ms: u64,
-    /// Since when it has been gone.
-    gone: Moment,
+    /// When the node was removed.
+    removed_at: Moment,
 }
 
+/// All nodes that the feed has named and that are still remembered.
 #[derive(Default)]
 pub struct NodeTable {
-    known: BTreeMap<NodeId, NodeEntry>,
+    entries: BTreeMap<NodeId, NodeEntry>,
     by_name: HashMap<String, NodeId>,
-    named: NodeId,
+    next_id: NodeId,
 }
 
-/// What a line of the list changed.
+/// Result of applying a node's entry from the feed.
 pub struct NodeUpdate {
     pub node: NodeId,
     pub record: Listing,
-    /// Another process than before stands behind the name.
+    /// The name now belongs to another process than before.
     pub replaced: bool,
 }
 
 impl NodeTable {
+    /// The node with this number.
     pub fn get(&self, node: NodeId) -> Option<&NodeEntry> {
-        self.known.get(&node)
+        self.entries.get(&node)
     }
 
+    /// Applies a node's entry from the feed. Registers the node with the core if it is new.
     pub fn apply(
         &mut self,
         member: &Member,
@@ -55,28 +59,28 @@
             MemberState::Draining => Phase::Draining,
             MemberState::Removed => Phase::Gone,
         };
-        let told: Option<SocketAddr> = member.address.parse().ok();
+        let address: Option<SocketAddr> = member.address.parse().ok();
         let node = *self.by_name.entry(member.name.clone()).or_insert_with(|| {
-            let (name, address, since_ms) = (member.name.clone(), told, member.since_ms);
-            self.known.insert(self.named, NodeEntry { name, address, phase, since_ms, gone: now });
-            self.named += 1;
-            self.named - 1
+            let (name, address, since_ms) = (member.name.clone(), address, member.since_ms);
+            self.entries.insert(self.next_id, NodeEntry { name, address, phase, since_ms, removed_at: now });
+            self.next_id += 1;
+            self.next_id - 1
         });
-        let contact = self.known.get_mut(&node).expect("known by its name");
-        if phase == Phase::Gone && contact.phase != Phase::Gone {
-            contact.gone = now;
+        let entry = self.entries.get_mut(&node).expect("known by its name");
+        if phase == Phase::Gone && entry.phase != Phase::Gone {
+            entry.removed_at = now;
         }
         let replaced = phase == Phase::Ready
-            && (contact.phase == Phase::Gone
-                || contact.since_ms != member.since_ms
-                || told.is_some() && contact.address != told);
-        contact.address = told.or(contact.address);
-        (contact.phase, contact.since_ms) = (phase, member.since_ms);
-        let kind = place(&outside.kinds, &member.kind).map(|k| k as u8);
-        let listing = Listing {
+            && (entry.phase == Phase::Gone
+                || entry.since_ms != member.since_ms
+                || address.is_some() && entry.address != address);
+        entry.address = address.or(entry.address);
+        (entry.phase, entry.since_ms) = (phase, member.since_ms);
+        let kind = position_of(&outside.kinds, &member.kind).map(|k| k as u8);
+        let record = Listing {
             node: register.enter_node(node),
-            stamp: stamp(&member.name),
-            zone: place(&outside.zones, &member.zone).map_or(u16::MAX, |z| z as u16),
+            stamp: name_hash(&member.name),
+            zone: position_of(&outside.zones, &member.zone).map_or(u16::MAX, |z| z as u16),
             cell: member.cell,
             kind: kind.unwrap_or(u8::MAX),
             scale: member.scale,
@@ -88,45 +92,48 @@
             phase,
             started: (member.since_ms > 0).then(|| moment_from_unix_ms(member.since_ms)),
         };
-        NodeUpdate { node, record: listing, replaced }
+        NodeUpdate { node, record, replaced }
     }
 
-    /// Those that a whole list does not name are gone.
+    /// Marks nodes that a complete list does not name as removed, and returns them.
     pub fn mark_missing_removed(&mut self, members: &[Member], now: Moment) -> Vec<NodeId> {
         let named: HashSet<&str> = members.iter().map(|m| m.name.as_str()).collect();
-        let mut left_out = Vec::new();
-        for (node, contact) in self.known.iter_mut().filter(|(_, c)| !named.contains(c.name.as_str())) {
-            if contact.phase != Phase::Gone {
-                (contact.phase, contact.gone) = (Phase::Gone, now);
+        let mut missing = Vec::new();
+        for (node, entry) in self.entries.iter_mut().filter(|(_, entry)| !named.contains(entry.name.as_str()))
+        {
+            if entry.phase != Phase::Gone {
+                (entry.phase, entry.removed_at) = (Phase::Gone, now);
             }
-            left_out.push(*node);
+            missing.push(*node);
         }
-        left_out
+        missing
     }
 
-    /// Guards the memory of a long day, on which new names come all the time, against those that are gone.
-    /// False: it is not gone, or not for as long.
+    /// Forgets a node that was removed at least `after` ago, so that memory does not grow with each new name.
+    /// `false`: it was not removed, or not that long ago.
     pub fn forget(&mut self, node: NodeId, after: Span, now: Moment, register: &mut Register) -> bool {
-        let long_gone = |c: &&NodeEntry| c.phase == Phase::Gone && now.since(c.gone) >= after;
-        let Some(contact) = self.known.get(&node).filter(long_gone) else { return false };
-        self.by_name.remove(&contact.name);
-        self.known.remove(&node);
+        let is_expired =
+            |entry: &&NodeEntry| entry.phase == Phase::Gone && now.since(entry.removed_at) >= after;
+        let Some(entry) = self.entries.get(&node).filter(is_expired) else { return false };
+        self.by_name.remove(&entry.name);
+        self.entries.remove(&node);
         register.forget_node(node);
         true
     }
 
+    /// The node that the core knows under this index.
     pub fn by_index(&self, register: &Register, node: NodeIx) -> Option<(NodeId, &NodeEntry)> {
         let no = register.node_id(node);
-        self.known.get(&no).map(|contact| (no, contact))
+        self.entries.get(&no).map(|entry| (no, entry))
     }
 }
 
-fn place(names: &[String], name: &str) -> Option<usize> {
+fn position_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|n| n == name)
 }
 
-/// The same at every router, since each hashes the same text in the same way.
-fn stamp(name: &str) -> u64 {
+/// The same at every router, since each hashes the same name with the same hash function.
+fn name_hash(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish()
--- a/crates/router/src/routing/observer.rs
+++ b/crates/router/src/routing/observer.rs
@@ -1,11 +1,12 @@
-//! What an installation that is audited attaches to a router: it hears what the router goes by and what became of downloads,
-//! and may say that no further order goes out. The platform's router has none, and links nothing for it.
+//! Interface for auditing a router: an observer sees which state the router acts on and how downloads end,
+//! and can stop it from sending pulls. Only audited installations attach one; the platform's router has none
+//! and links no code for it.
 use harestage::state::ContentIx;
 use harestage::time::Moment;
 use harestage_wire::feed::ServiceState;
 use harestage_wire::peer::AuditMark;
 
-/// What became of a download.
+/// How a download ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DownloadOutcome {
     Fulfilled,
@@ -14,27 +15,29 @@
     Left,
 }
 
-/// Whoever watches. Calls come from the routing task and from writers of connections, none of them waits.
+/// Watches a router. Calls come from the routing task and from connection writers; they must not block.
 pub trait Observer {
-    /// Everything that was told before is taken in; from here on the router goes by this.
-    fn on_service_state(&self, marks: &ServiceState, now: Moment);
-    /// Whether an order may go out, by the clock as it is now: the process may have been stopped since its turn began.
+    /// All events before this state are processed; from now on the router acts on it.
+    fn on_service_state(&self, state: &ServiceState, now: Moment);
+    /// Whether a pull may be sent, by the current clock: the process may have been stopped since its step
+    /// began.
     fn may_send(&self) -> bool;
-    /// When whoever is turned away for that may come again, in milliseconds.
+    /// The delay in milliseconds after which a client that is refused for that reason may retry.
     fn retry_after_ms(&self) -> u64;
-    /// `acted`: what [`Witness::acts_by`] said when its last pull went out; none: it had no pull.
+    /// A download ended. `state_number` is the [`Observer::state_number`] at its last pull; `None` if it had no
+    /// pull.
     fn on_download_end(
         &self,
         content: ContentIx,
-        became: DownloadOutcome,
+        outcome: DownloadOutcome,
         id: u64,
-        acted: Option<u64>,
+        state_number: Option<u64>,
         now: Moment,
     );
-    /// A number for what the router goes by now.
+    /// A number for the state that the router acts on now.
     fn state_number(&self) -> u64;
-    /// Nothing more will come: what is open is to be told before the router ends.
+    /// The router is about to end: pending reports have to be sent now.
     fn on_shutdown(&self);
-    /// A pull goes out to that node; none: nothing of the router is told to it.
+    /// A pull is sent to this node. Returns the audit mark to send with it, if the node is to get one.
     fn on_pull(&self, node: &str, now: Moment) -> Option<AuditMark>;
 }
--- a/crates/router/src/routing/task.rs
+++ b/crates/router/src/routing/task.rs
@@ -1,4 +1,4 @@
-//! Runs a `Routing` on the real clock: two queues in, one turn for all that has come.
+//! Runs a [`Routing`] on the real clock: it reads two queues and handles all waiting inputs in one step.
 use super::{Input, Routing, Transport};
 use async_channel::Receiver;
 use async_io::Timer;
@@ -6,8 +6,8 @@
 use harestage::time::Moment;
 use harestage_sockets::clock::Clock;
 
-/// `clients` never holds up whoever brings news there, and so is emptied in each turn; `inbox` does, since what nodes
-/// answer is large.
+/// `clients` is unbounded, so that its senders never wait, and is emptied in each step. `inbox` is bounded,
+/// since answers of nodes are large.
 pub async fn run(
     mut routing: Routing,
     clients: Receiver<Input>,
@@ -18,7 +18,7 @@
 ) {
     let mut inputs = Vec::with_capacity(max_inputs_per_step);
     let mut timer = Timer::never();
-    // Setting a timer costs calls to the system, so one that fires too early is left as it is.
+    // Setting a timer costs system calls, so one that fires too early is left as it is.
     let mut set_for: Option<Moment> = None;
     loop {
         if let Some(due) = routing.next_timer().filter(|due| set_for.is_none_or(|at| *due < at)) {
@@ -35,7 +35,8 @@
             set_for = None;
         }
         inputs.extend(woken);
-        // A client that leaves is heard of before anything is done for it.
+        // All inputs from clients are taken first, so that a client's disconnect is seen before anything is
+        // done for it.
         inputs.extend(std::iter::from_fn(|| clients.try_recv().ok()));
         inputs.extend(std::iter::from_fn(|| inbox.try_recv().ok()).take(max_inputs_per_step));
         routing.step(clock.now(), inputs.drain(..), &mut transport);
--- a/crates/router/src/transport/client.rs
+++ b/crates/router/src/transport/client.rs
@@ -1,7 +1,7 @@
-//! Connections from clients. Each has a reader, which reads on whatever else goes on, so that a client that has gone
-//! or cancels is noticed at once, and a writer with its own queue. What is past a bound is throttled at once. One
-//! sweep over all of them ends those that have stalled, and where no more connections may be held, the one that is
-//! needed least. A connection is ended by a half-close wherever its client may still be writing (docs/crossings.md).
+//! Connections from clients. Each has a reader, which never stops reading, so that a disconnect or a cancel
+//! is noticed at once, and a writer with its own queue. Downloads over a limit are throttled at once. A sweep
+//! over all connections ends the stalled ones and, at the connection limit, the one that is needed least.
+//! Wherever its client may still be writing, a connection is ended by a half-close (docs/crossings.md).
 use super::{SocketReader, Stream, write_packets};
 use crate::program::limits::Limits;
 use crate::routing::{ClientId, Input};
@@ -20,70 +20,73 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What a client that has nothing open is taken to be about.
+/// State of a client's input.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Stand {
-    /// No whole message has come from it yet.
+enum InputState {
+    /// No complete message has arrived yet.
     New,
-    /// A further message has begun to come in.
-    Inside,
-    /// Nothing is under way.
-    AtRest,
+    /// Part of a further message has arrived.
+    MidMessage,
+    /// Between two messages.
+    Idle,
 }
 
-/// How a connection that others than its own client want to be over is ended.
+/// How to end a connection from the router's side.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Ending {
-    /// Nothing more is written: its client takes nothing.
+    /// At once, without writing anything more: the client reads nothing.
     Cut(&'static str),
-    /// Once nothing is open and all is written, also inside a message.
+    /// Once no download is open and everything is written, even if part of a message has arrived.
     Close(&'static str),
-    /// The same, but a message that has begun to come in is waited for.
+    /// The same, but waits for the rest of a message of which a part has arrived.
     CloseBetweenMessages(&'static str),
 }
 
-/// Why a reader reads no more.
-enum Read {
-    /// The client has gone: nothing is owed any more.
-    Gone(String),
-    /// What is open still gets its answers, and no further message is taken.
-    Closes(String),
+/// Why a reader stopped.
+enum ReadEnd {
+    /// The client has disconnected; its downloads are cancelled.
+    Disconnected(String),
+    /// Open downloads still get their answers, but no further message is read.
+    Close(String),
 }
 
-/// One client connection, as far as others than its own task need it.
+/// One client connection, as seen by other tasks than its own.
 struct Connection {
     queue: RefCell<VecDeque<Packet>>,
-    /// Downloads that are not answered yet, by tag, and the bytes that each holds.
+    /// Open downloads by tag, with the bytes that each holds.
     open: RefCell<HashMap<u64, usize>>,
+    /// Bytes that the open downloads hold.
     held: Cell<usize>,
+    /// Bytes of answers that are not written yet.
     unsent: Cell<usize>,
-    wrote: Cell<Instant>,
-    stand: Cell<Stand>,
-    /// Since when it stands so.
-    since: Cell<Instant>,
+    last_write_at: Cell<Instant>,
+    input_state: Cell<InputState>,
+    /// When the state last changed.
+    state_since: Cell<Instant>,
     ending: Cell<Option<Ending>>,
     wake: Event,
-    /// Nothing is open any more, or everything is written: whoever wants to close it looks again.
-    rests: Event,
-    /// An ending was set.
-    ended: Event,
+    /// No download is open any more, or everything is written: tasks that want to close the connection check
+    /// again.
+    idle: Event,
+    /// `ending` was set.
+    ending_set: Event,
 }
 
 impl Connection {
-    fn stands(&self, stand: Stand) {
-        self.stand.set(stand);
-        self.since.set(Instant::now());
+    fn set_input_state(&self, input_state: InputState) {
+        self.input_state.set(input_state);
+        self.state_since.set(Instant::now());
     }
 
     fn has_nothing_open(&self) -> bool {
         self.unsent.get() == 0 && self.open.borrow().is_empty()
     }
 
-    /// A cut is final; what waits for rest may still become one.
+    /// `Cut` is final; the other ways to end may still be replaced.
     fn end(&self, ending: Ending) {
         if !self.is_cut() {
             self.ending.set(Some(ending));
-            self.ended.notify(usize::MAX);
+            self.ending_set.notify(usize::MAX);
         }
     }
 
@@ -91,110 +94,113 @@
         matches!(self.ending.get(), Some(Ending::Cut(_)))
     }
 
-    /// Why it is to be closed now, if it is.
-    fn may_close(&self, inside: bool) -> Option<&'static str> {
+    /// The reason to close now, if the connection may be closed.
+    fn may_close(&self, is_mid_message: bool) -> Option<&'static str> {
         match self.ending.get()? {
             _ if !self.has_nothing_open() => None,
             Ending::Cut(why) | Ending::Close(why) => Some(why),
-            Ending::CloseBetweenMessages(why) => (!inside).then_some(why),
+            Ending::CloseBetweenMessages(why) => (!is_mid_message).then_some(why),
         }
     }
 
-    /// Why it has to go, if it has.
+    /// How to end the connection if it is overdue.
     fn overdue(&self, limits: &Limits) -> Option<Ending> {
-        let stood = self.since.get().elapsed();
+        let elapsed = self.state_since.get().elapsed();
         if self.unsent.get() > 0 {
-            let stalled = self.wrote.get().elapsed() > limits.client_stall;
-            return stalled.then_some(Ending::Cut("the client takes nothing"));
+            let stalled = self.last_write_at.get().elapsed() > limits.client_stall;
+            return stalled.then_some(Ending::Cut("the client reads nothing"));
         }
         if !self.open.borrow().is_empty() {
             return None;
         }
-        let (most, why) = match self.stand.get() {
-            Stand::New => (limits.client_first, "no message came"),
-            Stand::Inside => (limits.client_message, "a message did not end"),
-            Stand::AtRest => (limits.client_idle, "idle"),
+        let (limit, why) = match self.input_state.get() {
+            InputState::New => (limits.client_first, "no message received"),
+            InputState::MidMessage => (limits.client_message, "incomplete message"),
+            InputState::Idle => (limits.client_idle, "idle"),
         };
-        (stood > most).then_some(Ending::Close(why))
+        (elapsed > limit).then_some(Ending::Close(why))
     }
 
-    /// How well a further client may have this one's place: first those that never said anything, then the one
-    /// at rest for longest. None: it has something open, or had no time to speak.
-    fn spare(&self, limits: &Limits) -> Option<(bool, Duration)> {
-        let (stand, stood) = (self.stand.get(), self.since.get().elapsed());
-        let may_go = self.ending.get().is_none() && self.has_nothing_open() && stood > limits.client_grace;
-        may_go.then_some((stand == Stand::New, stood))
+    /// Rank for giving this connection's slot to a new client: first connections that never sent a message,
+    /// then the longest idle. `None`: a download is open, or the client had too little time to send.
+    fn eviction_rank(&self, limits: &Limits) -> Option<(bool, Duration)> {
+        let (input_state, elapsed) = (self.input_state.get(), self.state_since.get().elapsed());
+        let is_evictable =
+            self.ending.get().is_none() && self.has_nothing_open() && elapsed > limits.client_grace;
+        is_evictable.then_some((input_state == InputState::New, elapsed))
     }
 }
 
-const ENDS: Ending = Ending::CloseBetweenMessages("the router ends");
+const SHUTDOWN: Ending = Ending::CloseBetweenMessages("the router is shutting down");
 
 /// All client connections.
 pub struct Clients {
     limits: Rc<Limits>,
     clock: Clock,
-    news: Sender<Input>,
+    inputs: Sender<Input>,
     log: Logger,
     connections: RefCell<HashMap<ClientId, Rc<Connection>>>,
     open: Cell<usize>,
     held: Cell<usize>,
     unsent: Cell<usize>,
-    /// Lines about clients in the log since the last sweep, those that were left out among them.
+    /// Log lines about clients since the last sweep, including suppressed ones.
     complaints: Cell<u64>,
-    last: Cell<ClientId>,
+    last_id: Cell<ClientId>,
     ready: Cell<bool>,
-    /// All are to be closed as soon as nothing is open on them.
-    ends: Cell<bool>,
-    /// A connection has gone.
-    left: Event,
+    /// All connections are to be closed as soon as nothing is open on them.
+    is_shutting_down: Cell<bool>,
+    /// A connection was removed.
+    removed: Event,
 }
 
 impl Clients {
-    /// `news` is a queue that never fills: what one client puts there between two turns of its reader's is bounded,
-    /// and a reader that waited there would not see its client go.
-    pub fn new(limits: Rc<Limits>, clock: Clock, news: Sender<Input>, log: Logger) -> Rc<Clients> {
+    /// `inputs` has to be an unbounded queue. What one client adds between two steps of its reader is bounded,
+    /// and a reader that waited for space would not notice that its client disconnects.
+    pub fn new(limits: Rc<Limits>, clock: Clock, inputs: Sender<Input>, log: Logger) -> Rc<Clients> {
         Rc::new(Clients {
             limits,
             clock,
-            news,
+            inputs,
             log,
             connections: RefCell::default(),
             open: Cell::new(0),
             held: Cell::new(0),
             unsent: Cell::new(0),
             complaints: Cell::new(0),
-            last: Cell::new(0),
+            last_id: Cell::new(0),
             ready: Cell::new(false),
-            ends: Cell::new(false),
-            left: Event::new(),
+            is_shutting_down: Cell::new(false),
+            removed: Event::new(),
         })
     }
 
+    /// Sets the answer to a client's question whether the router is ready.
     pub fn set_ready(&self, ready: bool) {
         self.ready.set(ready);
     }
 
-    /// Nothing is open and all that was answered is written.
+    /// Whether no download is open and all answers are written.
     pub fn is_idle(&self) -> bool {
         self.open.get() == 0 && self.unsent.get() == 0
     }
 
+    /// Number of downloads without an answer, over all clients.
     pub fn open_downloads(&self) -> usize {
         self.open.get()
     }
 
-    /// From now on each connection is closed as soon as nothing is open on it, new ones after a first look.
+    /// From now on closes each connection as soon as nothing is open on it; a new one after a first read.
     pub fn close_all(&self) {
-        self.ends.set(true);
+        self.is_shutting_down.set(true);
         for connection in self.connections.borrow().values() {
-            connection.end(ENDS);
+            connection.end(SHUTDOWN);
         }
     }
 
     /// Waits until no connection is left.
     pub async fn wait_all_closed(&self) {
         loop {
-            let left = self.left.listen();
+            let left = self.removed.listen();
             if self.connections.borrow().is_empty() {
                 return;
             }
@@ -202,10 +208,10 @@
         }
     }
 
-    /// Answers a download that is still open; a client that has gone or said never mind gets nothing.
+    /// Answers a download that is still open. A client that has disconnected or cancelled gets nothing.
     pub fn answer(&self, client: ClientId, tag: u64, answer: &ToClient) {
         let connection = self.connections.borrow().get(&client).cloned();
-        let Some(connection) = connection.filter(|connection| self.close_one(connection, tag)) else {
+        let Some(connection) = connection.filter(|connection| self.remove_download(connection, tag)) else {
             return;
         };
         if !connection.is_cut() {
@@ -213,41 +219,42 @@
         }
     }
 
-    /// Answers all that is still open.
+    /// Abandons all open downloads.
     pub fn abandon_all(&self) {
         let connections: Vec<_> =
-            self.connections.borrow().iter().map(|(no, connection)| (*no, connection.clone())).collect();
-        for (no, connection) in connections {
+            self.connections.borrow().iter().map(|(id, connection)| (*id, connection.clone())).collect();
+        for (id, connection) in connections {
             let tags: Vec<u64> = connection.open.borrow().keys().copied().collect();
-            tags.into_iter().for_each(|tag| self.answer(no, tag, &ToClient::Abandoned));
+            tags.into_iter().for_each(|tag| self.answer(id, tag, &ToClient::Abandoned));
         }
     }
 
-    fn open_one(&self, connection: &Connection, tag: u64, bytes: usize) {
+    fn add_download(&self, connection: &Connection, tag: u64, bytes: usize) {
         connection.open.borrow_mut().insert(tag, bytes);
         connection.held.set(connection.held.get() + bytes);
         self.held.set(self.held.get() + bytes);
         self.open.set(self.open.get() + 1);
     }
 
-    fn close_one(&self, connection: &Connection, tag: u64) -> bool {
+    fn remove_download(&self, connection: &Connection, tag: u64) -> bool {
         let Some(bytes) = connection.open.borrow_mut().remove(&tag) else { return false };
         connection.held.set(connection.held.get() - bytes);
         self.held.set(self.held.get() - bytes);
         self.open.set(self.open.get() - 1);
-        self.look_again(connection);
+        self.notify_if_idle(connection);
         true
     }
 
-    /// Whoever wants to close a connection waits for this.
-    fn look_again(&self, connection: &Connection) {
+    /// Wakes tasks that wait to close the connection.
+    fn notify_if_idle(&self, connection: &Connection) {
         if connection.has_nothing_open() {
-            connection.rests.notify(usize::MAX);
+            connection.idle.notify(usize::MAX);
         }
     }
 
-    /// Guards the log, and the core that writes it, against clients that misbehave by hundreds.
-    fn complain(&self, client: ClientId, what: &str, why: &str) {
+    /// Limits the log lines about misbehaving clients, of which there may be hundreds, and the processor time
+    /// that they cost.
+    fn log_complaint(&self, client: ClientId, what: &str, why: &str) {
         self.complaints.set(self.complaints.get() + 1);
         if self.complaints.get() <= self.limits.complaints {
             info!(self.log, "{}", what; "client" => client, "why" => why);
@@ -256,92 +263,97 @@
 
     fn queue(&self, connection: &Connection, packet: Packet) {
         if connection.unsent.get() == 0 {
-            connection.wrote.set(Instant::now());
+            connection.last_write_at.set(Instant::now());
         }
         connection.unsent.set(connection.unsent.get() + packet.len());
         self.unsent.set(self.unsent.get() + packet.len());
         connection.queue.borrow_mut().push_back(packet);
         connection.wake.notify(usize::MAX);
         if connection.queue.borrow().len() > self.limits.client_unsent_answers {
-            self.cut(connection, "it asks on and takes no answers");
+            self.cut(connection, "it sends requests without reading answers");
         } else if self.unsent.get() > self.limits.unsent_bytes {
-            self.cut_fullest();
+            self.cut_largest();
         }
     }
 
-    /// Counted out at once, or the next answer would end the next client for the same bytes.
+    /// The bytes are subtracted at once: otherwise the next answer would cut another client for the same
+    /// bytes.
     fn cut(&self, connection: &Connection, why: &'static str) {
         connection.end(Ending::Cut(why));
         connection.queue.borrow_mut().clear();
         self.unsent.set(self.unsent.get() - connection.unsent.replace(0));
     }
 
-    /// Guards the memory limit against clients that ask and don't read: the one with most waiting goes.
-    fn cut_fullest(&self) {
+    /// Guards the memory limit against clients that don't read their answers: cuts the one with the most
+    /// unsent bytes.
+    fn cut_largest(&self) {
         let connections = self.connections.borrow();
-        let fullest =
-            connections.iter().filter(|(_, l)| !l.is_cut()).max_by_key(|(no, l)| (l.unsent.get(), **no));
-        if let Some((no, connection)) = fullest {
-            warn!(self.log, "client ended: too much unsent"; "client" => no, "bytes" => connection.unsent.get());
-            self.cut(connection, "too much unsent");
+        let largest = connections
+            .iter()
+            .filter(|(_, connection)| !connection.is_cut())
+            .max_by_key(|(id, connection)| (connection.unsent.get(), **id));
+        if let Some((id, connection)) = largest {
+            warn!(self.log, "client disconnected: too many unsent bytes"; "client" => id, "bytes" => connection.unsent.get());
+            self.cut(connection, "too many unsent bytes");
         }
     }
 
-    /// Admission: what is held of this client and of all may not grow further. One that holds no more than its part
-    /// is taken on: a few that send much must not turn all others away.
+    /// Admission control by the downloads and bytes held for this client and for all. A client that holds no
+    /// more than an equal share is admitted while the total is over its limit: a few that send much must not
+    /// shut out all others.
     fn is_full(&self, connection: &Connection) -> bool {
         let limits = &self.limits;
-        let part = limits.held_bytes / limits.clients;
+        let share = limits.held_bytes / limits.clients;
         self.open.get() >= limits.downloads
-            || self.held.get() >= limits.held_bytes && connection.held.get() > part
+            || self.held.get() >= limits.held_bytes && connection.held.get() > share
             || connection.held.get() >= limits.client_held_bytes
             || connection.unsent.get() >= limits.client_unsent_bytes
     }
 
-    fn enter(&self) -> (ClientId, Rc<Connection>) {
+    fn register(&self) -> (ClientId, Rc<Connection>) {
         let now = Instant::now();
         let connection = Rc::new(Connection {
             queue: RefCell::default(),
             open: RefCell::default(),
             held: Cell::new(0),
             unsent: Cell::new(0),
-            wrote: Cell::new(now),
-            stand: Cell::new(Stand::New),
-            since: Cell::new(now),
-            ending: Cell::new(self.ends.get().then_some(ENDS)),
+            last_write_at: Cell::new(now),
+            input_state: Cell::new(InputState::New),
+            state_since: Cell::new(now),
+            ending: Cell::new(self.is_shutting_down.get().then_some(SHUTDOWN)),
             wake: Event::new(),
-            rests: Event::new(),
-            ended: Event::new(),
+            idle: Event::new(),
+            ending_set: Event::new(),
         });
-        self.last.set(self.last.get() + 1);
-        self.connections.borrow_mut().insert(self.last.get(), connection.clone());
-        (self.last.get(), connection)
+        self.last_id.set(self.last_id.get() + 1);
+        self.connections.borrow_mut().insert(self.last_id.get(), connection.clone());
+        (self.last_id.get(), connection)
     }
 
-    /// Nothing is owed to this client any more.
-    fn hang_up(&self, client: ClientId, connection: &Connection) {
+    /// Drops the client's open downloads.
+    fn drop_downloads(&self, client: ClientId, connection: &Connection) {
         let open = connection.open.take().len();
         self.open.set(self.open.get() - open);
         self.held.set(self.held.get() - connection.held.take());
         if open > 0 {
-            self.tell(Input::Disconnected { client });
+            self.send_input(Input::Disconnected { client });
         }
     }
 
-    /// Its descriptor is free.
-    fn leave(&self, client: ClientId) {
+    /// Removes the connection once its file descriptor is closed.
+    fn remove(&self, client: ClientId) {
         let Some(connection) = self.connections.borrow_mut().remove(&client) else { return };
         self.unsent.set(self.unsent.get() - connection.unsent.get());
-        self.left.notify(usize::MAX);
+        self.removed.notify(usize::MAX);
     }
 
-    /// Fails only once the routing task has ended, and the program with it.
-    fn tell(&self, news: Input) {
-        let _ = self.news.try_send(news);
+    /// Fails only after the routing task has ended, and the program with it.
+    fn send_input(&self, input: Input) {
+        let _ = self.inputs.try_send(input);
     }
 }
 
-/// Ends what is overdue, for as long as it is polled.
+/// Ends overdue connections, for as long as it is polled.
 pub async fn sweep(clients: Rc<Clients>) {
     loop {
         Timer::after(clients.limits.sweep_every).await;
@@ -350,46 +362,47 @@
                 connection.end(ending);
             }
         }
-        let left_out = clients.complaints.take().saturating_sub(clients.limits.complaints);
-        if left_out > 0 {
-            info!(clients.log, "lines about clients left out"; "lines" => left_out);
+        let suppressed = clients.complaints.take().saturating_sub(clients.limits.complaints);
+        if suppressed > 0 {
+            info!(clients.log, "log lines about clients suppressed"; "lines" => suppressed);
         }
     }
 }
 
-/// Closes the connections that are needed least, a few at once: a client that does not close its own side keeps its
-/// place for as long as a half-close is waited for.
+/// Closes the connections that are needed least, a few at a time: a client that does not close its own side
+/// keeps its slot until the half-close times out.
 fn make_room(clients: &Clients) {
     let connections = clients.connections.borrow();
     let ending = connections.values().filter(|connection| connection.ending.get().is_some()).count();
-    let spare = connections
+    let candidates = connections
         .iter()
-        .filter_map(|(no, connection)| Some((connection.spare(&clients.limits)?, *no, connection)));
-    let mut spare: Vec<_> = spare.collect();
-    spare.sort_unstable_by_key(|(spare, no, _)| (*spare, *no));
-    let most = clients.limits.client_closings.saturating_sub(ending);
-    for (_, _, connection) in spare.iter().rev().take(most) {
-        connection.end(Ending::Close("its place was needed"));
+        .filter_map(|(id, connection)| Some((connection.eviction_rank(&clients.limits)?, *id, connection)));
+    let mut candidates: Vec<_> = candidates.collect();
+    candidates.sort_unstable_by_key(|(rank, id, _)| (*rank, *id));
+    let allowed = clients.limits.client_closings.saturating_sub(ending);
+    for (_, _, connection) in candidates.iter().rev().take(allowed) {
+        connection.end(Ending::Close("its slot was needed"));
     }
 }
 
-/// Accepts for as long as it is polled, also after the machine has run out of descriptors for a while. Guards
-/// against clients that come by hundreds and keep their connections: those that do nothing go first.
+/// Accepts connections for as long as it is polled, and goes on after the process ran out of file
+/// descriptors. Against hundreds of clients that keep connections open, those that do nothing are closed
+/// first.
 pub async fn listen(clients: Rc<Clients>, listener: Rc<Async<TcpListener>>, executor: super::Executor) {
     let mut refused = false;
     loop {
         while clients.connections.borrow().len() >= clients.limits.clients {
-            let room = clients.left.listen();
+            let removed = clients.removed.listen();
             make_room(&clients);
-            let spared = async {
+            let next_attempt = async {
                 Timer::after(clients.limits.client_grace / 2).await;
             };
-            or(room, spared).await;
+            or(removed, next_attempt).await;
         }
         match listener.accept().await {
             Ok((stream, _)) => {
                 refused = false;
-                take_on(&clients, stream, &executor);
+                spawn_connection(&clients, stream, &executor);
             }
             Err(why) => {
                 if !refused {
@@ -402,29 +415,29 @@
     }
 }
 
-/// Entered here and not by its task, which may run only after many more were accepted.
-fn take_on(clients: &Rc<Clients>, stream: Stream, executor: &super::Executor) {
-    let (no, connection) = clients.enter();
-    let served = serve(clients.clone(), no, connection, Rc::new(stream), executor.clone());
+/// The connection is registered here and not by its task, which may run only after many more were accepted.
+fn spawn_connection(clients: &Rc<Clients>, stream: Stream, executor: &super::Executor) {
+    let (id, connection) = clients.register();
+    let served = serve(clients.clone(), id, connection, Rc::new(stream), executor.clone());
     executor.spawn(served).detach();
 }
 
-/// Takes on what the machine has accepted and nobody has seen yet: with its listener such a connection would be reset,
-/// and what had been asked on it would be lost.
+/// Accepts connections that the kernel has completed but nobody has accepted yet. Closing the listener would
+/// reset them, and requests on them would be lost.
 pub fn accept_pending(clients: &Rc<Clients>, listener: &Async<TcpListener>, executor: &super::Executor) {
     while clients.connections.borrow().len() < clients.limits.clients
         && let Ok((stream, _)) = listener.get_ref().accept()
         && let Ok(stream) = Async::new(stream)
     {
-        take_on(clients, stream, executor);
+        spawn_connection(clients, stream, executor);
     }
 }
 
-/// The writer is a task of its own: what wakes one side must not make the other try its socket for nothing. Either
-/// may be dropped half way: by then its client has gone, or is cut off.
+/// The writer is a task of its own, so that a wakeup of one side does not make the other poll its socket in
+/// vain. Either may be dropped at any point: by then the client has disconnected or is cut off.
 async fn serve(
     clients: Rc<Clients>,
-    no: ClientId,
+    id: ClientId,
     connection: Rc<Connection>,
     stream: Rc<Stream>,
     executor: super::Executor,
@@ -433,32 +446,32 @@
     let mut writer = executor.spawn(write(clients.clone(), connection.clone(), stream.clone()));
     let reader = async {
         let mut source = SocketReader::new(&stream);
-        match read(&clients, no, &connection, &mut source).await {
-            Read::Gone(why) => why,
-            Read::Closes(why) => {
+        match read(&clients, id, &connection, &mut source).await {
+            ReadEnd::Disconnected(why) => why,
+            ReadEnd::Close(why) => {
                 close(&clients, &connection, &mut source).await;
                 why
             }
         }
     };
     let why = or(or(reader, &mut writer), cut_off(&connection)).await;
-    debug!(clients.log, "client gone"; "client" => no, "why" => &why);
-    // At once, in the turn in which its last messages were taken; its place is free only once the descriptor is, which
-    // the writer holds too.
-    clients.hang_up(no, &connection);
+    debug!(clients.log, "client connection ended"; "client" => id, "why" => &why);
+    // The downloads are dropped in the step that took the last messages. The slot is free only once the
+    // descriptor is closed, and the writer holds it too.
+    clients.drop_downloads(id, &connection);
     writer.cancel().await;
     drop(stream);
-    clients.leave(no);
+    clients.remove(id);
 }
 
-/// Reads until the client has gone or the connection is to be closed. Nothing else stops it: whoever does not read
-/// can't know that its client has gone.
+/// Reads until the client disconnects or the connection is to be closed. Nothing else may stop the reader,
+/// since a disconnect is only noticed by reading.
 async fn read(
     clients: &Clients,
-    no: ClientId,
+    id: ClientId,
     connection: &Connection,
     source: &mut SocketReader<'_>,
-) -> Read {
+) -> ReadEnd {
     let limits = &clients.limits;
     let (items, item_bytes) = (limits.client_items, limits.client_item_bytes);
     let bounds = Bounds {
@@ -467,51 +480,51 @@
         initial_item_capacity: limits.client_item_room,
     };
     let mut decoder = Decoder::new(bounds, limits.read_buffer);
-    let mut unusable = 0;
+    let mut invalid_messages = 0;
     loop {
-        let taken = match decoder.next_message() {
+        let decoded = match decoder.next_message() {
             Ok(Some(items)) => client::decode(items),
             Ok(None) => {
-                if decoder.is_mid_message() && connection.stand.get() == Stand::AtRest {
-                    connection.stands(Stand::Inside);
+                if decoder.is_mid_message() && connection.input_state.get() == InputState::Idle {
+                    connection.set_input_state(InputState::MidMessage);
                 }
                 match next_bytes(connection, source, &mut decoder).await {
                     Ok(()) => continue,
-                    Err(read) => return read,
+                    Err(end) => return end,
                 }
             }
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         };
-        let message = match taken {
+        let message = match decoded {
             Ok(message) => message,
-            Err(fault) => {
-                clients.complain(no, "client ended: unreadable", &fault.to_string());
-                return Read::Closes(fault.to_string());
+            Err(error) => {
+                clients.log_complaint(id, "client disconnected: malformed input", &error.to_string());
+                return ReadEnd::Close(error.to_string());
             }
         };
-        connection.stands(Stand::AtRest);
-        // Two answers under one tag could not be told apart, whatever they said.
+        connection.set_input_state(InputState::Idle);
+        // Two answers under one tag could not be told apart.
         let tag = message.answer_tag();
         if tag.is_some_and(|tag| connection.open.borrow().contains_key(&tag)) {
-            clients.complain(no, "client ended: a tag twice", "");
-            return Read::Closes("a tag twice".into());
-        }
-        if let Some((tag, why)) = taken_in(clients, no, connection, message) {
-            unusable += 1;
-            if unusable > limits.client_unusable {
-                // A flood: what it holds open takes room from others, so that nothing more is done for it.
-                return Read::Gone("too many unusable messages".into());
+            clients.log_complaint(id, "client disconnected: duplicate tag", "");
+            return ReadEnd::Close("duplicate tag".into());
+        }
+        if let Some((tag, why)) = handle_message(clients, id, connection, message) {
+            invalid_messages += 1;
+            if invalid_messages > limits.client_unusable {
+                // This is a flood; its open downloads take resources from others, so that they are dropped.
+                return ReadEnd::Disconnected("too many invalid messages".into());
             }
-            clients.complain(no, "client message unusable", why);
+            clients.log_complaint(id, "invalid client message", why);
             clients.queue(connection, client::encode_answer(tag, &ToClient::Abandoned));
         }
     }
 }
 
-/// Carries out what a message asks for; gives its tag and the reason where it can't be.
-fn taken_in(
+/// Carries out a message. Returns its tag and the reason if that is impossible.
+fn handle_message(
     clients: &Clients,
-    no: ClientId,
+    id: ClientId,
     connection: &Connection,
     message: FromClient,
 ) -> Option<(u64, &'static str)> {
@@ -523,79 +536,80 @@
         }
         FromClient::Invalid { tag, reason: why } => return Some((tag, why)),
         FromClient::Cancel { tag } => {
-            if clients.close_one(connection, tag) {
-                clients.tell(Input::Cancel { client: no, tag });
+            if clients.remove_download(connection, tag) {
+                clients.send_input(Input::Cancel { client: id, tag });
             }
         }
         FromClient::Download { tag, .. } if connection.open.borrow().len() >= limits.client_open => {
-            return Some((tag, "too many open"));
+            return Some((tag, "too many open downloads"));
         }
         FromClient::Download { tag, .. } if clients.is_full(connection) => {
             let retry_after_ms = limits.full_retry_after.as_millis() as u64;
             clients.queue(connection, client::encode_answer(tag, &ToClient::Throttled { retry_after_ms }));
         }
-        FromClient::Download { tag, request: wish } => {
-            clients.open_one(connection, tag, wish.body.len() + limits.download_bytes);
-            clients.tell(Input::Download { client: no, tag, wish, at: clients.clock.now() });
+        FromClient::Download { tag, request } => {
+            clients.add_download(connection, tag, request.body.len() + limits.download_bytes);
+            clients.send_input(Input::Download { client: id, tag, request, at: clients.clock.now() });
         }
     }
     None
 }
 
-/// Waits for more from the client, or for the moment in which the connection may be closed. It looks before it waits,
-/// in the turn in which the last messages were taken: of a client that asked and left while nobody read, the routing
-/// task hears both at once, and what was there before a close is taken.
+/// Waits for more bytes or for the moment when the connection may be closed. It reads before it waits, in the
+/// step that took the last messages: if a client sent requests and disconnected while the process did not
+/// run, the routing task gets both in one step, and requests that arrived before a close are taken.
 async fn next_bytes(
     connection: &Connection,
     source: &mut SocketReader<'_>,
     decoder: &mut Decoder,
-) -> Result<(), Read> {
-    let gone = |why: String| Err(Read::Gone(why));
+) -> Result<(), ReadEnd> {
+    let disconnected = |why: String| Err(ReadEnd::Disconnected(why));
     if source.expects_more() {
-        // Guards others' time against a client that always has more.
+        // A client that always has more to read must not starve the others.
         yield_now().await;
     }
     loop {
-        let (rests, ended) = (connection.rests.listen(), connection.ended.listen());
+        let (idle, ending_set) = (connection.idle.listen(), connection.ending_set.listen());
         match source.try_read(decoder) {
             Ok(None) => {}
-            Ok(Some(0)) => return gone("closed by the client".into()),
+            Ok(Some(0)) => return disconnected("closed by the client".into()),
             Ok(Some(_)) => return Ok(()),
-            Err(why) => return gone(why.to_string()),
+            Err(why) => return disconnected(why.to_string()),
         }
         if let Some(why) = connection.may_close(decoder.is_mid_message()) {
-            return Err(Read::Closes(why.into()));
+            return Err(ReadEnd::Close(why.into()));
         }
-        // What is dropped here has read nothing.
+        // Dropping this future loses no bytes, since it only waits.
         let readable = async { source.readable().await.err() };
-        let look = async {
-            or(rests, ended).await;
+        let may_be_closable = async {
+            or(idle, ending_set).await;
             None
         };
-        if let Some(why) = or(readable, look).await {
-            return gone(why.to_string());
+        if let Some(why) = or(readable, may_be_closable).await {
+            return disconnected(why.to_string());
         }
     }
 }
 
-/// Guards answers that are on their way against a reset: a close over unread bytes sends one. What is open gets its
-/// answer, then this side is shut, and what the client still writes is thrown away until it has closed its own.
+/// Guards answers in transit: closing a socket with unread bytes resets the connection. Open downloads get
+/// their answers, then the write side is shut down, and the client's further bytes are discarded until it
+/// closes its own side.
 async fn close(clients: &Clients, connection: &Connection, source: &mut SocketReader<'_>) {
     let limits = &clients.limits;
     let answered = async {
         loop {
-            let rests = connection.rests.listen();
+            let idle = connection.idle.listen();
             if connection.has_nothing_open() {
                 return true;
             }
-            rests.await;
+            idle.await;
         }
     };
-    let gone = async {
+    let disconnected = async {
         discard(source, limits.client_discarded_bytes).await;
         false
     };
-    if !or(answered, gone).await {
+    if !or(answered, disconnected).await {
         return;
     }
     let _ = source.stream().get_ref().shutdown(Shutdown::Write);
@@ -605,9 +619,9 @@
     or(discard(source, limits.client_discarded_bytes), late).await;
 }
 
-/// Returns once the client has gone; past the bound it never does.
-async fn discard(source: &mut SocketReader<'_>, most: usize) {
-    let mut left = most;
+/// Returns once the client has closed; after too many bytes it never returns.
+async fn discard(source: &mut SocketReader<'_>, max: usize) {
+    let mut left = max;
     while left > 0 {
         match source.discard().await {
             Ok(bytes) if bytes > 0 => left = left.saturating_sub(bytes),
@@ -618,8 +632,8 @@
     std::future::pending().await
 }
 
-fn take_packets(queue: &mut VecDeque<Packet>, most: usize) -> Vec<Packet> {
-    let packets = most.min(queue.len());
+fn take_packets(queue: &mut VecDeque<Packet>, max: usize) -> Vec<Packet> {
+    let packets = max.min(queue.len());
     queue.drain(..packets).collect()
 }
 
@@ -637,13 +651,13 @@
             if connection.is_cut() {
                 return;
             }
-            connection.wrote.set(Instant::now());
-            if connection.stand.get() == Stand::AtRest {
-                connection.since.set(connection.wrote.get());
+            connection.last_write_at.set(Instant::now());
+            if connection.input_state.get() == InputState::Idle {
+                connection.state_since.set(connection.last_write_at.get());
             }
             connection.unsent.set(connection.unsent.get() - bytes);
             clients.unsent.set(clients.unsent.get() - bytes);
-            clients.look_again(&connection);
+            clients.notify_if_idle(&connection);
         };
         if let Err(why) = write_packets(&stream, &packets, progress).await {
             return why.to_string();
@@ -651,13 +665,13 @@
     }
 }
 
-/// Waits until this connection is cut.
+/// Waits until the connection is cut.
 async fn cut_off(connection: &Connection) -> String {
     loop {
-        let ended = connection.ended.listen();
+        let ending_set = connection.ending_set.listen();
         if let Some(Ending::Cut(why)) = connection.ending.get() {
             return why.into();
         }
-        ended.await;
+        ending_set.await;
     }
 }
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! The sockets: clients, nodes and the control feed. What comes in goes to the routing task by its one
-//! queue, and what goes out waits in a queue for each connection. Nothing here decides.
+//! Sockets of clients, nodes and the control feed. Inputs go to the routing task through its queues, and
+//! output waits in a queue per connection. No decisions are made here.
 pub mod client;
 pub mod feed;
 pub mod node;
@@ -11,7 +11,7 @@
 use harestage_wire::{Packet, fields::HexId};
 use std::rc::Rc;
 
-/// Both sides of a router, as the routing task sees them.
+/// The router's connections to clients and nodes, as the routing task uses them.
 pub struct SocketTransport {
     pub clients: Rc<client::Clients>,
     pub nodes: node::NodeConnections,
--- a/crates/router/src/transport/node.rs
+++ b/crates/router/src/transport/node.rs
@@ -1,5 +1,6 @@
-//! Connections to caches, parents and the origin. Each carries a few pulls at once, so that one spoilt answer
-//! takes few others with it; a further one is opened where those are busy, were replaced, or get nowhere.
+//! Connections to caches, parents and the origin. Each carries only a few pulls at once, so that one
+//! corrupted answer affects few of them. Another connection is opened if the existing ones are busy, retired
+//! or stalled.
 use super::{Executor, SocketReader, Stream, write_packets};
 use crate::program::limits::Limits;
 use crate::routing::nodes::{NodeEntry, NodeId};
@@ -18,16 +19,18 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often a write that is under way looks whether it may go on.
-const LAPSE: Duration = Duration::from_millis(50);
+/// Interval at which a running write checks whether it may continue.
+const PERMISSION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
+/// A message to a node.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Message {
     Pull(PullId, HexId),
-    /// Calls a pull back.
+    /// Cancels a pull.
     Cancel(PullId),
 }
 
+/// A message that waits to be written.
 struct Queued {
     message: Message,
     packet: Packet,
@@ -46,8 +49,8 @@
     }
 }
 
-/// Ids that a connection has had an answer to, or whose pull was given up on it: what still comes for them must not
-/// pass for the answer to a new pull of the same download. The oldest are forgotten past a bound.
+/// Ids that were answered or given up on a connection. A late answer for such an id must not be taken for the
+/// answer to a new pull of the same download. The oldest ids are forgotten at a limit.
 #[derive(Default)]
 struct SpentIds {
     by_age: VecDeque<HexId>,
@@ -55,8 +58,8 @@
 }
 
 impl SpentIds {
-    fn spend(&mut self, id: HexId, most: usize) {
-        if self.by_age.len() >= most
+    fn add(&mut self, id: HexId, max: usize) {
+        if self.by_age.len() >= max
             && let Some(oldest) = self.by_age.pop_front()
         {
             self.ids.remove(&oldest);
@@ -70,54 +73,58 @@
 /// A connection to a node.
 struct Connection {
     queue: RefCell<VecDeque<Queued>>,
-    /// Pulls that were written whole and wait for their answer, and when that was.
-    written: RefCell<HashMap<HexId, (PullId, Instant)>>,
-    /// The pull being written, which may still be given up as one that never came whole.
+    /// Pulls that are written whole and wait for their answers, and when they were written.
+    awaiting_answer: RefCell<HashMap<HexId, (PullId, Instant)>>,
+    /// The pull that is being written. If the connection ends now, the node can't have run it.
     writing: Cell<Option<(PullId, HexId)>>,
-    /// Since when a packet, given up or not, has been on its way out.
-    writes: Cell<Option<Instant>>,
-    /// Called back, and the cancel is not written yet: until it is, the node may be at work on them.
-    called_back: RefCell<Vec<PullId>>,
+    /// Since when the current packet, cancelled or not, is being written.
+    write_started: Cell<Option<Instant>>,
+    /// Pulls whose cancel is not written yet: the node may still be running them.
+    pending_cancels: RefCell<Vec<PullId>>,
     spent: RefCell<SpentIds>,
     retired: Cell<bool>,
     ended: Cell<bool>,
-    /// When a whole answer last came in. Bytes alone prove nothing: a wrong length swallows what follows it.
-    brought: Cell<Instant>,
-    /// Since when an answer stands half read without another byte.
-    halted: Cell<Option<Instant>>,
-    busy: Cell<Instant>,
+    /// When the last complete answer arrived. Bytes alone prove nothing: an answer with a wrong length
+    /// swallows those that follow it.
+    last_answer_at: Cell<Instant>,
+    /// Since when the rest of a partial answer is awaited without another byte.
+    partial_since: Cell<Option<Instant>>,
+    last_used_at: Cell<Instant>,
     wake: Event,
-    look: Event,
+    check: Event,
 }
 
 impl Connection {
     fn load(&self) -> usize {
         let queued = self.queue.borrow().iter().filter(|q| q.pull().is_some()).count();
-        queued + self.written.borrow().len() + usize::from(self.writing.get().is_some())
+        queued + self.awaiting_answer.borrow().len() + usize::from(self.writing.get().is_some())
     }
 
-    /// Two pulls of one id on one connection could not be told apart, nor a new one from one given up.
-    fn knows(&self, id: HexId) -> bool {
-        self.written.borrow().contains_key(&id)
+    /// Two pulls with one id on one connection could not be told apart, nor a new pull from one that was
+    /// given up.
+    fn has_id(&self, id: HexId) -> bool {
+        self.awaiting_answer.borrow().contains_key(&id)
             || self.writing.get().is_some_and(|(_, writing)| writing == id)
             || self.queue.borrow().iter().any(|q| q.pull().is_some_and(|(_, queued)| queued == id))
             || self.spent.borrow().ids.contains(&id)
     }
 
-    fn takes(&self, id: HexId, most: usize) -> bool {
-        !self.retired.get() && !self.ended.get() && self.load() < most && !self.knows(id)
+    fn can_carry(&self, id: HexId, max: usize) -> bool {
+        !self.retired.get() && !self.ended.get() && self.load() < max && !self.has_id(id)
     }
 
-    /// A pull waits, and no whole answer has come for as long. What is slow is not lost, but what comes next
-    /// had better not wait behind it: a connection that brought a spoilt answer may stay open and silent.
+    /// A pull waits, and no complete answer has arrived for this long. The answer may just be slow, but new
+    /// pulls should not queue behind it: a connection that brought a corrupted answer may stay open and
+    /// silent.
     fn is_doubtful(&self, silence: Duration) -> bool {
-        let first = self.written.borrow().values().map(|(_, at)| *at).min();
-        first.is_some_and(|at| at.max(self.brought.get()).elapsed() > silence) || self.is_stuck(silence)
+        let first = self.awaiting_answer.borrow().values().map(|(_, at)| *at).min();
+        first.is_some_and(|at| at.max(self.last_answer_at.get()).elapsed() > silence)
+            || self.is_stuck(silence)
     }
 
-    /// The node takes nothing.
+    /// The node has accepted no bytes for this long.
     fn is_stuck(&self, silence: Duration) -> bool {
-        self.writes.get().is_some_and(|since| since.elapsed() > silence)
+        self.write_started.get().is_some_and(|since| since.elapsed() > silence)
     }
 
     fn is_idle(&self) -> bool {
@@ -126,66 +133,66 @@
 
     fn retire(&self) {
         self.retired.set(true);
-        self.look.notify(usize::MAX);
+        self.check.notify(usize::MAX);
     }
 
     fn remove_queued(&self, pull: PullId) -> bool {
         let mut queue = self.queue.borrow_mut();
-        let at = queue.iter().position(|q| q.pull().is_some_and(|(no, _)| no == pull));
+        let at = queue.iter().position(|q| q.pull().is_some_and(|(queued, _)| queued == pull));
         at.and_then(|at| queue.remove(at)).is_some()
     }
 
-    fn call_back(&self, pull: PullId, id: HexId, most: usize) {
-        self.spent.borrow_mut().spend(id, most);
-        self.called_back.borrow_mut().push(pull);
+    fn begin_cancel(&self, pull: PullId, id: HexId, max: usize) {
+        self.spent.borrow_mut().add(id, max);
+        self.pending_cancels.borrow_mut().push(pull);
     }
 }
 
-/// What every connection's task needs.
-struct Common {
+/// Shared by the tasks of all connections.
+struct Shared {
     limits: Rc<Limits>,
     inbox: Sender<Input>,
     log: Logger,
-    /// Connections that are wanted, those among them that wait for a descriptor.
+    /// Number of connections, including those that still wait for a socket slot.
     connections: Cell<usize>,
-    /// Descriptors that connections hold.
+    /// Number of socket slots in use.
     sockets: Cell<usize>,
-    /// One of them was given back.
+    /// A slot was freed.
     freed: Event,
-    /// The platform's router has none.
+    /// None in the platform's router.
     observer: OnceCell<Rc<dyn Observer>>,
 }
 
-impl Common {
+impl Shared {
     fn may_send(&self) -> bool {
         self.observer.get().is_none_or(|observer| observer.may_send())
     }
 }
 
-/// A descriptor's place under the bound.
-struct Place(Rc<Common>);
+/// One of the sockets that the limit allows.
+struct SocketSlot(Rc<Shared>);
 
-/// A socket and its place, given back only once both sides have let go of the socket.
-struct Placed {
+/// A socket and its slot; the slot is freed only once reader and writer have dropped the socket.
+struct SlottedStream {
     stream: Stream,
-    _place: Place,
+    _slot: SocketSlot,
 }
 
-impl Place {
-    /// Guards the descriptors: the idle connection that gives way to a new one may take a turn to close.
-    async fn take(common: &Rc<Common>) -> Place {
+impl SocketSlot {
+    /// Waits for a free slot: an idle connection that gives way to a new one may need another step to close.
+    async fn take(shared: &Rc<Shared>) -> SocketSlot {
         loop {
-            let freed = common.freed.listen();
-            if common.sockets.get() < common.limits.node_connections {
-                common.sockets.set(common.sockets.get() + 1);
-                return Place(common.clone());
+            let freed = shared.freed.listen();
+            if shared.sockets.get() < shared.limits.node_connections {
+                shared.sockets.set(shared.sockets.get() + 1);
+                return SocketSlot(shared.clone());
             }
             freed.await;
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for SocketSlot {
     fn drop(&mut self) {
         self.0.sockets.set(self.0.sockets.get() - 1);
         self.0.freed.notify_additional(1);
@@ -194,57 +201,59 @@
 
 /// All connections to nodes.
 pub struct NodeConnections {
-    common: Rc<Common>,
+    shared: Rc<Shared>,
     executor: Executor,
     connections: HashMap<NodeId, Vec<Rc<Connection>>>,
 }
 
 impl NodeConnections {
+    /// No connections yet. Answers and lost pulls go to `inbox`.
     pub fn new(limits: Rc<Limits>, inbox: Sender<Input>, log: Logger, executor: Executor) -> NodeConnections {
         let (connections, sockets, freed) = (Cell::new(0), Cell::new(0), Event::new());
-        let common =
-            Rc::new(Common { limits, inbox, log, connections, sockets, freed, observer: OnceCell::new() });
-        NodeConnections { common, executor, connections: HashMap::new() }
+        let shared =
+            Rc::new(Shared { limits, inbox, log, connections, sockets, freed, observer: OnceCell::new() });
+        NodeConnections { shared, executor, connections: HashMap::new() }
     }
 
-    /// From now on nothing is written while this says that the router may not act.
+    /// Writes no pulls from now on while this observer forbids it.
     pub fn set_observer(&mut self, observer: Rc<dyn Observer>) {
-        let _ = self.common.observer.set(observer);
+        let _ = self.shared.observer.set(observer);
     }
 
+    /// Queues a pull on the best connection to the node. `false`: there is none, and none can be opened.
     pub fn send_pull(
         &mut self,
         node: NodeId,
-        contact: &NodeEntry,
+        entry: &NodeEntry,
         pull: PullId,
         id: HexId,
         packet: Packet,
     ) -> bool {
-        let Some(address) = contact.address else { return false };
-        let limits = self.common.limits.clone();
+        let Some(address) = entry.address else { return false };
+        let limits = self.shared.limits.clone();
         let connections = self.connections.entry(node).or_default();
         connections.retain(|connection| !connection.ended.get());
-        let usable = connections.iter().filter(|connection| connection.takes(id, limits.node_pulls));
+        let usable = connections.iter().filter(|connection| connection.can_carry(id, limits.node_pulls));
         let best = usable
             .min_by_key(|connection| (connection.is_doubtful(limits.node_silence), connection.load()))
             .cloned();
-        let good = |connection: &Rc<Connection>| {
+        let is_good = |connection: &Rc<Connection>| {
             connection.load() < limits.node_few && !connection.is_doubtful(limits.node_silence)
         };
-        let own = connections.iter().filter(|connection| !connection.retired.get()).count();
+        let open_count = connections.iter().filter(|connection| !connection.retired.get()).count();
         if best.is_none() {
-            // At rest, and no good only because it knows this id: it gives way, so that an id that comes again and
-            // again takes no more room than one that is new.
-            let rests = connections.iter().find(|c| c.is_idle() && !c.retired.get());
-            rests.into_iter().for_each(|c| c.retire());
+            // An idle connection that is unusable only because it knows this id gives way to a new one, so
+            // that an id that comes again and again takes up no more connections than a new id.
+            let idle = connections.iter().find(|c| c.is_idle() && !c.retired.get());
+            idle.into_iter().for_each(|c| c.retire());
         }
         let connection = match best {
-            Some(connection) if good(&connection) => connection,
-            Some(connection) if own >= limits.node_own_connections => connection,
-            _ if self.has_room() => self.open(node, address, contact.name.clone()),
+            Some(connection) if is_good(&connection) => connection,
+            Some(connection) if open_count >= limits.node_own_connections => connection,
+            _ if self.make_room() => self.open(node, address, entry.name.clone()),
             Some(connection) => connection,
             None => {
-                warn!(self.common.log, "no connection free"; "node" => &contact.name);
+                warn!(self.shared.log, "no node connection available"; "node" => &entry.name);
                 return false;
             }
         };
@@ -257,68 +266,72 @@
         let now = Instant::now();
         let connection = Rc::new(Connection {
             queue: RefCell::default(),
-            written: RefCell::default(),
+            awaiting_answer: RefCell::default(),
             writing: Cell::new(None),
-            writes: Cell::new(None),
-            called_back: RefCell::default(),
+            write_started: Cell::new(None),
+            pending_cancels: RefCell::default(),
             spent: RefCell::default(),
             retired: Cell::new(false),
             ended: Cell::new(false),
-            brought: Cell::new(now),
-            halted: Cell::new(None),
-            busy: Cell::new(now),
+            last_answer_at: Cell::new(now),
+            partial_since: Cell::new(None),
+            last_used_at: Cell::new(now),
             wake: Event::new(),
-            look: Event::new(),
+            check: Event::new(),
         });
         self.connections.entry(node).or_default().push(connection.clone());
-        self.common.connections.set(self.common.connections.get() + 1);
-        let run = run(self.common.clone(), self.executor.clone(), connection.clone(), address, name);
+        self.shared.connections.set(self.shared.connections.get() + 1);
+        let run = run(self.shared.clone(), self.executor.clone(), connection.clone(), address, name);
         self.executor.spawn(run).detach();
         connection
     }
 
-    /// Whether one more connection may be held. At the bound the one that has been idle for longest goes.
-    fn has_room(&self) -> bool {
-        if self.common.connections.get() < self.common.limits.node_connections {
+    /// Whether another connection may be opened. At the limit, the connection that has been idle for longest
+    /// is retired.
+    fn make_room(&self) -> bool {
+        if self.shared.connections.get() < self.shared.limits.node_connections {
             return true;
         }
         let all = self.connections.values().flatten();
         let idle = all.filter(|connection| {
             connection.is_idle() && !connection.retired.get() && !connection.ended.get()
         });
-        let Some(connection) = idle.min_by_key(|connection| connection.busy.get()) else { return false };
+        let Some(connection) = idle.min_by_key(|connection| connection.last_used_at.get()) else {
+            return false;
+        };
         connection.retire();
         true
     }
 
+    /// Gives up a pull. `true`: it was still queued, and no byte of it was written.
     pub fn cancel_pull(&mut self, node: NodeId, pull: PullId) -> bool {
         for connection in self.connections.get(&node).into_iter().flatten() {
             if connection.remove_queued(pull) {
                 return true;
             }
             let id = connection
-                .written
+                .awaiting_answer
                 .borrow()
                 .iter()
-                .find(|(_, (no, _))| *no == pull)
+                .find(|(_, (waiting, _))| *waiting == pull)
                 .map(|(id, (_, at))| (*id, *at));
             if let Some((id, at)) = id {
-                connection.written.borrow_mut().remove(&id);
-                connection.call_back(pull, id, self.common.limits.node_spent_ids);
-                // No answer came since this was written: the machine may have vanished, or what came before has
-                // spoilt the connection. What comes next goes over a fresh one, which then comes up or proves
-                // that nothing ran.
-                if connection.brought.get() < at && at.elapsed() > self.common.limits.node_silence {
+                connection.awaiting_answer.borrow_mut().remove(&id);
+                connection.begin_cancel(pull, id, self.shared.limits.node_spent_ids);
+                // No answer arrived since this pull was written: the machine may have vanished, or an earlier
+                // answer may have corrupted the connection. The next pull uses a new connection, which either
+                // comes up or proves that the pull did not run.
+                if connection.last_answer_at.get() < at && at.elapsed() > self.shared.limits.node_silence {
                     connection.retire();
                 }
                 connection.queue.borrow_mut().push_back(Queued::cancel(pull, id));
                 connection.wake.notify(usize::MAX);
                 return false;
             }
-            if let Some((_, id)) = connection.writing.get().filter(|(no, _)| *no == pull) {
+            if let Some((_, id)) = connection.writing.get().filter(|(writing, _)| *writing == pull) {
                 connection.writing.set(None);
-                connection.call_back(pull, id, self.common.limits.node_spent_ids);
-                if connection.is_stuck(self.common.limits.node_silence) {
+                connection.begin_cancel(pull, id, self.shared.limits.node_spent_ids);
+                if connection.is_stuck(self.shared.limits.node_silence) {
                     connection.retire();
                 }
                 return false;
@@ -327,23 +340,25 @@
         false
     }
 
+    /// Removes a pull that is still queued. `false`: it is not.
     pub fn remove_queued(&mut self, node: NodeId, pull: PullId) -> bool {
         self.connections.get(&node).into_iter().flatten().any(|connection| connection.remove_queued(pull))
     }
 
-    /// A pull was called back, and the node has not been told yet.
+    /// Whether the cancel of a pull has not been written yet.
     pub fn is_cancel_pending(&self, node: NodeId, pull: PullId) -> bool {
         let connections = self.connections.get(&node).into_iter().flatten();
         connections
             .filter(|connection| !connection.ended.get())
-            .any(|connection| connection.called_back.borrow().contains(&pull))
+            .any(|connection| connection.pending_cancels.borrow().contains(&pull))
     }
 
-    /// Its connections end by themselves once their pulls are over.
+    /// Drops the node. Its connections end by themselves once their pulls are over.
     pub fn forget_node(&mut self, node: NodeId) {
         self.connections.remove(&node);
     }
 
+    /// Sends nothing new over the node's present connections.
     pub fn replace_connections(&mut self, node: NodeId) {
         for connection in self.connections.get(&node).into_iter().flatten() {
             connection.retire();
@@ -351,62 +366,63 @@
     }
 }
 
-/// One connection from its first byte to its last; every pull on it ends in an answer, a loss or a cancel.
+/// Runs one connection from connecting to its end. Every pull on it ends in an answer, a loss or a cancel.
 async fn run(
-    common: Rc<Common>,
+    shared: Rc<Shared>,
     executor: Executor,
     connection: Rc<Connection>,
     address: SocketAddr,
     name: String,
 ) {
     let connect = async {
-        let place = Place::take(&common).await;
+        let slot = SocketSlot::take(&shared).await;
         let stream = Async::<TcpStream>::connect(address).await.map_err(|why| why.to_string())?;
-        Ok(Placed { stream, _place: place })
+        Ok(SlottedStream { stream, _slot: slot })
     };
     let late = async {
-        Timer::after(common.limits.connect_within).await;
-        Err("not up in time".to_string())
+        Timer::after(shared.limits.connect_within).await;
+        Err("not connected in time".to_string())
     };
     match or(connect, late).await {
-        Ok(placed) => {
-            let _ = placed.stream.get_ref().set_nodelay(true);
-            connection.brought.set(Instant::now());
-            let placed = Rc::new(placed);
-            // A task of its own: what wakes one side must not make the other try its socket for nothing.
-            let writer = executor.spawn(write(common.clone(), connection.clone(), placed.clone()));
+        Ok(slotted) => {
+            let _ = slotted.stream.get_ref().set_nodelay(true);
+            connection.last_answer_at.set(Instant::now());
+            let slotted = Rc::new(slotted);
+            // The writer is a task of its own, so that a wakeup of one side does not make the other poll its
+            // socket in vain.
+            let writer = executor.spawn(write(shared.clone(), connection.clone(), slotted.clone()));
             let why = or(
-                or(read(&common, &connection, &placed.stream, &name), writer),
-                watch(&common, &connection),
+                or(read(&shared, &connection, &slotted.stream, &name), writer),
+                watch(&shared, &connection),
             )
             .await;
-            debug!(common.log, "node connection ended"; "node" => &name, "why" => &why);
+            debug!(shared.log, "node connection ended"; "node" => &name, "why" => &why);
         }
-        Err(why) => info!(common.log, "node not reached"; "node" => &name, "why" => &why),
+        Err(why) => info!(shared.log, "node connection failed"; "node" => &name, "why" => &why),
     }
     connection.ended.set(true);
-    common.connections.set(common.connections.get() - 1);
-    let written: Vec<_> = connection
-        .written
+    shared.connections.set(shared.connections.get() - 1);
+    let awaiting_answer: Vec<_> = connection
+        .awaiting_answer
         .borrow_mut()
         .drain()
         .map(|(_, (pull, _))| (pull, Loss::ConnectionBroken))
         .collect();
-    let half = connection.writing.take().map(|(pull, _)| (pull, Loss::NotSent));
+    let partial = connection.writing.take().map(|(pull, _)| (pull, Loss::NotSent));
     let queued: Vec<_> = connection.queue.borrow_mut().drain(..).filter_map(|q| q.pull()).collect();
     let queued = queued.into_iter().map(|(pull, _)| (pull, Loss::NotSent));
-    let mut lost: Vec<_> = written.into_iter().chain(half).chain(queued).collect();
+    let mut lost: Vec<_> = awaiting_answer.into_iter().chain(partial).chain(queued).collect();
     lost.sort_unstable_by_key(|(pull, _)| *pull);
     if lost.iter().any(|(_, loss)| *loss == Loss::ConnectionBroken) {
-        info!(common.log, "node connection broke with pulls on it"; "node" => &name, "pulls" => lost.len());
+        info!(shared.log, "node connection broke with open pulls"; "node" => &name, "pulls" => lost.len());
     }
     for (pull, loss) in lost {
-        let _ = common.inbox.send(Input::Lost { pull, loss }).await;
+        let _ = shared.inbox.send(Input::Lost { pull, loss }).await;
     }
 }
 
-async fn read(common: &Common, connection: &Connection, stream: &Stream, name: &str) -> String {
-    let limits = &common.limits;
+async fn read(shared: &Shared, connection: &Connection, stream: &Stream, name: &str) -> String {
+    let limits = &shared.limits;
     let (items, item_bytes) = (limits.node_items, limits.body_bytes);
     let bounds =
         Bounds { max_items: items, max_item_bytes: item_bytes, initial_item_capacity: limits.node_item_room };
@@ -416,24 +432,24 @@
         match decoder.next_message() {
             Ok(Some(items)) => {
                 let Some(answer) = node::decode_answer(&items) else {
-                    warn!(common.log, "node connection ended: unreadable answer"; "node" => name);
-                    return "unreadable answer".into();
+                    warn!(shared.log, "node connection closed: malformed answer"; "node" => name);
+                    return "malformed answer".into();
                 };
-                let known = connection.written.borrow_mut().remove(&answer.id);
-                connection.brought.set(Instant::now());
-                connection.busy.set(connection.brought.get());
+                let known = connection.awaiting_answer.borrow_mut().remove(&answer.id);
+                connection.last_answer_at.set(Instant::now());
+                connection.last_used_at.set(connection.last_answer_at.get());
                 if let Some((pull, _)) = known {
-                    connection.spent.borrow_mut().spend(answer.id, limits.node_spent_ids);
-                    let without_bytes =
+                    connection.spent.borrow_mut().add(answer.id, limits.node_spent_ids);
+                    let unchanged_copy =
                         (answer.status == AnswerStatus::NotModified).then(|| node::decode_copy_tag(&items));
-                    let names = without_bytes.flatten().map(|copy| copy.digest);
-                    let _ = common.inbox.send(Input::Answered { pull, answer, copy_digest: names }).await;
+                    let copy_digest = unchanged_copy.flatten().map(|copy| copy.digest);
+                    let _ = shared.inbox.send(Input::Answered { pull, answer, copy_digest }).await;
                 }
             }
             Ok(None) => {
-                connection.halted.set(decoder.is_mid_message().then(Instant::now));
+                connection.partial_since.set(decoder.is_mid_message().then(Instant::now));
                 let read = source.read_into(&mut decoder).await;
-                connection.halted.set(None);
+                connection.partial_since.set(None);
                 match read {
                     Ok(0) => return "closed by the node".into(),
                     Ok(_) => {}
@@ -441,14 +457,14 @@
                 }
             }
             Err(fault) => {
-                warn!(common.log, "node connection ended: unreadable"; "node" => name, "why" => %fault);
+                warn!(shared.log, "node connection closed: malformed input"; "node" => name, "why" => %fault);
                 return fault.to_string();
             }
         }
     }
 }
 
-async fn write(common: Rc<Common>, connection: Rc<Connection>, placed: Rc<Placed>) -> String {
+async fn write(shared: Rc<Shared>, connection: Rc<Connection>, slotted: Rc<SlottedStream>) -> String {
     loop {
         let next = connection.queue.borrow_mut().pop_front();
         let Some(Queued { message, packet }) = next else {
@@ -462,44 +478,45 @@
             Message::Pull(pull, id) => Some((pull, id)),
             Message::Cancel(_) => None,
         };
-        if pull.is_some() && !common.may_send() {
-            // It has not left, and proves so by its end.
+        if pull.is_some() && !shared.may_send() {
+            // The pull has not been sent, and the end of the connection reports it so.
             connection.queue.borrow_mut().push_front(Queued { message, packet });
-            return "this router may not act".into();
+            return "this router must not send".into();
         }
-        if pull.is_some() && connection.written.borrow().is_empty() && has_closed(&placed.stream) {
+        if pull.is_some() && connection.awaiting_answer.borrow().is_empty() && has_closed(&slotted.stream) {
             connection.queue.borrow_mut().push_front(Queued { message, packet });
             return "closed by the node while it was idle".into();
         }
         connection.writing.set(pull);
-        connection.writes.set(Some(Instant::now()));
+        connection.write_started.set(Some(Instant::now()));
         let packets = [packet];
-        let whole =
-            async { write_packets(&placed.stream, &packets, |_| {}).await.map_err(|why| why.to_string()) };
-        let wrote = match common.observer.get() {
-            None => whole.await,
-            Some(observer) => or(lapse(observer.as_ref()), whole).await,
+        let write_all =
+            async { write_packets(&slotted.stream, &packets, |_| {}).await.map_err(|why| why.to_string()) };
+        let result = match shared.observer.get() {
+            None => write_all.await,
+            Some(observer) => or(wait_until_forbidden(observer.as_ref()), write_all).await,
         };
-        connection.writes.set(None);
-        connection.busy.set(Instant::now());
-        if let Err(why) = wrote {
+        connection.write_started.set(None);
+        connection.last_used_at.set(Instant::now());
+        if let Err(why) = result {
             return why;
         }
         match message {
-            Message::Pull(no, id) if connection.writing.take() == Some((no, id)) => {
-                connection.written.borrow_mut().insert(id, (no, Instant::now()));
+            Message::Pull(pull, id) if connection.writing.take() == Some((pull, id)) => {
+                connection.awaiting_answer.borrow_mut().insert(id, (pull, Instant::now()));
             }
-            // Given up while it was being written: it is whole now, so it has to be called back.
-            Message::Pull(no, id) => connection.queue.borrow_mut().push_front(Queued::cancel(no, id)),
-            Message::Cancel(no) => {
-                connection.called_back.borrow_mut().retain(|called_back| *called_back != no)
+            // The pull was given up while it was being written. It is complete now, so it has to be
+            // cancelled.
+            Message::Pull(pull, id) => connection.queue.borrow_mut().push_front(Queued::cancel(pull, id)),
+            Message::Cancel(pull) => {
+                connection.pending_cancels.borrow_mut().retain(|pending| *pending != pull)
             }
         }
     }
 }
 
-/// Guards what must not run twice: on a connection that its node has closed at rest, and whose end nobody has read yet, a
-/// pull would be written into nowhere, and nothing could prove that it never ran.
+/// Whether the node has closed an idle connection whose end was not read yet. A pull written there would be
+/// lost without proof that it never ran, and some pulls must not run twice.
 fn has_closed(stream: &Stream) -> bool {
     match stream.get_ref().peek(&mut [0]) {
         Ok(bytes) => bytes == 0,
@@ -507,36 +524,36 @@
     }
 }
 
-/// Ends a write whose right has run out half way: what was not written whole never runs.
-async fn lapse(observer: &dyn Observer) -> Result<(), String> {
+/// Fails once the observer forbids sending: a pull that is not written whole never runs.
+async fn wait_until_forbidden(observer: &dyn Observer) -> Result<(), String> {
     while observer.may_send() {
-        Timer::after(LAPSE).await;
+        Timer::after(PERMISSION_CHECK_INTERVAL).await;
     }
-    Err("this router may not act".into())
+    Err("this router must not send".into())
 }
 
-/// Closes what nobody needs any more: a connection that was replaced once its pulls are over, and one that
-/// has been idle, before the node closes it on a pull that is just being written. Ends one on which an answer
-/// stopped half way: what else is open there gets no answer either.
-async fn watch(common: &Common, connection: &Connection) -> String {
-    let limits = &common.limits;
+/// Closes connections that are no longer needed: a retired one once its pulls are over, and an idle one
+/// before the node closes it just as a pull is being written. Also ends one whose answer stopped half way,
+/// since no other pull on it can get an answer.
+async fn watch(shared: &Shared, connection: &Connection) -> String {
+    let limits = &shared.limits;
     loop {
-        let look = connection.look.listen();
+        let check = connection.check.listen();
         if connection.is_idle()
-            && (connection.retired.get() || connection.busy.get().elapsed() > limits.node_idle)
+            && (connection.retired.get() || connection.last_used_at.get().elapsed() > limits.node_idle)
         {
             return "idle".into();
         }
-        if connection.halted.get().is_some_and(|since| since.elapsed() > limits.node_halt) {
-            return "an answer stopped half way".into();
+        if connection.partial_since.get().is_some_and(|since| since.elapsed() > limits.node_halt) {
+            return "incomplete answer".into();
         }
-        // The end of the connection tells the node what a cancel can't.
-        if connection.is_stuck(limits.node_silence) && !connection.called_back.borrow().is_empty() {
+        // The end of the connection tells the node what the cancel can't.
+        if connection.is_stuck(limits.node_silence) && !connection.pending_cancels.borrow().is_empty() {
             return "a cancel can't be written".into();
         }
         let later = async {
             Timer::after(limits.watch_every).await;
         };
-        or(look, later).await;
+        or(check, later).await;
     }
 }
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -162,7 +162,7 @@
     }
     fn ask(&mut self, tag: u64, content: &str, waits_ms: u64) -> PullId {
         let wish = wish(content, tag * 1_000, waits_ms);
-        self.hear(vec![Input::Download { client: 1, tag, wish, at: self.now }]);
+        self.hear(vec![Input::Download { client: 1, tag, request: wish, at: self.now }]);
         self.paper.pulls.last().unwrap().1
     }
     fn wait(&mut self, ms: u64) {
@@ -225,7 +225,7 @@
         bed.hear(vec![Input::Download {
             client: 1,
             tag: round + 1,
-            wish: wish("page", object, 2_000),
+            request: wish("page", object, 2_000),
             at: bed.now,
         }]);
         turn(bed.now, Event::Arrived { dl: DlIx(0), download }, &mut direct, &mut timers);
@@ -422,7 +422,7 @@
     bed.ask(1, "page", 2_000);
     let stolen =
         DownloadRequest { object: HexId::parse(b"00000000000000ff").unwrap(), ..wish("page", 1_000, 2_000) };
-    let asked = |tag, client| Input::Download { client, tag, wish: stolen.clone(), at: START };
+    let asked = |tag, client| Input::Download { client, tag, request: stolen.clone(), at: START };
     bed.hear(vec![asked(2, 1), asked(3, 2)]);
     assert_eq!((bed.answered(2), bed.answered(3)), (vec![&ToClient::Abandoned], vec![&ToClient::Abandoned]));
     assert_eq!(bed.paper.pulls.len(), 1);
@@ -440,7 +440,7 @@
 #[test]
 fn an_unknown_content_type_is_abandoned() {
     let mut bed = Fixture::open();
-    bed.hear(vec![Input::Download { client: 1, tag: 1, wish: wish("nothing", 1, 500), at: START }]);
+    bed.hear(vec![Input::Download { client: 1, tag: 1, request: wish("nothing", 1, 500), at: START }]);
     assert_eq!(bed.answered(1), [&ToClient::Abandoned]);
     assert!(bed.paper.pulls.is_empty());
 }
@@ -499,7 +499,7 @@
 fn what_is_asked_and_given_up_in_one_turn_is_taken_back_in_it() {
     let mut bed = Fixture::open();
     bed.paper.stuck = true;
-    let asked = Input::Download { client: 1, tag: 1, wish: wish("page", 1_000, 2_000), at: bed.now };
+    let asked = Input::Download { client: 1, tag: 1, request: wish("page", 1_000, 2_000), at: bed.now };
     bed.hear(vec![asked, Input::Disconnected { client: 1 }]);
     assert_eq!(bed.paper.cancels.len(), bed.paper.pulls.len(), "taken back in the same turn");
     bed.wait(2_000);
--- a/crates/router/tests/sockets.rs
+++ b/crates/router/tests/sockets.rs
@@ -341,7 +341,7 @@
     assert_eq!(bed.router.wait().unwrap().code(), Some(0));
     let mut said = String::new();
     bed.router.stderr.take().unwrap().read_to_string(&mut said).unwrap();
-    let wrong: Vec<_> = said.lines().filter(|l| l.contains("configuration not taken over")).collect();
+    let wrong: Vec<_> = said.lines().filter(|l| l.contains("configuration not reloaded")).collect();
     assert!(wrong.len() == 2 && wrong[0].contains("JSON") && wrong[1].contains("key feed"), "{said}");
 }
 
