--- a/crates/router/tests/feed_acks.rs
+++ b/crates/router/tests/feed_acks.rs
@@ -1,10 +1,11 @@
-//! What a router says to its feed of the purges that it has: to one of ours alone, and no earlier than it is so.
+//! Acknowledgements that a router sends to its feed: only to feeds of our own, and only once the purges are
+//! applied.
 mod fixture;
 
 use async_channel::bounded;
 use async_executor::LocalExecutor;
 use async_io::{Timer, block_on};
-use fixture::{Fixture, LONG, Reply, subscribed};
+use fixture::{Fixture, Reply, TIMEOUT, accept_subscription};
 use harestage::time::Span;
 use harestage_profile::Outside;
 use harestage_router::program::limits::Limits;
@@ -21,28 +22,28 @@
 const SHORT: Duration = Duration::from_millis(200);
 
 fn good(_: usize, _: &str) -> Reply {
-    Reply::Say("ACK", "res=HIT", b"good".to_vec())
+    Reply::Answer("ACK", "res=HIT", b"good".to_vec())
 }
 
-fn nothing(n: u64, more: Value) -> String {
+fn empty_event(n: u64, more: Value) -> String {
     let mut event = json!({"n": n, "members": {"index": n, "snapshot": false, "endpoints": []}});
     event.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
     format!("{event}\n")
 }
 
-fn hears(n: u64) -> String {
-    nothing(n, json!({"hears": true}))
+fn accepts_acks(n: u64) -> String {
+    empty_event(n, json!({"hears": true}))
 }
 
-fn marks(n: u64, purges: u64, at_ms: u64) -> String {
-    nothing(n, json!({"purges": purges, "at": at_ms, "plan": ""}))
+fn service_state(n: u64, purges: u64, at_ms: u64) -> String {
+    empty_event(n, json!({"purges": purges, "at": at_ms, "plan": ""}))
 }
 
 fn purge(n: u64, object: u64) -> String {
     format!("{}\n", json!({"n": n, "purge": {"key": format!("{object:016x}"), "at": 1}}))
 }
 
-/// What a router says next, up to the end of a line.
+/// The next line that the router sends.
 fn line(stream: &mut TcpStream) -> String {
     let (mut text, mut byte) = (String::new(), [0]);
     while !text.ends_with('\n') {
@@ -52,23 +53,24 @@
     text
 }
 
-/// All that a router writes on a connection: for a while, and up to its end once it has read the end of what is written here.
-fn all_said(mut stream: TcpStream) -> String {
+/// Everything that the router writes on a connection: waits for a while, then closes the write side and reads
+/// to the end.
+fn read_all(mut stream: TcpStream) -> String {
     stream.set_read_timeout(Some(SHORT)).unwrap();
     let mut first = [0; 64];
     if let Ok(bytes) = stream.read(&mut first) {
         return String::from_utf8_lossy(&first[..bytes]).into();
     }
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     text
 }
 
-/// The same without holding up this thread, on which the router's own task runs.
-async fn line_beside(stream: &mut TcpStream) -> String {
-    let (mut text, mut byte, until) = (String::new(), [0], Instant::now() + LONG);
+/// Like `line`, without blocking this thread, which also runs the router's task.
+async fn line_async(stream: &mut TcpStream) -> String {
+    let (mut text, mut byte, until) = (String::new(), [0], Instant::now() + TIMEOUT);
     stream.set_nonblocking(true).unwrap();
     while !text.ends_with('\n') {
         match stream.read(&mut byte) {
@@ -84,87 +86,89 @@
 }
 
 #[test]
-fn a_feed_that_hears_no_words_is_written_nothing_but_the_subscription() {
-    let bed = Fixture::open(1, None, good);
-    let (mut platform, line) = subscribed(&bed.feed);
+fn a_feed_without_acks_is_sent_nothing_but_the_subscription() {
+    let fixture = Fixture::open(1, None, good);
+    let (mut platform, line) = accept_subscription(&fixture.feed);
     assert_eq!(line, "SUB 1\n");
     let group = json!({"n": 3, "purge": {"group": 5, "at": 1}});
     platform.write_all(format!("1\n{}{group}\n3\n{{\"n\":3}}\n", purge(2, 7)).as_bytes()).unwrap();
-    assert_eq!(all_said(platform), "");
-    // Nor is a feed of ours that tells marks, and does not hear words.
-    let (mut older, line) = subscribed(&bed.feed);
+    assert_eq!(read_all(platform), "");
+    // Nor does a feed of our own that reports a service state but does not accept acknowledgements.
+    let (mut older, line) = accept_subscription(&fixture.feed);
     assert_eq!(line, "SUB 3\n");
-    older.write_all((nothing(4, json!({"version": 3})) + &marks(5, 9, 70)).as_bytes()).unwrap();
-    assert_eq!(all_said(older), "");
-    // Only the first event counts: nothing that comes in the middle makes it speak.
-    let (mut late, line) = subscribed(&bed.feed);
+    older.write_all((empty_event(4, json!({"version": 3})) + &service_state(5, 9, 70)).as_bytes()).unwrap();
+    assert_eq!(read_all(older), "");
+    // Only the first event counts: acceptance in a later event is ignored.
+    let (mut late, line) = accept_subscription(&fixture.feed);
     assert_eq!(line, "SUB 5\n");
-    late.write_all((purge(6, 7) + &hears(7) + &marks(8, 9, 70)).as_bytes()).unwrap();
-    assert_eq!(all_said(late), "");
+    late.write_all((purge(6, 7) + &accepts_acks(7) + &service_state(8, 9, 70)).as_bytes()).unwrap();
+    assert_eq!(read_all(late), "");
 }
 
 #[test]
-fn a_router_says_what_it_has_and_after_a_break_what_it_had() {
-    let mut bed = Fixture::open(1, None, good);
-    let (mut stream, _) = subscribed(&bed.feed);
-    stream.write_all(hears(2).as_bytes()).unwrap();
+fn a_router_acknowledges_purges_and_reports_them_after_a_reconnect() {
+    let mut fixture = Fixture::open(1, None, good);
+    let (mut stream, _) = accept_subscription(&fixture.feed);
+    stream.write_all(accepts_acks(2).as_bytes()).unwrap();
     assert_eq!(line(&mut stream), "HAS 0 at 0 keeps 6000\n");
-    stream.write_all((purge(3, 7) + &marks(4, 5, 70)).as_bytes()).unwrap();
+    stream.write_all((purge(3, 7) + &service_state(4, 5, 70)).as_bytes()).unwrap();
     assert_eq!(line(&mut stream), "HAS 5\n");
-    // Marks that say nothing new of purges are not answered: the next word is the next number.
-    stream.write_all((marks(5, 5, 70) + &marks(6, 6, 80)).as_bytes()).unwrap();
+    // A state without a new purge number is not acknowledged; the next acknowledgement is for the next
+    // number.
+    stream.write_all((service_state(5, 5, 70) + &service_state(6, 6, 80)).as_bytes()).unwrap();
     assert_eq!(line(&mut stream), "HAS 6\n");
-    // A list that breaks off is not had.
+    // Purges whose state has not arrived when the connection breaks are not acknowledged.
     stream.write_all(purge(7, 8).as_bytes()).unwrap();
-    assert_eq!(all_said(stream), "");
-    let (mut stream, said) = subscribed(&bed.feed);
-    assert_eq!(said, "SUB 7\n");
-    stream.write_all(hears(8).as_bytes()).unwrap();
+    assert_eq!(read_all(stream), "");
+    let (mut stream, subscription) = accept_subscription(&fixture.feed);
+    assert_eq!(subscription, "SUB 7\n");
+    stream.write_all(accepts_acks(8).as_bytes()).unwrap();
     assert_eq!(line(&mut stream), "HAS 6 at 80 keeps 6000\n");
-    // A service that counts anew: the router goes by what it is told.
-    stream.write_all(marks(9, 2, 90).as_bytes()).unwrap();
+    // The service restarted its numbers: the router follows what it is told.
+    stream.write_all(service_state(9, 2, 90).as_bytes()).unwrap();
     assert_eq!(line(&mut stream), "HAS 2\n");
     drop(stream);
-    let (mut stream, _) = subscribed(&bed.feed);
-    stream.write_all(hears(10).as_bytes()).unwrap();
+    let (mut stream, _) = accept_subscription(&fixture.feed);
+    stream.write_all(accepts_acks(10).as_bytes()).unwrap();
     assert_eq!(line(&mut stream), "HAS 2 at 90 keeps 6000\n");
-    // A process that starts anew has nothing, whatever it said before.
-    bed.restart();
-    let (mut stream, said) = subscribed(&bed.feed);
-    assert_eq!(said, "SUB 1\n");
-    stream.write_all(hears(2).as_bytes()).unwrap();
+    // A restarted process has applied nothing, whatever it acknowledged before.
+    fixture.restart();
+    let (mut stream, subscription) = accept_subscription(&fixture.feed);
+    assert_eq!(subscription, "SUB 1\n");
+    stream.write_all(accepts_acks(2).as_bytes()).unwrap();
     assert_eq!(line(&mut stream), "HAS 0 at 0 keeps 6000\n");
 }
 
-/// Stopped with a purge and its marks in its socket, it says nothing of them; woken it takes them first.
+/// A stopped router with a purge and its state in the socket acknowledges nothing; once it runs again, it
+/// applies the purge first.
 #[test]
-fn a_router_that_is_stopped_says_nothing_until_it_goes_on() {
-    let bed = Fixture::open(1, None, good);
-    let (mut stream, _) = subscribed(&bed.feed);
-    stream.write_all((hears(2) + &marks(3, 1, 70)).as_bytes()).unwrap();
+fn a_stopped_router_acknowledges_nothing_until_it_continues() {
+    let fixture = Fixture::open(1, None, good);
+    let (mut stream, _) = accept_subscription(&fixture.feed);
+    stream.write_all((accepts_acks(2) + &service_state(3, 1, 70)).as_bytes()).unwrap();
     assert_eq!(line(&mut stream) + &line(&mut stream), "HAS 0 at 0 keeps 6000\nHAS 1\n");
-    bed.signal("-STOP");
-    let until = Instant::now() + LONG;
-    let status = format!("/proc/{}/status", bed.router.id());
+    fixture.signal("-STOP");
+    let until = Instant::now() + TIMEOUT;
+    let status = format!("/proc/{}/status", fixture.router.id());
     while !std::fs::read_to_string(&status).unwrap().contains("State:\tT") {
-        assert!(Instant::now() < until, "it is never stopped");
+        assert!(Instant::now() < until, "the router did not stop");
         std::thread::sleep(Duration::from_millis(5));
     }
-    stream.write_all((purge(4, 7) + &marks(5, 2, 80)).as_bytes()).unwrap();
+    stream.write_all((purge(4, 7) + &service_state(5, 2, 80)).as_bytes()).unwrap();
     stream.set_read_timeout(Some(SHORT)).unwrap();
     let why = stream.read(&mut [0; 1]).unwrap_err().kind();
     assert!(matches!(why, ErrorKind::WouldBlock | ErrorKind::TimedOut), "{why:?}");
-    stream.set_read_timeout(Some(LONG)).unwrap();
-    bed.signal("-CONT");
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+    fixture.signal("-CONT");
     assert_eq!(line(&mut stream), "HAS 2\n");
 }
 
-/// Nobody takes the router's news: the feed was read to its end, and nothing of it is said to be had. Then the routing task
-/// takes several marks in one turn: the newest is said, once.
+/// While no task takes the router's inputs, nothing is acknowledged, though the feed was read to its end. If
+/// the routing task then takes several states in one step, only the newest is acknowledged.
 #[test]
-fn nothing_is_had_before_the_routing_task_has_taken_it_and_the_newest_stands_for_all() {
+fn purges_are_acknowledged_only_after_the_routing_task_and_only_the_newest() {
     let executor = Rc::new(LocalExecutor::new());
-    let (inbox, news) = bounded(16);
+    let (inbox, inputs) = bounded(16);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let outside = Outside {
         contents: vec![],
@@ -177,7 +181,7 @@
         longest_retry_after: Span::millis(500),
         longest_wait: Span::millis(3_000),
     };
-    let follows = feed::FeedClient {
+    let feed_client = feed::FeedClient {
         limits: Rc::new(Limits::new(192, 1_024, &outside)),
         inbox,
         log: Logger::root(Discard, o!()),
@@ -189,9 +193,9 @@
         applied_purges: None,
     };
     block_on(executor.run(async {
-        let follows = executor.spawn(feed::follow(follows));
+        let feed_client = executor.spawn(feed::follow(feed_client));
         listener.set_nonblocking(true).unwrap();
-        let until = Instant::now() + LONG;
+        let until = Instant::now() + TIMEOUT;
         let mut stream = loop {
             match listener.accept() {
                 Ok((stream, _)) => break stream,
@@ -199,32 +203,37 @@
             }
             Timer::after(Duration::from_millis(2)).await;
         };
-        assert_eq!(line_beside(&mut stream).await, "SUB 4\n");
-        let text =
-            hears(5) + &purge(6, 1) + &marks(7, 1, 10) + &purge(8, 2) + &marks(9, 2, 20) + &marks(10, 3, 30);
+        assert_eq!(line_async(&mut stream).await, "SUB 4\n");
+        let text = accepts_acks(5)
+            + &purge(6, 1)
+            + &service_state(7, 1, 10)
+            + &purge(8, 2)
+            + &service_state(9, 2, 20)
+            + &service_state(10, 3, 30);
         stream.write_all(text.as_bytes()).unwrap();
-        let mut confirms = Vec::new();
-        while confirms.len() < 3 {
-            if let Input::Confirm { number, to } = news.recv().await.unwrap() {
-                confirms.push((number, to));
+        let mut confirmations = Vec::new();
+        while confirmations.len() < 3 {
+            if let Input::Confirm { number, to } = inputs.recv().await.unwrap() {
+                confirmations.push((number, to));
             }
         }
-        assert!(news.is_empty(), "all was read, and passed on");
-        assert_eq!(line_beside(&mut stream).await, "HAS 0 at 0 keeps 250\n");
+        assert!(inputs.is_empty(), "all events were read and passed on");
+        assert_eq!(line_async(&mut stream).await, "HAS 0 at 0 keeps 250\n");
         Timer::after(SHORT).await;
         assert_eq!(stream.read(&mut [0; 1]).unwrap_err().kind(), ErrorKind::WouldBlock);
-        // All in one turn of this thread: the connection's task runs afterwards.
-        for (number, to) in &confirms {
+        // All in one step of this thread: the connection's task runs afterwards.
+        for (number, to) in &confirmations {
             to.force_send(*number).unwrap();
         }
-        assert_eq!(line_beside(&mut stream).await, "HAS 3\n");
-        // An answer that comes late, and is older, is not said: the next word is the next number.
-        confirms[1].1.force_send(2).unwrap();
+        assert_eq!(line_async(&mut stream).await, "HAS 3\n");
+        // A late confirmation of an older number is not acknowledged; the next acknowledgement is for the
+        // next number.
+        confirmations[1].1.force_send(2).unwrap();
         Timer::after(SHORT).await;
-        confirms[1].1.force_send(4).unwrap();
-        assert_eq!(line_beside(&mut stream).await, "HAS 4\n");
-        // Nor does one go to the next connection.
-        follows.cancel().await;
-        assert!(confirms[0].1.force_send(9).is_err(), "nobody waits for it");
+        confirmations[1].1.force_send(4).unwrap();
+        assert_eq!(line_async(&mut stream).await, "HAS 4\n");
+        // Nor is it sent on the next connection.
+        feed_client.cancel().await;
+        assert!(confirmations[0].1.force_send(9).is_err(), "nothing receives confirmations after the end");
     }));
 }
--- a/crates/router/tests/node_connections.rs
+++ b/crates/router/tests/node_connections.rs
@@ -1,4 +1,4 @@
-//! What a node connection proves of a pull that it could not bring to an answer.
+//! What a node connection reports about pulls that got no answer.
 use async_executor::LocalExecutor;
 use async_io::{Timer, block_on};
 use bytes::Bytes;
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// More than the machine takes for a peer that does not read.
+/// More than the kernel buffers for a peer that does not read.
 const HUGE: usize = 64 << 20;
 const SHORT: Duration = Duration::from_millis(150);
 
@@ -25,12 +25,12 @@
     Packet { head: encode_head(&[b"serve"], body), body: Bytes::from(vec![0; body]) }
 }
 
-/// A whole answer without bytes, and one that says that thousands of bytes follow.
+/// A complete answer without a body, and the start of one that announces thousands of bytes.
 fn answer(n: u64, word: &str) -> String {
     format!("*4\r\n$16\r\n{}\r\n$3\r\n{word}\r\n$1\r\n-\r\n$0\r\n\r\n", id(n).as_str())
 }
 
-fn begun_answer(n: u64) -> String {
+fn partial_answer(n: u64) -> String {
     format!("*4\r\n$16\r\n{}\r\n$3\r\nACK\r\n$1\r\n-\r\n$9000\r\n", id(n).as_str())
 }
 
@@ -38,35 +38,39 @@
     HexId::parse(format!("{n:016x}").as_bytes()).unwrap()
 }
 
-/// Sends pulls of these sizes, numbered from 1, to a node that accepts and reads nothing; then `look` has its say.
-fn play(sizes: &[usize], look: impl AsyncFnOnce(&mut NodeConnections, TcpStream)) -> Vec<(u64, Loss)> {
-    play_on(usize::MAX, async |links, contact, listener| {
+/// Sends pulls of these sizes, numbered from 1, to a node that accepts the connection and reads nothing, then
+/// runs `look`.
+fn run_with_pulls(
+    sizes: &[usize],
+    script: impl AsyncFnOnce(&mut NodeConnections, TcpStream),
+) -> Vec<(u64, Loss)> {
+    run_script(usize::MAX, async |connections, entry, listener| {
         for (pull, size) in (1..).zip(sizes) {
-            assert!(links.send_pull(0, contact, pull, id(pull), packet(*size)));
+            assert!(connections.send_pull(0, entry, pull, id(pull), packet(*size)));
         }
-        // Connecting goes on only while this waits.
+        // The connection comes up only while this waits.
         Timer::after(SHORT).await;
         let (stream, _) = listener.accept().unwrap();
-        look(links, stream).await;
+        script(connections, stream).await;
     })
 }
 
-/// Plays against one node whose connections carry a few pulls each; gives the pulls that were lost.
-fn play_on(
+/// Runs a script against one node whose connections carry `few` pulls each. Returns the lost pulls.
+fn run_script(
     few: usize,
     script: impl AsyncFnOnce(&mut NodeConnections, &NodeEntry, &TcpListener),
 ) -> Vec<(u64, Loss)> {
-    let lost = play_within(few, usize::MAX, script).into_iter().map(|news| match news {
+    let lost = run_script_with_limit(few, usize::MAX, script).into_iter().map(|input| match input {
         Input::Lost { pull, loss } => (pull, loss),
         other => panic!("{other:?}"),
     });
     lost.collect()
 }
 
-/// The same with a bound on all connections; gives all that was told.
-fn play_within(
+/// The same with a limit on all connections. Returns all inputs for the routing task.
+fn run_script_with_limit(
     few: usize,
-    connections: usize,
+    max_connections: usize,
     script: impl AsyncFnOnce(&mut NodeConnections, &NodeEntry, &TcpListener),
 ) -> Vec<Input> {
     let outside = Outside {
@@ -84,52 +88,59 @@
     let (name, zone, kind) = ("s-1".into(), String::new(), String::new());
     let (address, state) = (listener.local_addr().unwrap().to_string(), MemberState::Ready);
     let member = Member { name, address, zone, kind, cell: 0, state, scale: 1.0, since_ms: 0 };
-    let mut contacts = NodeTable::default();
+    let mut node_table = NodeTable::default();
     let (kinds, now) = (Kinds { parent: None, origin: None }, Moment::at_micros(1));
-    contacts.apply(&member, &mut Register::default(), kinds, &outside, now);
+    node_table.apply(&member, &mut Register::default(), kinds, &outside, now);
     let executor = Rc::new(LocalExecutor::new());
-    let (inbox, news) = async_channel::bounded(64);
-    let usual = Limits::new(192, 1_024, &outside);
-    let node_connections = connections.min(usual.node_connections);
-    let limits = Rc::new(Limits { node_few: few, node_connections, ..usual });
-    let mut links = NodeConnections::new(limits, inbox, Logger::root(Discard, o!()), executor.clone());
+    let (inbox, input) = async_channel::bounded(64);
+    let default_limits = Limits::new(192, 1_024, &outside);
+    let node_connections = max_connections.min(default_limits.node_connections);
+    let limits = Rc::new(Limits { node_few: few, node_connections, ..default_limits });
+    let mut connections = NodeConnections::new(limits, inbox, Logger::root(Discard, o!()), executor.clone());
     block_on(executor.run(async {
-        script(&mut links, contacts.get(0).unwrap(), &listener).await;
+        script(&mut connections, node_table.get(0).unwrap(), &listener).await;
         Timer::after(SHORT).await;
     }));
-    std::iter::from_fn(|| news.try_recv().ok()).collect()
+    std::iter::from_fn(|| input.try_recv().ok()).collect()
 }
 
-/// Guards what must not run twice against breaks that prove nothing, and lets go on what never came whole.
+/// Guards pulls that must not run twice: a broken connection proves nothing about a pull that was written
+/// whole, but does prove that a partly written one never ran.
 #[test]
-fn a_break_proves_something_only_of_what_was_not_written_whole() {
-    let lost = play(&[10, HUGE, 10], async |_, node| drop(node));
+fn a_broken_connection_proves_not_sent_only_for_pulls_not_written_whole() {
+    let lost = run_with_pulls(&[10, HUGE, 10], async |_, node| drop(node));
     assert_eq!(lost, [(1, Loss::ConnectionBroken), (2, Loss::NotSent), (3, Loss::NotSent)]);
 }
 
 #[test]
-fn giving_up_proves_something_only_of_what_was_still_queued() {
-    let lost = play(&[10, HUGE, 10, 10], async |links, node| {
-        assert!(!links.remove_queued(0, 1) && !links.remove_queued(0, 2), "both have left");
-        assert!(links.remove_queued(0, 3) && links.cancel_pull(0, 4), "not a byte of these has");
-        assert!(!links.cancel_pull(0, 1) && !links.cancel_pull(0, 2), "these may run yet");
-        assert!(!links.cancel_pull(0, 1), "given up already");
+fn a_cancel_proves_not_sent_only_for_queued_pulls() {
+    let lost = run_with_pulls(&[10, HUGE, 10, 10], async |connections, node| {
+        assert!(
+            !connections.remove_queued(0, 1) && !connections.remove_queued(0, 2),
+            "both are being written or written"
+        );
+        assert!(
+            connections.remove_queued(0, 3) && connections.cancel_pull(0, 4),
+            "no byte of these was written"
+        );
+        assert!(!connections.cancel_pull(0, 1) && !connections.cancel_pull(0, 2), "these may still run");
+        assert!(!connections.cancel_pull(0, 1), "cancelled already");
         assert!(
-            links.is_cancel_pending(0, 1) && links.is_cancel_pending(0, 2),
-            "the node has heard of neither"
+            connections.is_cancel_pending(0, 1) && connections.is_cancel_pending(0, 2),
+            "neither cancel was written"
         );
         drop(node);
     });
-    assert_eq!(lost, [], "what was given up is heard of no more");
+    assert_eq!(lost, [], "cancelled pulls are not reported");
 }
 
-/// The half that is out can't be taken back: it is written to its end and called back then, so that the next message
-/// is still told from it.
+/// A partly written pull can't be withdrawn. It is written to its end and cancelled then, so that the node
+/// can parse the next message.
 #[test]
-fn what_is_given_up_while_it_is_written_is_called_back_once_it_is_whole() {
+fn a_pull_cancelled_while_it_is_written_is_cancelled_once_it_is_whole() {
     let mut read = Vec::new();
-    play(&[HUGE], async |links, mut node| {
-        assert!(!links.cancel_pull(0, 1));
+    run_with_pulls(&[HUGE], async |connections, mut node| {
+        assert!(!connections.cancel_pull(0, 1));
         let reader = std::thread::spawn(move || {
             node.set_read_timeout(Some(Duration::from_millis(400))).unwrap();
             let _ = node.read_to_end(&mut read);
@@ -144,12 +155,12 @@
     });
 }
 
-/// Guards the pulls beside a spoilt answer: it ends its connection with all that is open there.
+/// A corrupted answer ends its connection with all pulls on it, so that a connection carries only a few.
 #[test]
-fn a_connection_carries_a_few_pulls_and_takes_only_those_with_it() {
+fn a_corrupted_answer_breaks_only_the_few_pulls_of_its_connection() {
     let mut nodes = Vec::new();
-    let lost = play_on(3, async |links, contact, listener| {
-        (1..=7).for_each(|pull| assert!(links.send_pull(0, contact, pull, id(pull), packet(10))));
+    let lost = run_script(3, async |connections, entry, listener| {
+        (1..=7).for_each(|pull| assert!(connections.send_pull(0, entry, pull, id(pull), packet(10))));
         Timer::after(SHORT).await;
         listener.set_nonblocking(true).unwrap();
         nodes.extend(std::iter::from_fn(|| listener.accept().ok()).map(|(node, _)| node));
@@ -164,10 +175,10 @@
 #[test]
 fn one_id_is_never_open_twice_on_a_connection() {
     let mut nodes = Vec::new();
-    let lost = play_on(3, async |links, contact, listener| {
-        (1..=2).for_each(|pull| assert!(links.send_pull(0, contact, pull, id(7), packet(10))));
+    let lost = run_script(3, async |connections, entry, listener| {
+        (1..=2).for_each(|pull| assert!(connections.send_pull(0, entry, pull, id(7), packet(10))));
         Timer::after(SHORT).await;
-        assert!(links.send_pull(0, contact, 3, id(7), packet(10)), "the two are written now");
+        assert!(connections.send_pull(0, entry, 3, id(7), packet(10)), "the first two are written now");
         Timer::after(SHORT).await;
         listener.set_nonblocking(true).unwrap();
         nodes.extend((0..4).map_while(|_| listener.accept().ok()));
@@ -175,36 +186,36 @@
     assert_eq!((nodes.len(), lost), (3, vec![]));
 }
 
-/// Guards what comes next against a node that takes nothing: it would wait behind the one being written.
+/// Guards new pulls against a node that reads nothing: they would wait behind the one that is being written.
 #[test]
-fn a_connection_whose_node_takes_nothing_gets_nothing_more() {
+fn a_connection_whose_node_reads_nothing_gets_no_further_pulls() {
     let mut nodes = Vec::new();
-    let lost = play_on(3, async |links, contact, listener| {
-        assert!(links.send_pull(0, contact, 1, id(1), packet(HUGE)));
+    let lost = run_script(3, async |connections, entry, listener| {
+        assert!(connections.send_pull(0, entry, 1, id(1), packet(HUGE)));
         Timer::after(Duration::from_millis(400)).await;
         nodes.push(listener.accept().unwrap().0);
         listener.set_nonblocking(true).unwrap();
-        assert!(links.send_pull(0, contact, 2, id(2), packet(10)));
+        assert!(connections.send_pull(0, entry, 2, id(2), packet(10)));
         Timer::after(SHORT).await;
-        nodes.push(listener.accept().expect("the second goes over another").0);
-        assert!(!links.cancel_pull(0, 1), "half of it is out");
+        nodes.push(listener.accept().expect("the second pull uses another connection").0);
+        assert!(!connections.cancel_pull(0, 1), "it is partly written");
         Timer::after(SHORT).await;
         let mut first = &nodes[0];
         first.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
-        let read = std::io::copy(&mut first, &mut std::io::sink()).expect("ended, not left open");
+        let read = std::io::copy(&mut first, &mut std::io::sink()).expect("the connection is closed");
         assert!(read < HUGE as u64, "{read}");
     });
     assert_eq!(lost, []);
 }
 
-/// Guards against a wrong length, which swallows the answers after it, and against what stops half way: bytes may
-/// keep coming, but no answer does.
+/// Guards against an answer with a wrong length, which swallows the answers after it, and against one that
+/// stops half way: bytes may still arrive, but no complete answer.
 #[test]
-fn a_connection_that_gets_nowhere_takes_no_further_pulls_and_ends_where_an_answer_stopped() {
-    let head = begun_answer(1);
+fn a_stalled_connection_gets_no_further_pulls_and_ends_if_an_answer_stopped() {
+    let head = partial_answer(1);
     let mut nodes = Vec::new();
-    let lost = play_on(3, async |links, contact, listener| {
-        assert!(links.send_pull(0, contact, 1, id(1), packet(10)));
+    let lost = run_script(3, async |connections, entry, listener| {
+        assert!(connections.send_pull(0, entry, 1, id(1), packet(10)));
         Timer::after(SHORT).await;
         nodes.push(listener.accept().unwrap().0);
         let mut node = &nodes[0];
@@ -214,124 +225,127 @@
             Timer::after(SHORT).await;
         }
         listener.set_nonblocking(true).unwrap();
-        assert!(links.send_pull(0, contact, 2, id(2), packet(10)));
+        assert!(connections.send_pull(0, entry, 2, id(2), packet(10)));
         Timer::after(SHORT).await;
-        nodes.push(listener.accept().expect("the second goes over another").0);
+        nodes.push(listener.accept().expect("the second pull uses another connection").0);
         Timer::after(Duration::from_millis(1_200)).await;
     });
     assert_eq!(lost, [(1, Loss::ConnectionBroken)]);
 }
 
-/// Guards against a node that takes nothing while a pull there is called back: until it is told, or its connection
-/// has ended, the next pull would be the second at work.
+/// Guards against a node that reads nothing while a pull is cancelled: until the cancel is written or the
+/// connection has ended, the next pull would run concurrently with it.
 #[test]
-fn a_pull_is_called_back_once_its_node_was_told() {
-    let lost = play(&[10], async |links, node| {
-        assert!(!links.cancel_pull(0, 1));
-        assert!(links.is_cancel_pending(0, 1), "the cancel has only just been queued");
+fn a_cancel_is_pending_until_it_is_written() {
+    let lost = run_with_pulls(&[10], async |connections, node| {
+        assert!(!connections.cancel_pull(0, 1));
+        assert!(connections.is_cancel_pending(0, 1), "the cancel is still queued");
         Timer::after(SHORT).await;
-        assert!(!links.is_cancel_pending(0, 1));
+        assert!(!connections.is_cancel_pending(0, 1));
         drop(node);
     });
     assert_eq!(lost, []);
-    let lost = play(&[10, HUGE], async |links, mut node| {
-        assert!(!links.cancel_pull(0, 1));
+    let lost = run_with_pulls(&[10, HUGE], async |connections, mut node| {
+        assert!(!connections.cancel_pull(0, 1));
         Timer::after(SHORT).await;
-        assert!(links.is_cancel_pending(0, 1), "it waits behind what the node does not take");
+        assert!(connections.is_cancel_pending(0, 1), "it waits behind a pull that the node does not read");
         Timer::after(Duration::from_millis(900)).await;
-        assert!(!links.is_cancel_pending(0, 1));
+        assert!(!connections.is_cancel_pending(0, 1));
         node.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
-        let read = std::io::copy(&mut node, &mut std::io::sink()).expect("ended, not left open");
+        let read = std::io::copy(&mut node, &mut std::io::sink()).expect("the connection is closed");
         assert!(read < HUGE as u64, "{read}");
     });
     assert_eq!(lost, [(2, Loss::NotSent)]);
 }
 
-/// A node answers one pull twice. The second answer must not pass for that to the next pull of the same download.
+/// A node answers one pull twice. The second answer must not be taken for the answer to the next pull of the
+/// same download.
 #[test]
-fn a_second_answer_is_nobodys() {
+fn a_second_answer_to_a_pull_is_ignored() {
     let mut nodes = Vec::new();
-    let told = play_within(3, usize::MAX, async |links, contact, listener| {
-        assert!(links.send_pull(0, contact, 1, id(1), packet(10)));
+    let inputs = run_script_with_limit(3, usize::MAX, async |connections, entry, listener| {
+        assert!(connections.send_pull(0, entry, 1, id(1), packet(10)));
         Timer::after(SHORT).await;
         nodes.push(listener.accept().unwrap().0);
         (&nodes[0]).write_all(answer(1, "EIO").as_bytes()).unwrap();
         Timer::after(SHORT).await;
-        assert!(links.send_pull(0, contact, 2, id(1), packet(10)));
+        assert!(connections.send_pull(0, entry, 2, id(1), packet(10)));
         Timer::after(SHORT).await;
         (&nodes[0]).write_all(answer(1, "ACK").as_bytes()).unwrap();
         Timer::after(SHORT).await;
         listener.set_nonblocking(true).unwrap();
-        nodes.push(listener.accept().expect("the second goes over another").0);
+        nodes.push(listener.accept().expect("the second pull uses another connection").0);
     });
-    let told: Vec<u64> = told
+    let inputs: Vec<u64> = inputs
         .iter()
-        .map(|news| match news {
+        .map(|input| match input {
             Input::Answered { pull, .. } => *pull,
             other => panic!("{other:?}"),
         })
         .collect();
-    assert_eq!(told, [1]);
+    assert_eq!(inputs, [1]);
 }
 
-/// Guards the descriptors: the connection that gives way is closed before the one that takes its place is opened.
+/// Guards the number of file descriptors: a connection that gives way is closed before its replacement is
+/// opened.
 #[test]
-fn no_more_connections_are_held_than_the_bound_says() {
+fn no_more_connections_are_open_than_the_limit_allows() {
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
-    /// From now on no file can be opened but in the place of one that is closed.
+    /// From now on a file can only be opened after another one was closed.
     fn no_more_files() -> Rlimit {
         use std::os::fd::AsRawFd;
-        let usual = getrlimit(Resource::Nofile);
+        let default_limits = getrlimit(Resource::Nofile);
         let first_free = std::fs::File::open("/dev/null").unwrap().as_raw_fd() as u64;
-        setrlimit(Resource::Nofile, Rlimit { current: Some(first_free), ..usual }).unwrap();
-        usual
+        setrlimit(Resource::Nofile, Rlimit { current: Some(first_free), ..default_limits }).unwrap();
+        default_limits
     }
-    // In a program of its own: other tests open files too.
+    // Runs in a process of its own, since other tests open files too.
     if std::env::var("HARESTAGE_ALONE").is_err() {
-        let alone = std::process::Command::new(std::env::current_exe().unwrap())
-            .args(["--exact", "no_more_connections_are_held_than_the_bound_says", "--test-threads=1"])
+        let child = std::process::Command::new(std::env::current_exe().unwrap())
+            .args(["--exact", "no_more_connections_are_open_than_the_limit_allows", "--test-threads=1"])
             .env("HARESTAGE_ALONE", "1")
             .output()
             .unwrap();
-        assert!(alone.status.success(), "{}", String::from_utf8_lossy(&alone.stdout));
+        assert!(child.status.success(), "{}", String::from_utf8_lossy(&child.stdout));
         return;
     }
     let mut nodes = Vec::new();
-    let told = play_within(1, 2, async |links, contact, listener| {
+    let inputs = run_script_with_limit(1, 2, async |connections, entry, listener| {
         listener.set_nonblocking(true).unwrap();
-        // Two connections to as many nodes, both at rest.
+        // Two idle connections to two nodes.
         for node in 0..2 {
-            assert!(links.send_pull(node, contact, u64::from(node), id(u64::from(node)), packet(10)));
+            assert!(connections.send_pull(node, entry, u64::from(node), id(u64::from(node)), packet(10)));
             Timer::after(SHORT).await;
             nodes.push(listener.accept().unwrap().0);
             (&nodes[node as usize]).write_all(answer(node.into(), "ACK").as_bytes()).unwrap();
         }
         Timer::after(SHORT).await;
-        // Two more in one turn: both of the idle ones give way, and there is no place for a third.
-        let usual = no_more_files();
+        // Two more in one step: both idle connections give way, and there is no slot for a third.
+        let default_limits = no_more_files();
         for node in 2..4 {
-            assert!(links.send_pull(node, contact, u64::from(node), id(u64::from(node)), packet(10)));
+            assert!(connections.send_pull(node, entry, u64::from(node), id(u64::from(node)), packet(10)));
         }
-        assert!(!links.send_pull(4, contact, 4, id(4), packet(10)), "none is idle");
+        assert!(!connections.send_pull(4, entry, 4, id(4), packet(10)), "no connection is idle");
         Timer::after(SHORT).await;
-        setrlimit(Resource::Nofile, usual).unwrap();
+        setrlimit(Resource::Nofile, default_limits).unwrap();
         nodes.extend(std::iter::from_fn(|| listener.accept().ok()).map(|(node, _)| node));
         assert_eq!(nodes.len(), 4);
     });
-    assert_eq!(told.len(), 2, "{told:?}");
+    assert_eq!(inputs.len(), 2, "{inputs:?}");
 }
 
-/// An id that comes again and again needs a connection that does not know it; it gets the place of one that does.
+/// An id that is used again needs a connection that has not seen it. That connection replaces the one that
+/// has.
 #[test]
-fn an_id_that_comes_again_takes_no_further_room() {
+fn a_repeated_id_uses_no_further_connections() {
     let answer = answer(1, "ACK");
     let mut nodes = Vec::new();
-    play_within(3, usize::MAX, async |links, contact, listener| {
+    run_script_with_limit(3, usize::MAX, async |connections, entry, listener| {
         listener.set_nonblocking(true).unwrap();
         for pull in 1..=4 {
-            assert!(links.send_pull(0, contact, pull, id(1), packet(10)));
+            assert!(connections.send_pull(0, entry, pull, id(1), packet(10)));
             Timer::after(SHORT).await;
-            nodes.push(listener.accept().expect("over another").0);
+            nodes.push(listener.accept().expect("each pull uses another connection").0);
             nodes.last_mut().unwrap().write_all(answer.as_bytes()).unwrap();
             Timer::after(SHORT).await;
         }
@@ -344,38 +358,39 @@
     });
 }
 
-/// A node closes a connection at rest, and nobody has read that when the next pull is written: it must not be lost where
-/// nothing could prove that it never ran.
+/// A node closes an idle connection, and the router has not read that when it writes the next pull. The pull
+/// must not be lost without proof that it never ran.
 #[test]
-fn a_pull_is_not_written_to_a_connection_that_has_been_closed_at_rest() {
+fn a_pull_is_not_written_to_a_connection_closed_while_idle() {
     let answer = answer(1, "ACK");
-    let told = play_within(3, usize::MAX, async |links, contact, listener| {
-        assert!(links.send_pull(0, contact, 1, id(1), packet(10)));
+    let inputs = run_script_with_limit(3, usize::MAX, async |connections, entry, listener| {
+        assert!(connections.send_pull(0, entry, 1, id(1), packet(10)));
         Timer::after(SHORT).await;
         let mut node = listener.accept().unwrap().0;
         node.write_all(answer.as_bytes()).unwrap();
         Timer::after(SHORT).await;
-        // Nothing runs between the pull and the close, and the writer comes first then: its turn is queued already.
+        // No task runs between the pull and the close, and the writer, already scheduled, runs first
+        // afterwards.
         let mut all = [0; 128];
         let _ = node.read(&mut all).unwrap();
-        assert!(links.send_pull(0, contact, 2, id(2), packet(10)));
+        assert!(connections.send_pull(0, entry, 2, id(2), packet(10)));
         drop(node);
         Timer::after(SHORT).await;
     });
     assert!(
-        matches!(told[..], [Input::Answered { pull: 1, .. }, Input::Lost { pull: 2, loss: Loss::NotSent }]),
-        "{told:?}"
+        matches!(inputs[..], [Input::Answered { pull: 1, .. }, Input::Lost { pull: 2, loss: Loss::NotSent }]),
+        "{inputs:?}"
     );
 }
 
-/// An answer that never ends: bytes keep coming, so that it has not stopped. It holds up nothing beside its own pull, and
-/// its connection is ended as that is given up.
+/// An answer that never ends: bytes keep arriving, so it does not count as stopped. It delays no other pull,
+/// and its connection is closed when its own pull is given up.
 #[test]
-fn an_answer_that_never_ends_holds_up_only_its_own_pull() {
-    let head = begun_answer(1);
+fn an_answer_that_never_ends_delays_only_its_own_pull() {
+    let head = partial_answer(1);
     let mut nodes = Vec::new();
-    let lost = play_on(3, async |links, contact, listener| {
-        assert!(links.send_pull(0, contact, 1, id(1), packet(10)));
+    let lost = run_script(3, async |connections, entry, listener| {
+        assert!(connections.send_pull(0, entry, 1, id(1), packet(10)));
         Timer::after(SHORT).await;
         nodes.push(listener.accept().unwrap().0);
         (&nodes[0]).write_all(head.as_bytes()).unwrap();
@@ -384,14 +399,14 @@
             Timer::after(Duration::from_millis(100)).await;
         }
         listener.set_nonblocking(true).unwrap();
-        assert!(links.send_pull(0, contact, 2, id(2), packet(10)));
+        assert!(connections.send_pull(0, entry, 2, id(2), packet(10)));
         Timer::after(SHORT).await;
-        nodes.push(listener.accept().expect("the second goes over another").0);
-        assert!(!links.cancel_pull(0, 1));
+        nodes.push(listener.accept().expect("the second pull uses another connection").0);
+        assert!(!connections.cancel_pull(0, 1));
         Timer::after(Duration::from_millis(700)).await;
         let mut first = &nodes[0];
         first.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
-        std::io::copy(&mut first, &mut std::io::sink()).expect("ended, not left open");
+        std::io::copy(&mut first, &mut std::io::sink()).expect("the connection is closed");
     });
     assert_eq!(lost, []);
 }
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The routing task on a clock given by the test: it adds nothing to what the core orders, and it carries out
+//! The routing task with a clock controlled by the test: it adds nothing to the core's orders, and it does
 //! what the simulator does by itself.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
@@ -21,34 +21,34 @@
 const START: Moment = Moment::at_micros(1_764_576_000_000_000);
 const KINDS: Kinds = Kinds { parent: Some(1), origin: Some(2) };
 
-/// Notes what goes out; pulls stay unwritten while `stuck` is set.
+/// Records all output; pulls stay unwritten while `stuck` is set.
 #[derive(Default)]
-struct Paper {
+struct RecordingTransport {
     answers: Vec<(u64, ToClient)>,
     pulls: Vec<(NodeId, PullId, String)>,
     cancels: Vec<PullId>,
     stuck: bool,
-    /// Nodes take nothing, cancels among it.
-    deaf: bool,
+    /// Nodes read nothing, not even cancels.
+    nodes_read_nothing: bool,
     renewed: Vec<NodeId>,
     forgotten: Vec<NodeId>,
-    /// What is confirmed comes here; and whether there was something already at each pull and each one taken back.
+    /// Receives confirmations; `confirmed_early` records whether one had arrived at each pull and each withdrawal.
     confirmed: Option<Receiver<u64>>,
-    early: Vec<bool>,
+    confirmed_early: Vec<bool>,
 }
 
-impl Paper {
-    fn note_early(&mut self) {
-        self.early.extend(self.confirmed.as_ref().map(|confirmed| !confirmed.is_empty()));
+impl RecordingTransport {
+    fn record_early_confirmation(&mut self) {
+        self.confirmed_early.extend(self.confirmed.as_ref().map(|confirmed| !confirmed.is_empty()));
     }
 }
 
-impl Transport for Paper {
+impl Transport for RecordingTransport {
     fn answer(&mut self, _: ClientId, tag: u64, answer: ToClient) {
         self.answers.push((tag, answer));
     }
     fn send_pull(&mut self, node: NodeId, _: &NodeEntry, pull: PullId, _: HexId, packet: Packet) -> bool {
-        self.note_early();
+        self.record_early_confirmation();
         self.pulls.push((node, pull, String::from_utf8_lossy(&packet.head).into_owned()));
         true
     }
@@ -57,11 +57,11 @@
         self.stuck
     }
     fn remove_queued(&mut self, _: NodeId, _: PullId) -> bool {
-        self.note_early();
+        self.record_early_confirmation();
         self.stuck
     }
     fn is_cancel_pending(&self, _: NodeId, _: PullId) -> bool {
-        self.deaf
+        self.nodes_read_nothing
     }
     fn replace_connections(&mut self, node: NodeId) {
         self.renewed.push(node);
@@ -109,7 +109,7 @@
     }
 }
 
-fn wish(content: &str, object: u64, waits_ms: u64) -> DownloadRequest {
+fn download_request(content: &str, object: u64, timeout_ms: u64) -> DownloadRequest {
     let hex = |n: u64| HexId::parse(format!("{n:016x}").as_bytes()).unwrap();
     let (content, held, body) = (Bytes::from(content.to_string()), None, Bytes::new());
     let (id, object) = (hex(object + 77), hex(object));
@@ -120,7 +120,7 @@
         object,
         part,
         group,
-        timeout_ms: waits_ms,
+        timeout_ms,
         repeat,
         kilobytes,
         dedup_key,
@@ -136,7 +136,7 @@
 
 struct Fixture {
     routing: Routing,
-    paper: Paper,
+    transport: RecordingTransport,
     now: Moment,
 }
 
@@ -144,7 +144,7 @@
     fn open() -> Fixture {
         let (outside, answer_grace, gone_kept) = (outside(), Span::millis(20), Span::millis(10_000));
         let cancel_settles = Span::millis(10);
-        let terms = RoutingConfig {
+        let config = RoutingConfig {
             profile: profile(),
             kinds: KINDS,
             outside,
@@ -152,45 +152,46 @@
             cancel_settles,
             removed_node_retention: gone_kept,
         };
-        let routing = Routing::new(terms, 11, START);
-        let mut bed = Fixture { routing, paper: Paper::default(), now: START };
-        bed.hear(vec![Input::Feed(all_ready())]);
-        bed
+        let routing = Routing::new(config, 11, START);
+        let mut fixture = Fixture { routing, transport: RecordingTransport::default(), now: START };
+        fixture.handle(vec![Input::Feed(all_ready())]);
+        fixture
     }
-    fn hear(&mut self, news: Vec<Input>) {
-        self.routing.step(self.now, news.into_iter(), &mut self.paper);
+    fn handle(&mut self, inputs: Vec<Input>) {
+        self.routing.step(self.now, inputs.into_iter(), &mut self.transport);
     }
-    fn ask(&mut self, tag: u64, content: &str, waits_ms: u64) -> PullId {
-        let wish = wish(content, tag * 1_000, waits_ms);
-        self.hear(vec![Input::Download { client: 1, tag, request: wish, at: self.now }]);
-        self.paper.pulls.last().unwrap().1
+    fn ask(&mut self, tag: u64, content: &str, timeout_ms: u64) -> PullId {
+        let request = download_request(content, tag * 1_000, timeout_ms);
+        self.handle(vec![Input::Download { client: 1, tag, request, at: self.now }]);
+        self.transport.pulls.last().unwrap().1
     }
     fn wait(&mut self, ms: u64) {
         let until = self.now + Span::millis(ms);
         while let Some(due) = self.routing.next_timer().filter(|b| *b <= until) {
             self.now = due.max(self.now);
-            self.hear(Vec::new());
+            self.handle(Vec::new());
         }
         self.now = until;
     }
     fn answered(&self, tag: u64) -> Vec<&ToClient> {
-        self.paper.answers.iter().filter(|a| a.0 == tag).map(|a| &a.1).collect()
+        self.transport.answers.iter().filter(|a| a.0 == tag).map(|a| &a.1).collect()
     }
 }
 
-/// Plays one script both ways: whom the router pulls from, when, and whom it throttles must be what the core says.
+/// Plays one script through the router and directly through the core: the nodes of the pulls, their times and
+/// the throttled downloads must be the same.
 #[test]
-fn the_router_adds_nothing_to_what_the_core_orders() {
-    let mut bed = Fixture::open();
-    let (mut register, mut contacts) = (Register::default(), NodeTable::default());
+fn the_router_adds_nothing_to_the_orders_of_the_core() {
+    let mut fixture = Fixture::open();
+    let (mut register, mut node_table) = (Register::default(), NodeTable::default());
     let mut brain = Brain::open(profile(), 11, START);
     let FeedEvent::Members { members, .. } = all_ready() else { unreachable!() };
-    let enter = |m| contacts.apply(m, &mut register, KINDS, &outside(), START).record;
+    let enter = |m| node_table.apply(m, &mut register, KINDS, &outside(), START).record;
     let listings = members.iter().map(enter).collect();
     let mut timers = Vec::new();
     let mut direct: Vec<(u32, u32)> = Vec::new();
     let mut throttled = 0;
-    let mut turn = |now: Moment, event: Event, direct: &mut Vec<(u32, u32)>, timers: &mut Vec<Moment>| {
+    let mut step = |now: Moment, event: Event, direct: &mut Vec<(u32, u32)>, timers: &mut Vec<Moment>| {
         let mut orders = Vec::new();
         brain.turn(now, vec![event], &mut orders);
         for order in orders {
@@ -202,7 +203,7 @@
             }
         }
     };
-    turn(START, Event::Roster { news: RosterNews::Whole, listings }, &mut direct, &mut timers);
+    step(START, Event::Roster { news: RosterNews::Whole, listings }, &mut direct, &mut timers);
     let endings = [
         (AnswerStatus::Fulfilled, Ending::Fulfilled, Remark::FromOrigin),
         (AnswerStatus::Failed, Ending::Error, Remark::Nothing),
@@ -211,154 +212,158 @@
         (AnswerStatus::NotFound, Ending::Missed, Remark::SourceLacks),
     ];
     for round in 0..400u64 {
-        // No download is ever forgotten before the next comes, so that both give out the same indices.
-        let (object, before) = (round % 37 * 1_000, bed.paper.pulls.len());
+        // Each download is forgotten before the next arrives, so that both use the same indices.
+        let (object, before) = (round % 37 * 1_000, fixture.transport.pulls.len());
         let download = Download {
             content: ContentIx(0),
             object: ObjectKey(object),
             part: 0,
             group: 3,
             kilobytes: 0.0,
-            leaves_at: bed.now + Span::millis(2_000),
+            leaves_at: fixture.now + Span::millis(2_000),
             repeat: false,
         };
-        bed.hear(vec![Input::Download {
+        fixture.handle(vec![Input::Download {
             client: 1,
             tag: round + 1,
-            request: wish("page", object, 2_000),
-            at: bed.now,
+            request: download_request("page", object, 2_000),
+            at: fixture.now,
         }]);
-        turn(bed.now, Event::Arrived { dl: DlIx(0), download }, &mut direct, &mut timers);
+        step(fixture.now, Event::Arrived { dl: DlIx(0), download }, &mut direct, &mut timers);
         let mut number = 0;
-        while bed.paper.pulls.len() > before + number {
-            let (node, pull, _) = bed.paper.pulls[before + number].clone();
+        while fixture.transport.pulls.len() > before + number {
+            let (node, pull, _) = fixture.transport.pulls[before + number].clone();
             let (word, ending, remark) = endings[(round as usize + number) % endings.len()];
-            bed.hear(vec![Input::Answered { pull, answer: answer(word, remark), copy_digest: None }]);
+            fixture.handle(vec![Input::Answered { pull, answer: answer(word, remark), copy_digest: None }]);
             let (dl, node, closed) = (DlIx(0), NodeIx(node), ending == Ending::Fulfilled);
             let (took, first_byte) = (Span::ZERO, Span::ZERO);
             let end = PullEnd { dl, pull: number as u8, node, ending, remark, closed, took, first_byte };
-            turn(bed.now, Event::Ended(end), &mut direct, &mut timers);
+            step(fixture.now, Event::Ended(end), &mut direct, &mut timers);
             number += 1;
         }
-        let until = bed.now + Span::millis(7 + round % 11);
+        let until = fixture.now + Span::millis(7 + round % 11);
         while let Some(at) = timers.first().copied().filter(|at| *at <= until) {
             timers.remove(0);
-            turn(at, Event::TimerFired { timer: 0 }, &mut direct, &mut timers);
+            step(at, Event::TimerFired { timer: 0 }, &mut direct, &mut timers);
         }
-        bed.wait(7 + round % 11);
+        fixture.wait(7 + round % 11);
     }
     assert!(direct.len() > 400, "pulls go on after failures");
-    let routed: Vec<NodeId> = bed.paper.pulls.iter().map(|p| p.0).collect();
+    let routed: Vec<NodeId> = fixture.transport.pulls.iter().map(|p| p.0).collect();
     assert_eq!(routed, direct.iter().map(|d| d.1).collect::<Vec<_>>());
     let refused = |a: &&(u64, ToClient)| matches!(a.1, ToClient::Throttled { .. });
-    assert_eq!(bed.paper.answers.iter().filter(refused).count(), throttled);
-    assert_eq!(bed.paper.answers.len(), 400, "each download has one answer");
+    assert_eq!(fixture.transport.answers.iter().filter(refused).count(), throttled);
+    assert_eq!(fixture.transport.answers.len(), 400, "each download has one answer");
 }
 
 #[test]
 fn a_deadline_ends_the_pull_and_answers_at_once() {
-    let mut bed = Fixture::open();
-    let pull = bed.ask(1, "page", 300);
-    bed.wait(299);
-    assert!(bed.answered(1).is_empty());
-    bed.wait(2);
-    assert_eq!(bed.answered(1).len(), 1);
-    assert_eq!(bed.paper.cancels, [pull]);
-    // What comes after the end is passed over.
-    bed.hear(vec![Input::Answered {
+    let mut fixture = Fixture::open();
+    let pull = fixture.ask(1, "page", 300);
+    fixture.wait(299);
+    assert!(fixture.answered(1).is_empty());
+    fixture.wait(2);
+    assert_eq!(fixture.answered(1).len(), 1);
+    assert_eq!(fixture.transport.cancels, [pull]);
+    // Input after the end is ignored.
+    fixture.handle(vec![Input::Answered {
         pull,
         answer: answer(AnswerStatus::Fulfilled, Remark::Hit),
         copy_digest: None,
     }]);
-    bed.wait(500);
-    assert_eq!(bed.answered(1).len(), 1);
-    assert_eq!(bed.routing.unanswered(), 0);
+    fixture.wait(500);
+    assert_eq!(fixture.answered(1).len(), 1);
+    assert_eq!(fixture.routing.unanswered(), 0);
 }
 
 #[test]
-fn an_answer_in_the_turn_of_the_deadline_is_passed_on_once() {
-    let mut bed = Fixture::open();
-    let pull = bed.ask(1, "page", 300);
-    bed.now = bed.now + Span::millis(300);
-    bed.hear(vec![Input::Answered {
+fn an_answer_in_the_step_of_the_deadline_is_passed_on_once() {
+    let mut fixture = Fixture::open();
+    let pull = fixture.ask(1, "page", 300);
+    fixture.now = fixture.now + Span::millis(300);
+    fixture.handle(vec![Input::Answered {
         pull,
         answer: answer(AnswerStatus::Fulfilled, Remark::Hit),
         copy_digest: None,
     }]);
-    bed.wait(200);
-    assert_eq!(bed.answered(1), [&ToClient::Fulfilled { body: Bytes::from("bytes") }]);
+    fixture.wait(200);
+    assert_eq!(fixture.answered(1), [&ToClient::Fulfilled { body: Bytes::from("bytes") }]);
 }
 
-/// A reset after the request was written whole proves nothing, so what must not run twice is abandoned; a
-/// connection that never came up proves that it may go elsewhere.
+/// A reset after the request was written whole proves nothing, so a download that must not run twice is
+/// abandoned. A connection that never came up proves that the pull did not run, so it may go to another node.
 #[test]
-fn a_non_retriable_download_goes_again_only_after_proof() {
-    let mut bed = Fixture::open();
-    let pull = bed.ask(1, "write", 2_000);
-    bed.hear(vec![Input::Lost { pull, loss: Loss::NotSent }]);
-    let second = bed.paper.pulls.last().unwrap().1;
-    assert_ne!(pull, second, "never left: goes on");
-    bed.hear(vec![Input::Lost { pull: second, loss: Loss::ConnectionBroken }]);
-    assert_eq!(bed.paper.pulls.len(), 2);
-    assert_eq!(bed.answered(1), [&ToClient::Abandoned]);
+fn a_non_retriable_download_is_retried_only_if_it_provably_never_ran() {
+    let mut fixture = Fixture::open();
+    let pull = fixture.ask(1, "write", 2_000);
+    fixture.handle(vec![Input::Lost { pull, loss: Loss::NotSent }]);
+    let second = fixture.transport.pulls.last().unwrap().1;
+    assert_ne!(pull, second, "it was not sent, so it is retried");
+    fixture.handle(vec![Input::Lost { pull: second, loss: Loss::ConnectionBroken }]);
+    assert_eq!(fixture.transport.pulls.len(), 2);
+    assert_eq!(fixture.answered(1), [&ToClient::Abandoned]);
     for word in [AnswerStatus::Busy, AnswerStatus::TooLate, AnswerStatus::Failed] {
-        let pull = bed.ask(2, "write", 2_000);
-        bed.hear(vec![Input::Answered { pull, answer: answer(word, Remark::Nothing), copy_digest: None }]);
-        let failed = bed.answered(2).contains(&&ToClient::Abandoned);
+        let pull = fixture.ask(2, "write", 2_000);
+        fixture.handle(vec![Input::Answered {
+            pull,
+            answer: answer(word, Remark::Nothing),
+            copy_digest: None,
+        }]);
+        let failed = fixture.answered(2).contains(&&ToClient::Abandoned);
         assert_eq!(failed, word == AnswerStatus::Failed, "{word:?}");
-        bed.hear(vec![Input::Disconnected { client: 1 }]);
+        fixture.handle(vec![Input::Disconnected { client: 1 }]);
     }
 }
 
 #[test]
-fn a_client_that_leaves_is_owed_nothing_and_its_pull_is_called_back() {
-    let mut bed = Fixture::open();
-    let first = bed.ask(1, "page", 2_000);
-    bed.hear(vec![Input::Cancel { client: 1, tag: 1 }]);
-    let second = bed.ask(2, "page", 2_000);
-    bed.hear(vec![Input::Disconnected { client: 1 }]);
-    assert_eq!(bed.paper.cancels, [first, second]);
-    bed.wait(3_000);
-    assert!(bed.paper.answers.is_empty());
+fn a_client_that_leaves_gets_no_answer_and_its_pull_is_cancelled() {
+    let mut fixture = Fixture::open();
+    let first = fixture.ask(1, "page", 2_000);
+    fixture.handle(vec![Input::Cancel { client: 1, tag: 1 }]);
+    let second = fixture.ask(2, "page", 2_000);
+    fixture.handle(vec![Input::Disconnected { client: 1 }]);
+    assert_eq!(fixture.transport.cancels, [first, second]);
+    fixture.wait(3_000);
+    assert!(fixture.transport.answers.is_empty());
 }
 
-/// The next pull may go over another connection than the cancel, and must not overtake it: some operators allow no
-/// two at work at once.
+/// The next pull may use another connection than the cancel, and must not overtake it: some operators don't
+/// allow two concurrent pulls of one download.
 #[test]
-fn what_is_called_back_goes_on_only_once_its_cancel_has_settled() {
-    let mut bed = Fixture::open();
-    let first = bed.ask(1, "page", 2_000);
-    let members = vec![member(bed.paper.pulls[0].0, MemberState::Removed, 0)];
-    bed.hear(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
-    assert_eq!(bed.paper.cancels, [first]);
-    bed.wait(9);
-    assert_eq!(bed.paper.pulls.len(), 1, "{:?}", bed.paper.pulls);
-    bed.wait(2);
-    assert_eq!(bed.paper.pulls.len(), 2);
-    assert_ne!(bed.paper.pulls[1].0, bed.paper.pulls[0].0);
+fn a_cancelled_pull_is_followed_only_after_its_cancel_has_settled() {
+    let mut fixture = Fixture::open();
+    let first = fixture.ask(1, "page", 2_000);
+    let members = vec![member(fixture.transport.pulls[0].0, MemberState::Removed, 0)];
+    fixture.handle(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
+    assert_eq!(fixture.transport.cancels, [first]);
+    fixture.wait(9);
+    assert_eq!(fixture.transport.pulls.len(), 1, "{:?}", fixture.transport.pulls);
+    fixture.wait(2);
+    assert_eq!(fixture.transport.pulls.len(), 2);
+    assert_ne!(fixture.transport.pulls[1].0, fixture.transport.pulls[0].0);
 }
 
-/// A pull that waits for its connection must not reach a node that drains meanwhile, nor carry copy limits from
-/// before a purge; one that is out runs on.
+/// A pull that waits for its connection must not reach a node that starts to drain, nor accept a copy by an
+/// age limit from before a purge. A pull that was sent goes on.
 #[test]
-fn queued_pulls_are_dropped_by_drains_and_purges() {
+fn queued_pulls_are_withdrawn_by_drains_and_purges() {
     for stuck in [true, false] {
-        let mut bed = Fixture::open();
-        bed.ask(1, "page", 2_000);
-        bed.paper.stuck = stuck;
-        let (node, _, _) = bed.paper.pulls[0].clone();
+        let mut fixture = Fixture::open();
+        fixture.ask(1, "page", 2_000);
+        fixture.transport.stuck = stuck;
+        let (node, _, _) = fixture.transport.pulls[0].clone();
         let members = vec![member(CACHES[node as usize], MemberState::Draining, 0)];
-        bed.hear(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
-        let moved: Vec<NodeId> = bed.paper.pulls[1..].iter().map(|p| p.0).collect();
+        fixture.handle(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
+        let moved: Vec<NodeId> = fixture.transport.pulls[1..].iter().map(|p| p.0).collect();
         assert_eq!(moved.len(), usize::from(stuck));
         assert!(!moved.contains(&node));
 
-        let mut bed = Fixture::open();
-        bed.ask(1, "page", 2_000);
-        bed.paper.stuck = stuck;
-        let at_ms = bed.now.micros() / 1_000 - 1_500;
-        bed.hear(vec![Input::Feed(FeedEvent::Purge { object: Some(1_000), group: 0, at_ms })]);
-        let again: Vec<&String> = bed.paper.pulls[1..].iter().map(|p| &p.2).collect();
+        let mut fixture = Fixture::open();
+        fixture.ask(1, "page", 2_000);
+        fixture.transport.stuck = stuck;
+        let at_ms = fixture.now.micros() / 1_000 - 1_500;
+        fixture.handle(vec![Input::Feed(FeedEvent::Purge { object: Some(1_000), group: 0, at_ms })]);
+        let again: Vec<&String> = fixture.transport.pulls[1..].iter().map(|p| &p.2).collect();
         assert_eq!(again.len(), usize::from(stuck));
         assert!(again.iter().all(|head| head.contains("accept=1495")), "{again:?}");
     }
@@ -366,166 +371,182 @@
 
 #[test]
 fn a_new_process_under_an_old_name_gets_new_connections() {
-    let mut bed = Fixture::open();
-    let relist = |state, since| {
+    let mut fixture = Fixture::open();
+    let update = |state, since| {
         Input::Feed(FeedEvent::Members { is_snapshot: false, members: vec![member(CACHES[1], state, since)] })
     };
-    bed.hear(vec![relist(MemberState::Ready, 0), relist(MemberState::Draining, 0)]);
-    assert!(bed.paper.renewed.is_empty(), "a drain leaves pulls running");
-    bed.hear(vec![relist(MemberState::Removed, 0), relist(MemberState::Ready, 1_764_576_000_000)]);
-    assert_eq!(bed.paper.renewed, [1, 1], "once gone, and once it is there again");
+    fixture.handle(vec![update(MemberState::Ready, 0), update(MemberState::Draining, 0)]);
+    assert!(fixture.transport.renewed.is_empty(), "a drain leaves pulls running");
+    fixture.handle(vec![update(MemberState::Removed, 0), update(MemberState::Ready, 1_764_576_000_000)]);
+    assert_eq!(fixture.transport.renewed, [1, 1], "at the removal and at the return");
 }
 
-/// Guards memory on a day on which caches are replaced under new names all the time. What was known of one that
-/// is gone must not pass for the next one's.
+/// Guards memory on days when caches are often replaced under new names. What was learnt about a removed
+/// cache must not be applied to the next one with its index.
 #[test]
-fn names_that_are_gone_for_long_are_forgotten() {
-    let mut bed = Fixture::open();
+fn nodes_that_were_removed_long_ago_are_forgotten() {
+    let mut fixture = Fixture::open();
     for day in 0..40u32 {
         let (old, new) = (100 + day, 101 + day);
-        let at_ms = bed.now.micros() / 1_000;
+        let at_ms = fixture.now.micros() / 1_000;
         let members = vec![member(old, MemberState::Removed, 1), member(new, MemberState::Ready, at_ms)];
-        bed.hear(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
-        bed.wait(2_000);
-        let pull = bed.ask(u64::from(day) + 1, "page", 1_000);
-        assert!(!bed.paper.forgotten.contains(&bed.paper.pulls.last().unwrap().0));
-        bed.hear(vec![Input::Answered {
+        fixture.handle(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
+        fixture.wait(2_000);
+        let pull = fixture.ask(u64::from(day) + 1, "page", 1_000);
+        assert!(!fixture.transport.forgotten.contains(&fixture.transport.pulls.last().unwrap().0));
+        fixture.handle(vec![Input::Answered {
             pull,
             answer: answer(AnswerStatus::Fulfilled, Remark::Hit),
             copy_digest: None,
         }]);
     }
-    assert!(bed.paper.forgotten.len() >= 34, "{:?}", bed.paper.forgotten);
-    let (first, last) = (bed.paper.forgotten[0], *bed.paper.forgotten.last().unwrap());
-    assert_eq!(last - first + 1, bed.paper.forgotten.len() as u32, "one after the other, and none twice");
+    assert!(fixture.transport.forgotten.len() >= 34, "{:?}", fixture.transport.forgotten);
+    let (first, last) = (fixture.transport.forgotten[0], *fixture.transport.forgotten.last().unwrap());
+    assert_eq!(last - first + 1, fixture.transport.forgotten.len() as u32, "one after the other, none twice");
     let mut register = Register::default();
-    let mut contacts = NodeTable::default();
+    let mut node_table = NodeTable::default();
     for day in 0..40u32 {
-        let gone = |state| member(100 + day, state, 1);
+        let entry = |state| member(100 + day, state, 1);
         let now = START + Span::millis(u64::from(day) * 1_000);
         for state in [MemberState::Ready, MemberState::Removed] {
-            let no = contacts.apply(&gone(state), &mut register, KINDS, &outside(), now);
-            assert!(no.record.node.0 < 3, "indices are used again: {:?}", no.record.node);
+            let no = node_table.apply(&entry(state), &mut register, KINDS, &outside(), now);
+            assert!(no.record.node.0 < 3, "indices are reused: {:?}", no.record.node);
         }
         if let Some(old) = day.checked_sub(2) {
-            assert!(!contacts.forget(old, Span::millis(2_001), now, &mut register), "too soon");
-            assert!(contacts.forget(old, Span::millis(2_000), now, &mut register));
-            assert!(!contacts.forget(old, Span::ZERO, now, &mut register), "twice");
+            assert!(!node_table.forget(old, Span::millis(2_001), now, &mut register), "too soon");
+            assert!(node_table.forget(old, Span::millis(2_000), now, &mut register));
+            assert!(!node_table.forget(old, Span::ZERO, now, &mut register), "twice");
         }
     }
 }
 
-/// Guards against answers that pass for those of another download, and bytes that pass for another object's.
+/// Guards against answers taken for those of another download, and bytes taken for another object's.
 #[test]
-fn the_id_of_an_open_download_is_taken() {
-    let mut bed = Fixture::open();
-    bed.ask(1, "page", 2_000);
-    let stolen =
-        DownloadRequest { object: HexId::parse(b"00000000000000ff").unwrap(), ..wish("page", 1_000, 2_000) };
-    let asked = |tag, client| Input::Download { client, tag, request: stolen.clone(), at: START };
-    bed.hear(vec![asked(2, 1), asked(3, 2)]);
-    assert_eq!((bed.answered(2), bed.answered(3)), (vec![&ToClient::Abandoned], vec![&ToClient::Abandoned]));
-    assert_eq!(bed.paper.pulls.len(), 1);
-    let pull = bed.paper.pulls[0].1;
-    bed.hear(vec![Input::Answered {
+fn the_id_of_an_open_download_can_not_be_used_again() {
+    let mut fixture = Fixture::open();
+    fixture.ask(1, "page", 2_000);
+    let reused_id = DownloadRequest {
+        object: HexId::parse(b"00000000000000ff").unwrap(),
+        ..download_request("page", 1_000, 2_000)
+    };
+    let asked = |tag, client| Input::Download { client, tag, request: reused_id.clone(), at: START };
+    fixture.handle(vec![asked(2, 1), asked(3, 2)]);
+    assert_eq!(
+        (fixture.answered(2), fixture.answered(3)),
+        (vec![&ToClient::Abandoned], vec![&ToClient::Abandoned])
+    );
+    assert_eq!(fixture.transport.pulls.len(), 1);
+    let pull = fixture.transport.pulls[0].1;
+    fixture.handle(vec![Input::Answered {
         pull,
         answer: answer(AnswerStatus::Fulfilled, Remark::Hit),
         copy_digest: None,
     }]);
-    assert_eq!(bed.answered(1).len(), 1);
-    bed.hear(vec![asked(4, 1)]);
-    assert_eq!(bed.paper.pulls.len(), 2, "free again once that is answered");
+    assert_eq!(fixture.answered(1).len(), 1);
+    fixture.handle(vec![asked(4, 1)]);
+    assert_eq!(fixture.transport.pulls.len(), 2, "the id is free again after the answer");
 }
 
 #[test]
 fn an_unknown_content_type_is_abandoned() {
-    let mut bed = Fixture::open();
-    bed.hear(vec![Input::Download { client: 1, tag: 1, request: wish("nothing", 1, 500), at: START }]);
-    assert_eq!(bed.answered(1), [&ToClient::Abandoned]);
-    assert!(bed.paper.pulls.is_empty());
+    let mut fixture = Fixture::open();
+    fixture.handle(vec![Input::Download {
+        client: 1,
+        tag: 1,
+        request: download_request("nothing", 1, 500),
+        at: START,
+    }]);
+    assert_eq!(fixture.answered(1), [&ToClient::Abandoned]);
+    assert!(fixture.transport.pulls.is_empty());
 }
 
-/// A repeat may wait for its connection until the window of the first is over, and no longer.
+/// A repeat may wait for its connection until the dedup window of the first pull is over, and no longer.
 #[test]
 fn a_deduped_repeat_that_waits_too_long_is_never_sent() {
     for stuck in [true, false] {
-        let mut bed = Fixture::open();
-        let first = bed.ask(1, "all", 3_000);
-        bed.wait(300);
-        bed.hear(vec![Input::Lost { pull: first, loss: Loss::ConnectionBroken }]);
-        assert_eq!(bed.paper.pulls.len(), 2, "within its window it goes again");
-        bed.paper.stuck = stuck;
-        bed.wait(699);
-        assert!(bed.answered(1).is_empty());
-        bed.wait(2);
-        assert_eq!(bed.paper.pulls.len(), 2, "nothing follows once the window is over");
-        assert_eq!(bed.answered(1).len(), usize::from(stuck), "what has left runs on");
+        let mut fixture = Fixture::open();
+        let first = fixture.ask(1, "all", 3_000);
+        fixture.wait(300);
+        fixture.handle(vec![Input::Lost { pull: first, loss: Loss::ConnectionBroken }]);
+        assert_eq!(fixture.transport.pulls.len(), 2, "retried within the dedup window");
+        fixture.transport.stuck = stuck;
+        fixture.wait(699);
+        assert!(fixture.answered(1).is_empty());
+        fixture.wait(2);
+        assert_eq!(fixture.transport.pulls.len(), 2, "no retry after the dedup window");
+        assert_eq!(fixture.answered(1).len(), usize::from(stuck), "a pull that was sent goes on");
     }
 }
 
-/// Guards against two at work at once where a node does not even take the cancel.
+/// Guards against concurrent pulls of one download where the node does not even read the cancel.
 #[test]
-fn nothing_follows_a_pull_whose_node_was_not_told_of_its_cancel() {
-    let mut bed = Fixture::open();
-    bed.ask(1, "page", 2_000);
-    bed.paper.deaf = true;
-    let members = vec![member(bed.paper.pulls[0].0, MemberState::Removed, 0)];
-    bed.hear(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
-    bed.wait(300);
-    assert_eq!((bed.paper.cancels.len(), bed.paper.pulls.len()), (1, 1));
-    bed.paper.deaf = false;
-    bed.wait(11);
-    assert_eq!(bed.paper.pulls.len(), 2);
+fn no_pull_follows_while_a_cancel_is_not_written() {
+    let mut fixture = Fixture::open();
+    fixture.ask(1, "page", 2_000);
+    fixture.transport.nodes_read_nothing = true;
+    let members = vec![member(fixture.transport.pulls[0].0, MemberState::Removed, 0)];
+    fixture.handle(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
+    fixture.wait(300);
+    assert_eq!((fixture.transport.cancels.len(), fixture.transport.pulls.len()), (1, 1));
+    fixture.transport.nodes_read_nothing = false;
+    fixture.wait(11);
+    assert_eq!(fixture.transport.pulls.len(), 2);
 }
 
-/// A client leaves while its next pull waits for the cancel of the one before to settle.
+/// A client disconnects or cancels while its next pull waits for the previous cancel to settle.
 #[test]
 fn no_retry_follows_for_a_client_that_has_left() {
     for leaves in [Input::Cancel { client: 1, tag: 1 }, Input::Disconnected { client: 1 }] {
-        let mut bed = Fixture::open();
-        bed.ask(1, "page", 2_000);
-        let members = vec![member(bed.paper.pulls[0].0, MemberState::Removed, 0)];
-        bed.hear(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
-        bed.wait(5);
-        bed.hear(vec![leaves]);
-        bed.wait(2_000);
-        assert_eq!(bed.paper.pulls.len(), 1);
-        assert!(bed.paper.answers.is_empty());
+        let mut fixture = Fixture::open();
+        fixture.ask(1, "page", 2_000);
+        let members = vec![member(fixture.transport.pulls[0].0, MemberState::Removed, 0)];
+        fixture.handle(vec![Input::Feed(FeedEvent::Members { is_snapshot: false, members })]);
+        fixture.wait(5);
+        fixture.handle(vec![leaves]);
+        fixture.wait(2_000);
+        assert_eq!(fixture.transport.pulls.len(), 1);
+        assert!(fixture.transport.answers.is_empty());
     }
 }
 
-/// The request and its client's leaving are read in one turn: not a byte of it may be sent.
+/// A request and its client's disconnect are handled in one step: no byte of the pull may be sent.
 #[test]
-fn what_is_asked_and_given_up_in_one_turn_is_taken_back_in_it() {
-    let mut bed = Fixture::open();
-    bed.paper.stuck = true;
-    let asked = Input::Download { client: 1, tag: 1, request: wish("page", 1_000, 2_000), at: bed.now };
-    bed.hear(vec![asked, Input::Disconnected { client: 1 }]);
-    assert_eq!(bed.paper.cancels.len(), bed.paper.pulls.len(), "taken back in the same turn");
-    bed.wait(2_000);
-    assert!(bed.paper.answers.is_empty() && bed.routing.unanswered() == 0);
+fn a_download_requested_and_given_up_in_one_step_is_withdrawn_in_it() {
+    let mut fixture = Fixture::open();
+    fixture.transport.stuck = true;
+    let asked = Input::Download {
+        client: 1,
+        tag: 1,
+        request: download_request("page", 1_000, 2_000),
+        at: fixture.now,
+    };
+    fixture.handle(vec![asked, Input::Disconnected { client: 1 }]);
+    assert_eq!(fixture.transport.cancels.len(), fixture.transport.pulls.len(), "withdrawn in the same step");
+    fixture.wait(2_000);
+    assert!(fixture.transport.answers.is_empty() && fixture.routing.unanswered() == 0);
 }
 
-/// What was queued before a purge is taken back and placed anew by it; only then is the purge had.
+/// A queued pull is withdrawn and placed again because of a purge; only then is the purge confirmed.
 #[test]
-fn a_purge_is_confirmed_after_all_that_follows_from_it() {
-    let mut bed = Fixture::open();
-    bed.ask(1, "page", 2_000);
+fn a_purge_is_confirmed_after_its_consequences() {
+    let mut fixture = Fixture::open();
+    fixture.ask(1, "page", 2_000);
     let (to, confirmed) = bounded(1);
-    bed.paper.stuck = true;
-    bed.paper.confirmed = Some(confirmed.clone());
+    fixture.transport.stuck = true;
+    fixture.transport.confirmed = Some(confirmed.clone());
     let purge = FeedEvent::Purge { object: Some(1_000), group: 0, at_ms: START.micros() / 1_000 };
     let confirm = |number: u64| Input::Confirm { number, to: to.clone() };
-    bed.hear(vec![Input::Feed(purge), confirm(7), confirm(8)]);
+    fixture.handle(vec![Input::Feed(purge), confirm(7), confirm(8)]);
     assert!(
-        bed.paper.early.len() >= 2 && bed.paper.early.iter().all(|early| !early),
+        fixture.transport.confirmed_early.len() >= 2
+            && fixture.transport.confirmed_early.iter().all(|confirmed_early| !confirmed_early),
         "{:?}",
-        bed.paper.early
+        fixture.transport.confirmed_early
     );
-    assert_eq!((confirmed.try_recv(), confirmed.is_empty()), (Ok(8), true), "the newest stands for all");
-    // Nobody waits for it any more: nothing holds the routing task up.
-    drop(bed.paper.confirmed.take());
+    assert_eq!((confirmed.try_recv(), confirmed.is_empty()), (Ok(8), true), "only the newest number is kept");
+    // The receiver is gone: sending to it does not hold up the routing task.
+    drop(fixture.transport.confirmed.take());
     drop(confirmed);
-    bed.hear(vec![Input::Confirm { number: 9, to: to.clone() }]);
-    assert!(bed.paper.answers.is_empty());
+    fixture.handle(vec![Input::Confirm { number: 9, to: to.clone() }]);
+    assert!(fixture.transport.answers.is_empty());
 }
--- a/crates/router/tests/sockets.rs
+++ b/crates/router/tests/sockets.rs
@@ -1,8 +1,8 @@
-//! The program on loopback, between small stand-ins for clients, caches and the feed.
+//! The router process on the loopback interface between fake clients, nodes and a fake feed.
 mod fixture;
 
 use bytes::Bytes;
-use fixture::{Client, Fixture, Reply, launch, start, start_with, subscribed};
+use fixture::{Client, Fixture, Reply, accept_subscription, launch, start, start_with};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -13,192 +13,197 @@
 fn downloads_are_fulfilled_throttled_and_abandoned() {
     let large: Vec<u8> = (0..240_000u32).map(|n| (n * 7 + n / 251) as u8).collect();
     let body = large.clone();
-    let bed = Fixture::open(2, None, move |_, fields| match fields {
-        f if f.contains("kind=filing") => Reply::Say("EIO", "-", vec![]),
+    let fixture = Fixture::open(2, None, move |_, fields| match fields {
+        f if f.contains("kind=filing") => Reply::Answer("EIO", "-", vec![]),
         f if f.contains("obj=0000000000000001") => {
-            Reply::Say("ACK", "res=HIT,first=0,digest=aa", body.clone())
+            Reply::Answer("ACK", "res=HIT,first=0,digest=aa", body.clone())
         }
-        f if f.contains("obj=0000000000000002") => Reply::Say("ACK", "res=MISS,first=9.5", vec![]),
+        f if f.contains("obj=0000000000000002") => Reply::Answer("ACK", "res=MISS,first=9.5", vec![]),
         f if f.contains("got=4be0c1927d55a6f3") => {
-            Reply::Say("NOMOD", "res=HIT,digest=4be0c1927d55a6f3,dated=1", vec![])
+            Reply::Answer("NOMOD", "res=HIT,digest=4be0c1927d55a6f3,dated=1", vec![])
         }
-        _ => Reply::Say("EIO", "-", vec![]),
+        _ => Reply::Answer("EIO", "-", vec![]),
     });
-    let mut client = bed.client();
+    let mut client = fixture.client();
     let (word, _, bytes) = client.fetch(1, "clip", 1, "");
-    assert!(word == "ACK" && bytes == large, "whole and unchanged");
+    assert!(word == "ACK" && bytes == large, "complete and unchanged");
     assert_eq!(client.fetch(2, "clip", 2, ""), ("ACK".into(), "".into(), Bytes::new()));
     assert_eq!(client.fetch(3, "clip", 3, ",known=4be0c1927d55a6f3").1, "valid=1");
     let (word, fields, _) = client.fetch(4, "clip", 4, "");
     assert!(word == "NAK" && fields.starts_with("w="), "{word} {fields}");
     assert_eq!(client.fetch(5, "filing", 5, "").0, "FAIL");
     assert_eq!(client.fetch(6, "unknown", 6, "").0, "FAIL");
-    let seen = bed.seen.lock().unwrap();
+    let received = fixture.received.lock().unwrap();
     let filing: Vec<_> =
-        seen.iter().filter(|s| s.1.get(2).is_some_and(|f| f.starts_with(b"kind=filing"))).collect();
-    assert_eq!(filing.len(), 1, "what may have run is not sent again");
+        received.iter().filter(|s| s.1.get(2).is_some_and(|f| f.starts_with(b"kind=filing"))).collect();
+    assert_eq!(filing.len(), 1, "a pull that may have run is not repeated");
     assert_eq!(filing[0].1[3], "\r\nbody\x00");
 }
 
-/// A reset after the write proves nothing; a refused connection proves that nothing ran.
+/// A reset after the write proves nothing; a refused connection proves that the pull did not run.
 #[test]
 fn a_filing_goes_elsewhere_only_when_its_connection_was_refused() {
-    let bed = Fixture::open(2, None, |_, _| Reply::Close);
-    assert_eq!(bed.client().fetch(1, "filing", 1, "").0, "FAIL");
-    bed.saw("serve", 1);
+    let fixture = Fixture::open(2, None, |_, _| Reply::Close);
+    assert_eq!(fixture.client().fetch(1, "filing", 1, "").0, "FAIL");
+    fixture.wait_for_messages("serve", 1);
     for refusing in 0..2 {
-        let bed = Fixture::open(2, Some(refusing), |_, _| {
-            Reply::Say("ACK", "res=MISS_ORIGIN,first=3", b"done".to_vec())
+        let fixture = Fixture::open(2, Some(refusing), |_, _| {
+            Reply::Answer("ACK", "res=MISS_ORIGIN,first=3", b"done".to_vec())
         });
-        let mut client = bed.client();
+        let mut client = fixture.client();
         assert!((1..6).all(|tag| client.fetch(tag, "filing", tag, "").0 == "ACK"));
-        assert!(bed.saw("serve", 5).iter().all(|(no, _)| *no != refusing));
+        assert!(fixture.wait_for_messages("serve", 5).iter().all(|(no, _)| *no != refusing));
     }
 }
 
 #[test]
-fn an_unreadable_answer_ends_its_connection_and_the_download_goes_on() {
-    let bed = Fixture::open(2, None, |no, _| match no {
+fn a_malformed_answer_ends_its_connection_and_the_download_goes_on() {
+    let fixture = Fixture::open(2, None, |no, _| match no {
         0 => Reply::Raw(b"*1\r\n$900000\r\n"),
-        _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
+        _ => Reply::Answer("ACK", "res=HIT", b"good".to_vec()),
     });
-    let mut client = bed.client();
+    let mut client = fixture.client();
     assert!((1..12).all(|tag| client.fetch(tag, "clip", tag, "").0 == "ACK"));
-    assert!(bed.seen.lock().unwrap().iter().any(|(no, _)| *no == 0), "the bad one was asked too");
+    assert!(
+        fixture.received.lock().unwrap().iter().any(|(no, _)| *no == 0),
+        "the misbehaving node was used too"
+    );
 }
 
-/// A machine that says nothing costs its own pulls until their deadline, and nobody else's.
+/// A silent node delays its own pulls until their deadline, and no others.
 #[test]
-fn silence_holds_up_nobody_else() {
-    let bed = Fixture::open(1, None, |_, fields| match fields {
+fn a_silent_node_delays_no_other_download() {
+    let fixture = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => Reply::Silence,
-        _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
+        _ => Reply::Answer("ACK", "res=HIT", b"good".to_vec()),
     });
-    let (mut slow, mut quick) = (bed.client(), bed.client());
+    let (mut slow, mut quick) = (fixture.client(), fixture.client());
     let asked = Instant::now();
-    slow.ask(1, "clip", 1, 700, "");
+    slow.send_download(1, "clip", 1, 700, "");
     assert!((2..20).all(|tag| quick.fetch(tag, "clip", tag, "").0 == "ACK"));
     assert!(asked.elapsed() < Duration::from_millis(600));
-    let items = slow.next().expect("an answer");
+    let items = slow.next_message().expect("an answer");
     assert!(items[1] != "ACK" && asked.elapsed() < Duration::from_millis(750), "{:?}", asked.elapsed());
-    bed.saw("cancel", 1);
+    fixture.wait_for_messages("cancel", 1);
 }
 
-/// What comes after a silence goes over a fresh connection, which comes up or proves that nothing ran.
+/// After a silence the next pull uses a new connection, which comes up or proves that the pull did not run.
 #[test]
 fn a_connection_that_fell_silent_is_not_used_again() {
-    let bed = Fixture::open(1, None, |_, fields| match fields {
+    let fixture = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => Reply::Silence,
-        _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
+        _ => Reply::Answer("ACK", "res=HIT", b"good".to_vec()),
     });
-    let mut client = bed.client();
+    let mut client = fixture.client();
     assert_eq!(client.fetch(1, "clip", 2, "").0, "ACK");
-    client.ask(2, "clip", 1, 400, "");
-    assert_ne!(client.next().unwrap()[1], "ACK");
-    bed.saw("connection", 1);
+    client.send_download(2, "clip", 1, 400, "");
+    assert_ne!(client.next_message().unwrap()[1], "ACK");
+    fixture.wait_for_messages("connection", 1);
     assert_eq!(client.fetch(3, "clip", 3, "").0, "ACK");
-    bed.saw("connection", 2);
+    fixture.wait_for_messages("connection", 2);
 }
 
-/// Accepting fails while the descriptors are used up, and goes on once some are free again.
+/// Accepting connections fails while file descriptors are used up, and goes on once some are free again.
 #[test]
-fn clients_come_in_again_after_the_descriptors_ran_out() {
-    let mut bed = Fixture::open(1, None, |_, _| Reply::Say("ACK", "res=HIT", b"good".to_vec()));
-    let _ = bed.router.kill();
-    let _ = bed.router.wait();
-    bed.router = start_with(&bed.config, "ulimit -n 24; exec \"$0\"");
-    bed.is_up();
-    let crowd: Vec<Client> = (0..40).map(|_| bed.client()).collect();
+fn clients_are_accepted_again_after_file_descriptors_ran_out() {
+    let mut fixture = Fixture::open(1, None, |_, _| Reply::Answer("ACK", "res=HIT", b"good".to_vec()));
+    let _ = fixture.router.kill();
+    let _ = fixture.router.wait();
+    fixture.router = start_with(&fixture.config, "ulimit -n 24; exec \"$0\"");
+    fixture.wait_until_ready();
+    let crowd: Vec<Client> = (0..40).map(|_| fixture.client()).collect();
     std::thread::sleep(Duration::from_millis(100));
-    let files = std::fs::read_dir(format!("/proc/{}/fd", bed.router.id())).unwrap().count();
+    let files = std::fs::read_dir(format!("/proc/{}/fd", fixture.router.id())).unwrap().count();
     assert!(files >= 24, "{files}: the descriptors did not run out");
     drop(crowd);
-    let mut client = bed.client();
+    let mut client = fixture.client();
     client.send(&[b"STATUS", b"1", b""]);
-    assert_eq!(client.next().unwrap()[1], "GREEN");
+    assert_eq!(client.next_message().unwrap()[1], "GREEN");
 }
 
 #[test]
 fn a_client_that_leaves_has_its_pulls_cancelled() {
-    let bed = Fixture::open(1, None, |_, _| Reply::Silence);
-    let mut client = bed.client();
-    client.ask(1, "clip", 1, 3_000, "");
-    bed.saw("serve", 1);
+    let fixture = Fixture::open(1, None, |_, _| Reply::Silence);
+    let mut client = fixture.client();
+    client.send_download(1, "clip", 1, 3_000, "");
+    fixture.wait_for_messages("serve", 1);
     client.send(&[b"NEVERMIND", b"1"]);
-    bed.saw("cancel", 1);
-    client.ask(2, "clip", 2, 3_000, "");
-    bed.saw("serve", 2);
+    fixture.wait_for_messages("cancel", 1);
+    client.send_download(2, "clip", 2, 3_000, "");
+    fixture.wait_for_messages("serve", 2);
     client.send(&[b"STATUS", b"3", b""]);
-    assert_eq!(client.next().unwrap()[0], "3", "nothing is said of what was given up");
+    assert_eq!(client.next_message().unwrap()[0], "3", "a cancelled download gets no answer");
     drop(client);
-    bed.saw("cancel", 2);
+    fixture.wait_for_messages("cancel", 2);
 }
 
 #[test]
-fn bad_clients_end_alone() {
-    let bed = Fixture::open(1, None, |_, fields| match fields {
+fn misbehaving_clients_affect_no_others() {
+    let fixture = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => Reply::Silence,
-        _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
+        _ => Reply::Answer("ACK", "res=HIT", b"good".to_vec()),
     });
     for noise in
         [&b"*3\r\n$-1\r\n"[..], b"GET / HTTP/1.1\r\n\r\n", b"*2\r\n$3\r\nASK\r\n$1\r\nx\r\n", b"*999\r\n"]
     {
-        let mut client = bed.client();
+        let mut client = fixture.client();
         client.stream.write_all(noise).unwrap();
-        assert!(client.next().is_none(), "{}", String::from_utf8_lossy(noise));
+        assert!(client.next_message().is_none(), "{}", String::from_utf8_lossy(noise));
     }
-    let mut twice = bed.client();
-    twice.ask(1, "clip", 1, 3_000, "");
-    bed.saw("serve", 1);
-    twice.ask(1, "clip", 1, 3_000, "");
-    let mut thrice = bed.client();
-    thrice.ask(1, "clip", 1, 3_000, "");
-    thrice.send(&[b"STATUS", b"1", b""]);
-    thrice.send(&[b"STATUS", b"2", b""]);
-    for client in [&mut twice, &mut thrice] {
-        // The first of them was sound, and keeps its one answer; nothing after the second is taken.
-        assert_ne!(client.next().expect("an answer")[1], "ACK");
-        assert!(client.next().is_none());
+    let mut twice = fixture.client();
+    twice.send_download(1, "clip", 1, 3_000, "");
+    fixture.wait_for_messages("serve", 1);
+    twice.send_download(1, "clip", 1, 3_000, "");
+    let mut third = fixture.client();
+    third.send_download(1, "clip", 1, 3_000, "");
+    third.send(&[b"STATUS", b"1", b""]);
+    third.send(&[b"STATUS", b"2", b""]);
+    for client in [&mut twice, &mut third] {
+        // The first request was valid and gets its one answer; nothing after the second is handled.
+        assert_ne!(client.next_message().expect("an answer")[1], "ACK");
+        assert!(client.next_message().is_none());
     }
-    let mut odd = bed.client();
+    let mut odd = fixture.client();
     odd.send(&[b"WHAT", b"4"]);
     odd.send(&[b"ASK", b"5", b"clip", b"i=3", b""]);
     assert_eq!(
-        (odd.next().unwrap()[1].clone(), odd.next().unwrap()[1].clone()),
+        (odd.next_message().unwrap()[1].clone(), odd.next_message().unwrap()[1].clone()),
         ("FAIL".into(), "FAIL".into())
     );
-    let half = bed.client();
+    let half = fixture.client();
     (&half.stream).write_all(b"*5\r\n$3\r\nAS").unwrap();
     assert_eq!(odd.fetch(6, "clip", 6, "").0, "ACK");
-    let mut many = bed.client();
-    (1..=33).for_each(|tag| many.ask(tag, "clip", 1, 3_000, ""));
-    // Of the others some may be throttled before it, as many as wait at one cache.
-    let told = std::iter::from_fn(|| many.next()).find(|items| items[1] != "NAK");
+    let mut many = fixture.client();
+    (1..=33).for_each(|tag| many.send_download(tag, "clip", 1, 3_000, ""));
+    // Some earlier downloads may be throttled, depending on how many wait at one cache.
+    let told = std::iter::from_fn(|| many.next_message()).find(|items| items[1] != "NAK");
     assert_eq!(told.unwrap()[..2], ["33", "FAIL"]);
 }
 
-/// Past a few messages without use a client is a flood: what it has open is called back, and it is cut off.
+/// After a few invalid messages a client counts as a flood: its open downloads are cancelled, and it is cut
+/// off.
 #[test]
-fn a_flood_of_messages_without_use_is_cut_off() {
-    let bed = Fixture::open(1, None, |_, _| Reply::Silence);
-    let mut flood = bed.client();
-    flood.ask(1, "clip", 1, 9_000, "");
-    bed.saw("serve", 1);
+fn a_flood_of_invalid_messages_is_cut_off() {
+    let fixture = Fixture::open(1, None, |_, _| Reply::Silence);
+    let mut flood = fixture.client();
+    flood.send_download(1, "clip", 1, 9_000, "");
+    fixture.wait_for_messages("serve", 1);
     (2..=10).for_each(|tag: u64| flood.send(&[b"WHAT", tag.to_string().as_bytes()]));
-    assert!(std::iter::from_fn(|| flood.next()).all(|items| items[1] == "FAIL" && items[0] != "1"));
-    bed.saw("cancel", 1);
+    assert!(std::iter::from_fn(|| flood.next_message()).all(|items| items[1] == "FAIL" && items[0] != "1"));
+    fixture.wait_for_messages("cancel", 1);
 }
 
-/// Guards the descriptors against clients that keep connections for nothing. What is under way stays.
+/// Guards the file descriptors against clients that keep idle connections. A connection with an open download
+/// stays.
 #[test]
-fn connections_that_get_nowhere_are_closed_in_time() {
-    let bed = Fixture::open(1, None, |_, fields| match fields {
+fn stalled_client_connections_are_closed_in_time() {
+    let fixture = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => Reply::After(3_500, "ACK"),
-        _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
+        _ => Reply::Answer("ACK", "res=HIT", b"good".to_vec()),
     });
     let since = Instant::now();
-    let (mut silent, mut half, mut slow) = (bed.client(), bed.client(), bed.client());
-    let (mut rested, mut waits) = (bed.client(), bed.client());
+    let (mut silent, mut half, mut slow) = (fixture.client(), fixture.client(), fixture.client());
+    let (mut rested, mut waits) = (fixture.client(), fixture.client());
     (&half.stream).write_all(b"*5\r\n$3\r\nAS").unwrap();
     assert_eq!(slow.fetch(1, "clip", 2, "").0, "ACK");
     let mut sender = slow.stream.try_clone().unwrap();
@@ -208,58 +213,59 @@
             let _ = sender.write_all(&[*byte]);
         }
     });
-    waits.ask(1, "clip", 1, 5_000, "");
+    waits.send_download(1, "clip", 1, 5_000, "");
     assert_eq!(rested.fetch(1, "clip", 3, "").0, "ACK");
     for (what, client) in [("silent", &mut silent), ("half", &mut half), ("slow", &mut slow)] {
-        assert!(client.next().is_none());
+        assert!(client.next_message().is_none());
         assert!(since.elapsed() < Duration::from_millis(3_000), "{what}: {:?}", since.elapsed());
     }
-    assert_eq!(rested.fetch(2, "clip", 4, "").0, "ACK", "closed before usual clients close");
+    assert_eq!(rested.fetch(2, "clip", 4, "").0, "ACK", "closed earlier than well-behaved clients close");
     let rests = Instant::now();
-    assert_eq!(waits.next().expect("not closed under a download")[1], "ACK");
-    assert!(rested.next().is_none());
+    assert_eq!(waits.next_message().expect("an answer: a connection with an open download stays")[1], "ACK");
+    assert!(rested.next_message().is_none());
     let rested = rests.elapsed();
     assert!(rested > Duration::from_millis(4_000) && rested < Duration::from_millis(6_000), "{rested:?}");
 }
 
-/// Guards the place of usual clients against crowds that connect and say nothing, or ask once and stay.
+/// Guards the slots of normal clients against crowds that connect and send nothing, or send one request and
+/// stay.
 #[test]
-fn a_crowd_that_does_nothing_shuts_nobody_out() {
-    let mut bed = Fixture::open(1, None, |_, fields| match fields {
+fn a_crowd_of_idle_clients_shuts_nobody_out() {
+    let mut fixture = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("obj=0000000000000001") => Reply::After(1_500, "ACK"),
-        _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
+        _ => Reply::Answer("ACK", "res=HIT", b"good".to_vec()),
     });
-    bed.config["limits"]["sockets"] = json!(64);
-    bed.restart();
-    let mut waits = bed.client();
-    waits.ask(1, "clip", 1, 3_000, "");
-    bed.saw("serve", 1);
+    fixture.config["limits"]["sockets"] = json!(64);
+    fixture.restart();
+    let mut waits = fixture.client();
+    waits.send_download(1, "clip", 1, 3_000, "");
+    fixture.wait_for_messages("serve", 1);
     let asks_once = |_| {
-        let mut client = bed.client();
+        let mut client = fixture.client();
         assert_eq!(client.fetch(1, "clip", 2, "").0, "ACK");
         client
     };
     let mut crowd: Vec<Client> = (0..60).map(asks_once).collect();
-    crowd.extend((0..60).map(|_| bed.client()));
+    crowd.extend((0..60).map(|_| fixture.client()));
     let asked = Instant::now();
-    assert_eq!(bed.client().fetch(1, "clip", 3, "").0, "ACK");
+    assert_eq!(fixture.client().fetch(1, "clip", 3, "").0, "ACK");
     assert!(asked.elapsed() < Duration::from_millis(700), "{:?}", asked.elapsed());
-    let files = std::fs::read_dir(format!("/proc/{}/fd", bed.router.id())).unwrap().count();
+    let files = std::fs::read_dir(format!("/proc/{}/fd", fixture.router.id())).unwrap().count();
     assert!(files <= 64, "{files}");
-    assert_eq!(waits.next().expect("under way, so it stays")[1], "ACK");
+    assert_eq!(waits.next_message().expect("an answer: a connection with an open download stays")[1], "ACK");
 }
 
-/// Guards the time of usual clients against a few that send as much as they may and wait for it.
+/// Guards the response time for normal clients against a few that send as much as they may.
 #[test]
-fn clients_that_send_much_stop_only_themselves() {
-    let mut bed = Fixture::open(1, None, |_, fields| match fields {
+fn clients_that_send_much_delay_only_themselves() {
+    let mut fixture = Fixture::open(1, None, |_, fields| match fields {
         f if f.contains("kind=filing") => Reply::Silence,
-        _ => Reply::Say("ACK", "res=HIT", b"good".to_vec()),
+        _ => Reply::Answer("ACK", "res=HIT", b"good".to_vec()),
     });
-    bed.config["limits"]["memory_mb"] = json!(16);
-    bed.restart();
+    fixture.config["limits"]["memory_mb"] = json!(16);
+    fixture.restart();
     let body = vec![7; 40_000];
-    let busy: Vec<Client> = (0..12).map(|_| bed.client()).collect();
+    let busy: Vec<Client> = (0..12).map(|_| fixture.client()).collect();
     for (no, client) in (1..).zip(&busy) {
         for tag in 1..=7 {
             let fields = format!("i={:016x},d=3000,o={no:016x},chunk=0,tag=5", no * 100 + tag);
@@ -267,91 +273,91 @@
         }
     }
     std::thread::sleep(Duration::from_millis(300));
-    let written = bed.seen.lock().unwrap().iter().filter(|s| s.1[0] == "serve").count();
+    let written = fixture.received.lock().unwrap().iter().filter(|s| s.1[0] == "serve").count();
     assert!((45..84).contains(&written), "{written}: all together may hold 2 MB");
-    // The core may turn it away, as it sees a cache that answers nothing; but it is read, and answered.
-    let (asked, mut usual) = (Instant::now(), bed.client());
+    // The core may refuse the download, since the cache answers nothing; but it is read and answered at once.
+    let (asked, mut usual) = (Instant::now(), fixture.client());
     (1..=3).for_each(|tag| drop(usual.fetch(tag, "clip", 3, "")));
     assert!(asked.elapsed() < Duration::from_millis(700), "{:?}", asked.elapsed());
 }
 
-/// Answers wait for clients that do not read them, within bounds, while others are served. Past the bound on all
-/// of them only as many clients go as have to.
+/// Answers for clients that do not read are buffered within limits while others are served. Over the limit
+/// for all of them, only as many clients are cut off as necessary.
 #[test]
-fn clients_that_do_not_read_hold_up_nobody_else() {
-    let reply = |_, _: &str| Reply::Say("ACK", "res=HIT", vec![7; 240_000]);
-    let mut bed = Fixture::open(1, None, reply);
-    bed.config["limits"]["memory_mb"] = json!(40);
-    bed.restart();
-    let deaf: Vec<Client> = (0..8).map(|_| bed.client()).collect();
-    for (no, deaf) in (1..).zip(&deaf) {
-        (1..=24).for_each(|tag| deaf.ask(tag, "clip", no * 100 + tag, 3_000, ""));
-        // The core throttles while so much comes at once; what is asked below is what holds afterwards.
+fn clients_that_do_not_read_delay_nobody_else() {
+    let reply = |_, _: &str| Reply::Answer("ACK", "res=HIT", vec![7; 240_000]);
+    let mut fixture = Fixture::open(1, None, reply);
+    fixture.config["limits"]["memory_mb"] = json!(40);
+    fixture.restart();
+    let slow_reader: Vec<Client> = (0..8).map(|_| fixture.client()).collect();
+    for (no, slow_reader) in (1..).zip(&slow_reader) {
+        (1..=24).for_each(|tag| slow_reader.send_download(tag, "clip", no * 100 + tag, 3_000, ""));
+        // The core throttles while so much arrives at once; the requests below check what holds afterwards.
         std::thread::sleep(Duration::from_millis(200));
     }
     std::thread::sleep(Duration::from_millis(700));
-    let mut client = bed.client();
+    let mut client = fixture.client();
     assert!((1..20).all(|tag| client.fetch(tag, "clip", tag, "").0 == "ACK"));
-    let status = std::fs::read_to_string(format!("/proc/{}/status", bed.router.id())).unwrap();
+    let status = std::fs::read_to_string(format!("/proc/{}/status", fixture.router.id())).unwrap();
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
     let kb: u64 = peak.trim().trim_end_matches(" kB").parse().unwrap();
     assert!(kb < 40_000, "{kb} kB with eight deaf clients");
     let mut ended = 0;
-    for mut deaf in deaf {
-        let whole = std::iter::from_fn(|| deaf.next()).take(24).count();
+    for mut slow_reader in slow_reader {
+        let whole = std::iter::from_fn(|| slow_reader.next_message()).take(24).count();
         ended += usize::from(whole < 24);
     }
     assert!((1..=6).contains(&ended), "{ended} of 8 were ended");
 }
 
-/// Guards against ending on SIGHUP, and against waiting for the old feed to break.
+/// Guards against ending on SIGHUP, and against waiting until the old feed's connection breaks.
 #[test]
-fn a_new_configuration_moves_the_feed_at_once_and_a_wrong_one_moves_nothing() {
-    let mut bed = Fixture::open(1, None, |_, _| Reply::Say("ACK", "res=HIT", b"good".to_vec()));
-    let (mut old, line) = subscribed(&bed.feed);
+fn a_new_configuration_moves_the_feed_at_once_and_an_invalid_one_changes_nothing() {
+    let mut fixture = Fixture::open(1, None, |_, _| Reply::Answer("ACK", "res=HIT", b"good".to_vec()));
+    let (mut old, line) = accept_subscription(&fixture.feed);
     assert_eq!(line, "SUB 1\n");
     let purge = |n: u64| json!({"n": n, "purge": {"group": 5, "at": 1}});
     old.write_all(format!("{}\n", purge(2)).as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(50));
     let new = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut config = bed.config.clone();
-    bed.reconfigure("{\"name\": \"n0\"");
+    let mut config = fixture.config.clone();
+    fixture.reconfigure("{\"name\": \"n0\"");
     std::thread::sleep(Duration::from_millis(50));
     config["feed"] = json!("nowhere");
-    bed.reconfigure(&config.to_string());
+    fixture.reconfigure(&config.to_string());
     std::thread::sleep(Duration::from_millis(50));
     old.write_all(format!("{}\n", purge(3)).as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(50));
     config["feed"] = json!(new.local_addr().unwrap().to_string());
     let asked = Instant::now();
-    bed.reconfigure(&config.to_string());
-    let (mut stream, line) = subscribed(&new);
+    fixture.reconfigure(&config.to_string());
+    let (mut stream, line) = accept_subscription(&new);
     assert_eq!(line, "SUB 3\n", "the numbers carry on");
-    assert!(asked.elapsed() < Duration::from_millis(1_000), "the old feed was waited for");
+    assert!(asked.elapsed() < Duration::from_millis(1_000), "the router waited for the old feed");
     assert_eq!(old.read(&mut [0; 1]).unwrap(), 0, "the old connection is closed");
-    config["feed"] = json!(bed.feed.local_addr().unwrap().to_string());
+    config["feed"] = json!(fixture.feed.local_addr().unwrap().to_string());
     stream.write_all(format!("{}\n", purge(4)).as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(50));
-    bed.reconfigure(&config.to_string());
-    assert_eq!(subscribed(&bed.feed).1, "SUB 4\n", "and back again");
-    assert_eq!(bed.client().fetch(1, "clip", 1, "").0, "ACK");
-    bed.signal("-HUP");
-    bed.signal("-TERM");
-    bed.signal("-HUP");
-    assert_eq!(bed.router.wait().unwrap().code(), Some(0));
+    fixture.reconfigure(&config.to_string());
+    assert_eq!(accept_subscription(&fixture.feed).1, "SUB 4\n", "the feed moves back");
+    assert_eq!(fixture.client().fetch(1, "clip", 1, "").0, "ACK");
+    fixture.signal("-HUP");
+    fixture.signal("-TERM");
+    fixture.signal("-HUP");
+    assert_eq!(fixture.router.wait().unwrap().code(), Some(0));
     let mut said = String::new();
-    bed.router.stderr.take().unwrap().read_to_string(&mut said).unwrap();
+    fixture.router.stderr.take().unwrap().read_to_string(&mut said).unwrap();
     let wrong: Vec<_> = said.lines().filter(|l| l.contains("configuration not reloaded")).collect();
     assert!(wrong.len() == 2 && wrong[0].contains("JSON") && wrong[1].contains("key feed"), "{said}");
 }
 
 #[test]
-fn the_feed_is_taken_up_again_after_the_last_event_applied() {
-    let bed = Fixture::open(2, None, |no, _| {
-        Reply::Say("ACK", if no == 0 { "res=HIT" } else { "res=MISS" }, b"x".to_vec())
+fn the_feed_is_resumed_after_the_last_event_applied() {
+    let fixture = Fixture::open(2, None, |no, _| {
+        Reply::Answer("ACK", if no == 0 { "res=HIT" } else { "res=MISS" }, b"x".to_vec())
     });
-    let subscribed = || subscribed(&bed.feed);
-    let (mut stream, line) = subscribed();
+    let accept_subscription = || accept_subscription(&fixture.feed);
+    let (mut stream, line) = accept_subscription();
     assert_eq!(line, "SUB 1\n");
     let gone = json!({"n": 2, "members": {"index": 2, "snapshot": false, "endpoints": [
         {"name": "s-00000000", "address": "", "zone": "here", "type": "std", "group": 0, "status": "Gone",
@@ -362,57 +368,60 @@
     std::thread::sleep(Duration::from_millis(30));
     stream.write_all(rest.as_bytes()).unwrap();
     stream.write_all(b"what is this\n").unwrap();
-    let (mut stream, line) = subscribed();
-    assert_eq!(line, "SUB 2\n", "after a line that can't be read");
+    let (mut stream, line) = accept_subscription();
+    assert_eq!(line, "SUB 2\n", "after a malformed line");
     let purge = json!({"n": 3, "purge": {"group": 5, "at": 1}});
     stream.write_all(format!("{gone}\n{purge}\n").as_bytes()).unwrap();
     drop(stream);
-    let (_silent, line) = subscribed();
-    assert_eq!(line, "SUB 3\n", "after a break; what was seen is passed over");
-    let (_stream, line) = subscribed();
+    let (_silent, line) = accept_subscription();
+    assert_eq!(line, "SUB 3\n", "after a break; known events are skipped");
+    let (_stream, line) = accept_subscription();
     assert_eq!(line, "SUB 3\n", "after a silence");
-    let mut client = bed.client();
+    let mut client = fixture.client();
     assert!((1..12).all(|tag| client.fetch(tag, "clip", tag, "").0 == "ACK"));
-    assert!(bed.saw("serve", 11).iter().all(|(no, _)| *no == 1), "the one that is gone gets nothing");
+    assert!(
+        fixture.wait_for_messages("serve", 11).iter().all(|(no, _)| *no == 1),
+        "the removed node gets no pulls"
+    );
 }
 
 #[test]
 fn a_term_signal_leaves_nothing_unanswered() {
-    let mut bed = Fixture::open(1, None, |_, _| Reply::After(1_200, "ACK"));
-    let mut before = bed.client();
-    before.ask(1, "clip", 1, 3_000, "");
-    bed.saw("serve", 1);
-    bed.signal("-TERM");
+    let mut fixture = Fixture::open(1, None, |_, _| Reply::After(1_200, "ACK"));
+    let mut before = fixture.client();
+    before.send_download(1, "clip", 1, 3_000, "");
+    fixture.wait_for_messages("serve", 1);
+    fixture.signal("-TERM");
     std::thread::sleep(Duration::from_millis(300));
-    let mut after = bed.client();
-    after.ask(1, "clip", 2, 3_000, "");
-    assert_eq!(before.next().unwrap()[1], "ACK");
-    assert_eq!(after.next().unwrap()[1], "ACK");
-    let ended = bed.router.wait().unwrap();
+    let mut after = fixture.client();
+    after.send_download(1, "clip", 2, 3_000, "");
+    assert_eq!(before.next_message().unwrap()[1], "ACK");
+    assert_eq!(after.next_message().unwrap()[1], "ACK");
+    let ended = fixture.router.wait().unwrap();
     assert_eq!(ended.code(), Some(0));
-    assert!(before.next().is_none());
+    assert!(before.next_message().is_none());
 }
 
-/// Guards against a kill that finds downloads open, because the caches are slower than a restart may be.
+/// Guards against a kill while downloads are open because caches are slower than a restart may take.
 #[test]
-fn what_a_restart_leaves_no_time_for_is_abandoned_in_time() {
-    let mut bed = Fixture::open(1, None, |_, _| Reply::Silence);
-    let mut client = bed.client();
-    client.ask(1, "clip", 1, 5_000, "");
-    bed.saw("serve", 1);
-    let told = Instant::now();
-    bed.signal("-TERM");
-    assert_ne!(client.next().expect("an answer")[1], "ACK");
-    assert_eq!(bed.router.wait().unwrap().code(), Some(0));
-    assert!(told.elapsed() < Duration::from_millis(3_650), "{:?}", told.elapsed());
+fn downloads_that_outlast_a_shutdown_are_abandoned_in_time() {
+    let mut fixture = Fixture::open(1, None, |_, _| Reply::Silence);
+    let mut client = fixture.client();
+    client.send_download(1, "clip", 1, 5_000, "");
+    fixture.wait_for_messages("serve", 1);
+    let signalled_at = Instant::now();
+    fixture.signal("-TERM");
+    assert_ne!(client.next_message().expect("an answer")[1], "ACK");
+    assert_eq!(fixture.router.wait().unwrap().code(), Some(0));
+    assert!(signalled_at.elapsed() < Duration::from_millis(3_650), "{:?}", signalled_at.elapsed());
 }
 
 #[test]
-fn a_configuration_that_cannot_be_is_one_line_that_names_the_key() {
-    let bed = Fixture::open(1, None, |_, _| Reply::Silence);
+fn an_invalid_configuration_gives_one_line_that_names_the_key() {
+    let fixture = Fixture::open(1, None, |_, _| Reply::Silence);
     let cases = [
         ("/listen", json!("nowhere"), "listen"),
-        ("/listen", json!(bed.listen), "listen"),
+        ("/listen", json!(fixture.listen), "listen"),
         ("/feed", json!(7), "feed"),
         ("/seed", json!("xyz"), "seed"),
         ("/name", Value::Null, "name"),
@@ -428,7 +437,7 @@
         ("/settings/Allowed/MaxRetryAfter", json!([]), "Allowed.MaxRetryAfter"),
     ];
     for (path, value, key) in cases {
-        let mut config = bed.config.clone();
+        let mut config = fixture.config.clone();
         *config.pointer_mut(path).unwrap() = value;
         let ended = start(&config).wait_with_output().unwrap();
         let said = String::from_utf8(ended.stderr).unwrap();
--- a/crates/router/tests/transport.rs
+++ b/crates/router/tests/transport.rs
@@ -1,4 +1,4 @@
-//! The sides of a router by themselves, with a routing task that the test holds up.
+//! Connections to clients and to the feed, with a routing task that the test holds up.
 use async_channel::{Receiver, Sender, bounded, unbounded};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer, block_on};
@@ -36,11 +36,11 @@
     Logger::root(Discard, o!())
 }
 
-/// Nobody takes the news of clients for a while. That they go is among the news all the same.
+/// Disconnects of clients are noticed and queued even while the routing task takes no inputs.
 #[test]
-fn clients_that_go_are_heard_of_while_nobody_takes_news() {
+fn disconnects_are_noticed_while_no_inputs_are_taken() {
     let executor = Rc::new(LocalExecutor::new());
-    let (sender, news): (Sender<Input>, Receiver<Input>) = unbounded();
+    let (sender, inputs): (Sender<Input>, Receiver<Input>) = unbounded();
     let clients = client::Clients::new(limits(), Clock::start(), sender, log());
     let listener = Rc::new(Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap());
     let address = listener.get_ref().local_addr().unwrap();
@@ -59,21 +59,22 @@
         assert_eq!(clients.open_downloads(), 8 * 30);
         drop(crowd);
         Timer::after(SHORT).await;
-        assert_eq!(clients.open_downloads(), 0, "their going was not seen");
+        assert_eq!(clients.open_downloads(), 0, "the disconnects were not noticed");
     }));
-    let told: Vec<Input> = std::iter::from_fn(|| news.try_recv().ok()).collect();
-    let gone = told.iter().filter(|news| matches!(news, Input::Disconnected { .. })).count();
-    assert_eq!((told.len(), gone), (8 * 30 + 8, 8));
+    let received: Vec<Input> = std::iter::from_fn(|| inputs.try_recv().ok()).collect();
+    let disconnects = received.iter().filter(|inputs| matches!(inputs, Input::Disconnected { .. })).count();
+    assert_eq!((received.len(), disconnects), (8 * 30 + 8, 8));
 }
 
-/// The feed moves while an event waits for room: that event was not applied, so that the new place is asked for it.
+/// The feed's address changes while an event waits for queue space. That event was not passed on, so it is
+/// requested again from the new address.
 #[test]
-fn an_event_that_waited_as_the_feed_moved_is_told_by_the_new_one() {
+fn an_event_that_waited_while_the_feed_moved_is_requested_again() {
     let executor = Rc::new(LocalExecutor::new());
-    let (inbox, news) = bounded(1);
+    let (inbox, inputs) = bounded(1);
     let (old, new) = (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
     let place = feed::FeedAddress::new(old.local_addr().unwrap());
-    let follows = feed::FeedClient {
+    let feed_client = feed::FeedClient {
         limits: limits(),
         inbox: inbox.clone(),
         log: log(),
@@ -85,7 +86,7 @@
         applied_purges: None,
     };
     let purge = |n: u64| format!("{{\"n\":{n},\"purge\":{{\"group\":{n},\"at\":1}}}}\n");
-    let subscribed = async |listener: &TcpListener| {
+    let accept_subscription = async |listener: &TcpListener| {
         let (mut stream, _) = listener.accept().unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         Timer::after(SHORT).await;
@@ -95,23 +96,23 @@
     };
     block_on(executor.run(async {
         inbox.send(Input::Disconnected { client: 0 }).await.unwrap();
-        let _follows = executor.spawn(feed::follow(follows));
+        let _follows = executor.spawn(feed::follow(feed_client));
         Timer::after(SHORT).await;
-        let (mut stream, line) = subscribed(&old).await;
+        let (mut stream, line) = accept_subscription(&old).await;
         assert_eq!(line, "SUB 4\n");
         stream.write_all(purge(5).as_bytes()).unwrap();
         Timer::after(SHORT).await;
         place.move_to(new.local_addr().unwrap());
         Timer::after(SHORT).await;
-        let (mut stream, line) = subscribed(&new).await;
+        let (mut stream, line) = accept_subscription(&new).await;
         assert_eq!(line, "SUB 4\n", "the event that waited was not applied");
-        assert!(matches!(news.recv().await, Ok(Input::Disconnected { .. })));
+        assert!(matches!(inputs.recv().await, Ok(Input::Disconnected { .. })));
         stream.write_all((purge(5) + &purge(6)).as_bytes()).unwrap();
         for n in [5, 6] {
-            let told = format!("{:?}", news.recv().await.unwrap());
-            assert!(told.contains(&format!("group: {n}")), "{told}");
+            let received = format!("{:?}", inputs.recv().await.unwrap());
+            assert!(received.contains(&format!("group: {n}")), "{received}");
         }
         Timer::after(SHORT).await;
-        assert!(news.is_empty());
+        assert!(inputs.is_empty());
     }));
 }
