--- a/crates/router/tests/races.rs
+++ b/crates/router/tests/races.rs
@@ -358,10 +358,10 @@
 fn an_event_cut_in_two_is_requested_again() {
     let fixture = Fixture::open(2, None, good);
     let (mut stream, _) = accept_subscription(&fixture.feed);
-    let gone = json!({"n": 2, "members": {"index": 2, "snapshot": false, "endpoints": [
+    let removal = json!({"n": 2, "members": {"index": 2, "snapshot": false, "endpoints": [
         {"name": "s-00000000", "address": "", "zone": "here", "type": "std", "group": 0, "status": "Terminating",
          "weight": 1, "since_ms": 0}]}});
-    let text = format!("{gone}\n");
+    let text = format!("{removal}\n");
     let (first, rest) = text.split_at(text.len() / 2);
     stream.write_all(first.as_bytes()).unwrap();
     drop(stream);
--- a/crates/router/tests/sockets.rs
+++ b/crates/router/tests/sockets.rs
@@ -176,8 +176,8 @@
     let mut many = fixture.client();
     (1..=33).for_each(|tag| many.send_download(tag, "clip", 1, 3_000, ""));
     // Some earlier downloads may be throttled, depending on how many wait at one cache.
-    let told = std::iter::from_fn(|| many.next_message()).find(|items| items[1] != "NAK");
-    assert_eq!(told.unwrap()[..2], ["33", "FAIL"]);
+    let other = std::iter::from_fn(|| many.next_message()).find(|items| items[1] != "NAK");
+    assert_eq!(other.unwrap()[..2], ["33", "FAIL"]);
 }
 
 /// After a few invalid messages a client counts as a flood: its open downloads are cancelled, and it is cut
@@ -359,10 +359,10 @@
     let accept_subscription = || accept_subscription(&fixture.feed);
     let (mut stream, line) = accept_subscription();
     assert_eq!(line, "SUB 1\n");
-    let gone = json!({"n": 2, "members": {"index": 2, "snapshot": false, "endpoints": [
+    let removal = json!({"n": 2, "members": {"index": 2, "snapshot": false, "endpoints": [
         {"name": "s-00000000", "address": "", "zone": "here", "type": "std", "group": 0, "status": "Gone",
          "weight": 1, "since_ms": 0}]}});
-    let text = format!("1\n{{\"n\":1}}\n{gone}\n");
+    let text = format!("1\n{{\"n\":1}}\n{removal}\n");
     let (first, rest) = text.split_at(text.len() / 2);
     stream.write_all(first.as_bytes()).unwrap();
     std::thread::sleep(Duration::from_millis(30));
@@ -371,7 +371,7 @@
     let (mut stream, line) = accept_subscription();
     assert_eq!(line, "SUB 2\n", "after a malformed line");
     let purge = json!({"n": 3, "purge": {"group": 5, "at": 1}});
-    stream.write_all(format!("{gone}\n{purge}\n").as_bytes()).unwrap();
+    stream.write_all(format!("{removal}\n{purge}\n").as_bytes()).unwrap();
     drop(stream);
     let (_silent, line) = accept_subscription();
     assert_eq!(line, "SUB 3\n", "after a break; known events are skipped");
@@ -444,8 +444,8 @@
         let complaint: Vec<&str> = said.lines().filter(|l| l.starts_with("harestage-router:")).collect();
         let named = complaint.len() == 1 && complaint[0].contains(key);
         let value = config.pointer(path).filter(|value| !value.is_null()).map(|value| value.to_string());
-        let told = value.is_none_or(|value| complaint[0].contains(value.trim_matches('"')));
-        assert!(!ended.status.success() && named && told, "{path}: {said}");
+        let names_value = value.is_none_or(|value| complaint[0].contains(value.trim_matches('"')));
+        assert!(!ended.status.success() && named && names_value, "{path}: {said}");
     }
     let mut router = Command::new(env!("CARGO_BIN_EXE_harestage-router"));
     let ended =
--- a/crates/wire/src/feed.rs
+++ b/crates/wire/src/feed.rs
@@ -67,8 +67,8 @@
     let plan = json.get("plan").and_then(Value::as_str).map(str::to_string);
     let (version, purges) = (number("version"), number("purges"));
     let at_ms = purges.and_then(|_| number("at"));
-    let marks = ServiceState { shape_version: version, purge_number: purges, purged_at_ms: at_ms, plan };
-    (marks != ServiceState::default()).then_some(marks)
+    let state = ServiceState { shape_version: version, purge_number: purges, purged_at_ms: at_ms, plan };
+    (state != ServiceState::default()).then_some(state)
 }
 
 /// Whether this event says that the feed accepts acknowledgements. Only feeds of our own do; the platform's
@@ -125,7 +125,7 @@
             return None;
         }
         let has = number(parts.next()?)?;
-        let word = match parts.next() {
+        let ack = match parts.next() {
             None => return Some(Ack::Applied(has)),
             Some("at") => {
                 let at_ms = number(parts.next()?)?;
@@ -135,7 +135,7 @@
             }
             Some(_) => return None,
         };
-        parts.next().is_none().then_some(word)
+        parts.next().is_none().then_some(ack)
     }
 }
 
--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -45,11 +45,16 @@
 /// Result that a node reports for a pull.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerStatus {
+    /// The body is the object.
     Fulfilled,
+    /// The copy that the client holds is current.
     NotModified,
+    /// The node lacks the object, and may not or can't fill it.
     NotFound,
+    /// The node refuses further pulls for now.
     Busy,
     Failed,
+    /// The time was over before the node began.
     TooLate,
 }
 
@@ -108,7 +113,7 @@
 pub fn decode_answer(items: &[Bytes]) -> Option<Answer> {
     let [id, word, list, body] = items else { return None };
     let id = HexId::parse(id)?;
-    let word = match word.as_ref() {
+    let status = match word.as_ref() {
         b"ACK" => AnswerStatus::Fulfilled,
         b"NOMOD" => AnswerStatus::NotModified,
         b"NOENT" => AnswerStatus::NotFound,
@@ -127,7 +132,7 @@
             _ => {}
         }
     }
-    Some(Answer { id, status: word, remark, first_byte_ms, body: body.clone() })
+    Some(Answer { id, status, remark, first_byte_ms, body: body.clone() })
 }
 
 fn decode_remark(word: &[u8]) -> Remark {
--- a/crates/wire/src/resp.rs
+++ b/crates/wire/src/resp.rs
@@ -37,7 +37,9 @@
 /// Limits on what one peer may send.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
+    /// Most items in one array.
     pub max_items: usize,
+    /// Most bytes in one item.
     pub max_item_bytes: usize,
     /// Memory that an item gets at once. A longer item gets more only as its bytes arrive, so that announcing
     /// a large length costs no memory.
@@ -60,10 +62,11 @@
     stage: Stage,
     items_left: usize,
     items: Vec<Bytes>,
-    /// The item being read, with the memory allocated so far; below, its full length and how many bytes have
-    /// arrived.
+    /// The item being read, with the memory allocated so far.
     item: Vec<u8>,
+    /// Its full length.
     item_length: usize,
+    /// Bytes of it that have arrived.
     received: usize,
 }
 
