--- a/crates/hub/src/desk/below.rs
+++ b/crates/hub/src/desk/below.rs
@@ -2,11 +2,11 @@
 use super::{ConnNo, Desk, Order};
 use crate::store::Copy;
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_restart::stage::Stage as StartStage;
-use harestage_shape::knots::Key;
-use harestage_shape::shield::Reply;
+use harestage_shape::fetch_rights::HandoverReply;
+use harestage_shape::wait_cycles::Key;
 use harestage_wire::fields::HexId;
 use harestage_wire::node::{AnswerStatus, CopyTag, IncomingRequest, OutgoingAnswer};
 
@@ -18,7 +18,7 @@
         }
         // Writes run at the archive and nowhere else: two of them must never pass for one fill.
         if !asked.body.is_empty() {
-            return self.refuse(conn, asked.id, AnswerStatus::Busy, Remark::SourceRefused);
+            return self.refuse(conn, asked.id, AnswerStatus::Busy, CacheStatus::SourceRefused);
         }
         let key = (asked.object.as_u64(), asked.part);
         if let Some(after) = self.turned_away(conn, &asked, now) {
@@ -31,12 +31,12 @@
         if let Some(way) = asked.route.as_ref().filter(|way| way.hand_over) {
             let by = way.path.last().cloned().unwrap_or_default();
             let under_way = self.fills.has(key);
-            let reply = self.archive.shield.asked(key, &by, good.is_some(), under_way, now);
+            let reply = self.archive.shield.on_request(key, &by, good.is_some(), under_way, now);
             return self.hand_over(conn, asked.id, reply, good);
         }
         if let Some(copy) = good {
             let aged = fresh.is_some_and(|fresh| now.since(copy.dated) > fresh);
-            let remark = if aged { Remark::Aged } else { Remark::Hit };
+            let remark = if aged { CacheStatus::Stale } else { CacheStatus::Hit };
             let given =
                 give(asked.id, &copy, asked.known_digest.as_ref(), asked.route.is_some(), remark, 0.0);
             self.orders.push(Order::Answer { conn, given });
@@ -46,12 +46,12 @@
             }
             return;
         }
-        let gives = self.start.stage().gives_copies();
+        let gives = self.start.stage().serves_copies();
         if gives && self.copies.on_disk(key, oldest, now) && !self.fills.has(key) && !asked.only_if_cached {
             return self.fill_from_disk(conn, key, asked, oldest, now);
         }
         if asked.only_if_cached || asked.source.is_none() {
-            let remark = if self.fills.has(key) { Remark::Joined } else { Remark::Nothing };
+            let remark = if self.fills.has(key) { CacheStatus::Joined } else { CacheStatus::Unknown };
             return self.refuse(conn, asked.id, AnswerStatus::NotFound, remark);
         }
         self.fill_for(conn, key, asked, oldest, now);
@@ -77,7 +77,7 @@
         self.start.may_begin(worth, best)
     }
 
-    pub(super) fn refuse(&mut self, conn: ConnNo, id: HexId, word: AnswerStatus, remark: Remark) {
+    pub(super) fn refuse(&mut self, conn: ConnNo, id: HexId, word: AnswerStatus, remark: CacheStatus) {
         let (first_ms, copy, body, come_ms, why) = (0.0, None, Bytes::new(), None, None);
         let given = OutgoingAnswer {
             id,
@@ -96,7 +96,7 @@
     pub(super) fn refuse_until(&mut self, conn: ConnNo, id: HexId, after: Option<Span>) {
         let (first_ms, copy, body, why) = (0.0, None, Bytes::new(), None);
         let come_ms = after.map(|after| (after.as_micros() / 1_000).max(1));
-        let (word, remark) = (AnswerStatus::Busy, Remark::NoPlace);
+        let (word, remark) = (AnswerStatus::Busy, CacheStatus::NoFillSlot);
         let given = OutgoingAnswer {
             id,
             status: word,
@@ -110,16 +110,20 @@
         self.orders.push(Order::Answer { conn, given });
     }
 
-    fn hand_over(&mut self, conn: ConnNo, id: HexId, reply: Reply, good: Option<Copy>) {
+    fn hand_over(&mut self, conn: ConnNo, id: HexId, reply: HandoverReply, good: Option<Copy>) {
         match (reply, good) {
-            (Reply::Held, Some(copy)) => {
-                let given = give(id, &copy, None, true, Remark::Hit, 0.0);
+            (HandoverReply::Held, Some(copy)) => {
+                let given = give(id, &copy, None, true, CacheStatus::Hit, 0.0);
                 self.orders.push(Order::Answer { conn, given });
             }
-            (Reply::UnderWay, _) => self.refuse(conn, id, AnswerStatus::NotFound, Remark::Joined),
-            (Reply::Elsewhere { .. }, _) => self.refuse(conn, id, AnswerStatus::Busy, Remark::SourceRefused),
-            (Reply::Ceded { .. } | Reply::Held, _) => {
-                self.refuse(conn, id, AnswerStatus::NotFound, Remark::Nothing)
+            (HandoverReply::UnderWay, _) => {
+                self.refuse(conn, id, AnswerStatus::NotFound, CacheStatus::Joined)
+            }
+            (HandoverReply::Elsewhere { .. }, _) => {
+                self.refuse(conn, id, AnswerStatus::Busy, CacheStatus::SourceRefused)
+            }
+            (HandoverReply::Ceded { .. } | HandoverReply::Held, _) => {
+                self.refuse(conn, id, AnswerStatus::NotFound, CacheStatus::Unknown)
             }
         }
     }
@@ -134,7 +138,7 @@
         now: Moment,
     ) {
         if self.fills.are_full() || !self.fills.may_wait(conn, asked.id) {
-            return self.refuse(conn, asked.id, AnswerStatus::Busy, Remark::NoPlace);
+            return self.refuse(conn, asked.id, AnswerStatus::Busy, CacheStatus::NoFillSlot);
         }
         self.begin(key, &asked, now);
         self.wait(conn, key, &asked, oldest, false, now);
@@ -155,20 +159,20 @@
             let after = self.start.come_again(chance);
             return self.refuse_until(conn, asked.id, asked.route.is_some().then_some(after));
         }
-        if self.sources.unknowing && self.start.stage() != StartStage::Alone
+        if self.sources.unknowing && self.start.stage() != StartStage::WithoutPurges
             || !self.fills.may_wait(conn, asked.id)
         {
-            return self.refuse(conn, asked.id, AnswerStatus::Busy, Remark::NoPlace);
+            return self.refuse(conn, asked.id, AnswerStatus::Busy, CacheStatus::NoFillSlot);
         }
         let path = asked.route.as_ref().map(|way| way.path.clone()).unwrap_or_default();
         let new = !self.fills.has(key);
         if new {
             // It came round to a hub whose own fill is over meanwhile: a new one would go round again.
             if path.contains(&self.name) {
-                return self.refuse(conn, asked.id, AnswerStatus::Busy, Remark::SourceRefused);
+                return self.refuse(conn, asked.id, AnswerStatus::Busy, CacheStatus::SourceRefused);
             }
             if self.fills.are_full() {
-                return self.refuse(conn, asked.id, AnswerStatus::Busy, Remark::NoPlace);
+                return self.refuse(conn, asked.id, AnswerStatus::Busy, CacheStatus::NoFillSlot);
             }
             self.begin(key, &asked, now);
         }
@@ -176,7 +180,7 @@
         if new {
             self.advance_by(key, &path, now);
         } else {
-            let act = self.circles.knots.joined(key, &path, now);
+            let act = self.circles.knots.on_join(key, &path, now);
             self.act(act, now);
         }
     }
@@ -188,7 +192,7 @@
     copy: &Copy,
     held: Option<&Bytes>,
     ours: bool,
-    remark: Remark,
+    remark: CacheStatus,
     first_ms: f64,
 ) -> OutgoingAnswer {
     let still_good = held == Some(&copy.digest);
--- a/crates/hub/tests/desks.rs
+++ b/crates/hub/tests/desks.rs
@@ -1,13 +1,13 @@
 //! Hubs without sockets: many desks and an archive in virtual time, on versions that differ, with messages that take
 //! their time and hubs that die. The same seed plays the same way.
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_hub::desk::{Ask, Bounds, Desk, Keeping, News, Order};
 use harestage_hub::store::Named;
-use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
-use harestage_shape::knots::Knot;
-use harestage_shape::parts::Part;
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::{ArchiveConfig, HubConfig, ShapeConfig};
+use harestage_shape::wait_cycles::WaitCycle;
 use harestage_wire::fields::HexId;
 use harestage_wire::node::{Answer, AnswerStatus, CopyTag, IncomingRequest, OutgoingAnswer};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -15,8 +15,8 @@
 
 const CONTENT: &[u8] = b"clip";
 
-fn hub_form(name: &str, up: &[&str]) -> HubForm {
-    HubForm {
+fn hub_form(name: &str, up: &[&str]) -> HubConfig {
+    HubConfig {
         name: name.into(),
         address: "127.0.0.1:1".into(),
         site: String::new(),
@@ -31,8 +31,8 @@
     }
 }
 
-fn form(version: u64, hubs: &[(&str, &[&str])]) -> ShapeForm {
-    let archive = ArchiveForm {
+fn form(version: u64, hubs: &[(&str, &[&str])]) -> ShapeConfig {
+    let archive = ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:2".into(),
         capacity: 400.0,
@@ -40,10 +40,10 @@
         stops_within_ms: 3_000,
     };
     let hubs = hubs.iter().map(|(name, up)| hub_form(name, up)).collect();
-    ShapeForm { version, archive, hubs, branches: Vec::new(), links: Vec::new() }
+    ShapeConfig { version, archive, hubs, branches: Vec::new(), links: Vec::new() }
 }
 
-fn tops(version: u64, names: &[&str]) -> ShapeForm {
+fn tops(version: u64, names: &[&str]) -> ShapeConfig {
     let hubs: Vec<(&str, &[&str])> = names.iter().map(|name| (*name, &["archive"][..])).collect();
     form(version, &hubs)
 }
@@ -72,7 +72,7 @@
     fetches: Vec<(u64, u64, String)>,
     fetch_takes: u64,
     answers: Vec<(u64, OutgoingAnswer)>,
-    broke: Vec<(u64, String, Knot)>,
+    broke: Vec<(u64, String, WaitCycle)>,
     /// When the archive changed an object last, in virtual microseconds.
     dated: HashMap<u64, u64>,
 }
@@ -131,10 +131,10 @@
         self.wires.insert((*free, self.sent), (from.into(), to.into(), message));
     }
 
-    fn tell(&mut self, name: &str, form: &ShapeForm) {
+    fn tell(&mut self, name: &str, form: &ShapeConfig) {
         self.step(name, vec![News::Told(Box::new(form.clone()))]);
         // Room at the archive for all of a test: the gate has tests of its own.
-        let part = Part { rate: 10_000.0, floor: 10_000.0, number: form.version };
+        let part = RateShare { rate: 10_000.0, floor: 10_000.0, number: form.version };
         self.step(name, vec![News::Part { part, asked: self.at() }]);
     }
 
@@ -237,7 +237,7 @@
                 let answer = Answer {
                     id: HexId::from_u64(pull),
                     status: AnswerStatus::Fulfilled,
-                    remark: Remark::Nothing,
+                    remark: CacheStatus::Unknown,
                     first_byte_ms: 0.0,
                     body: Bytes::from_static(b"bytes"),
                 };
@@ -312,7 +312,7 @@
 }
 
 /// An object whose home, by the version that each hub is given, is the next hub in a ring.
-fn ring_versions(names: &[&str]) -> Vec<ShapeForm> {
+fn ring_versions(names: &[&str]) -> Vec<ShapeConfig> {
     let next = |n: usize| names[(n + 1) % names.len()];
     (0..names.len())
         .map(|n| {
@@ -485,34 +485,43 @@
     };
     assert_eq!(
         ask(&mut net, 1, 1, &|a| a.source = None),
-        (AnswerStatus::NotFound, Remark::Nothing),
+        (AnswerStatus::NotFound, CacheStatus::Unknown),
         "no source: no fill"
     );
-    assert_eq!(ask(&mut net, 2, 1, &|a| a.only_if_cached = true), (AnswerStatus::NotFound, Remark::Nothing));
-    assert_eq!(ask(&mut net, 3, 1, &|a| a.no_store = true), (AnswerStatus::Fulfilled, Remark::FromOrigin));
+    assert_eq!(
+        ask(&mut net, 2, 1, &|a| a.only_if_cached = true),
+        (AnswerStatus::NotFound, CacheStatus::Unknown)
+    );
+    assert_eq!(
+        ask(&mut net, 3, 1, &|a| a.no_store = true),
+        (AnswerStatus::Fulfilled, CacheStatus::FromOrigin)
+    );
     assert_eq!(
         ask(&mut net, 4, 1, &|a| a.only_if_cached = true),
-        (AnswerStatus::NotFound, Remark::Nothing),
+        (AnswerStatus::NotFound, CacheStatus::Unknown),
         "it was not kept"
     );
-    assert_eq!(ask(&mut net, 5, 1, &|_| {}), (AnswerStatus::Fulfilled, Remark::FromOrigin));
-    assert_eq!(ask(&mut net, 6, 1, &|a| a.only_if_cached = true), (AnswerStatus::Fulfilled, Remark::Hit));
+    assert_eq!(ask(&mut net, 5, 1, &|_| {}), (AnswerStatus::Fulfilled, CacheStatus::FromOrigin));
+    assert_eq!(
+        ask(&mut net, 6, 1, &|a| a.only_if_cached = true),
+        (AnswerStatus::Fulfilled, CacheStatus::Hit)
+    );
     let copy = net.answers.last().unwrap().1.copy.clone().unwrap();
     assert_eq!(copy.group, None, "a cache of the platform knows no such field");
     let digest = copy.digest;
     assert_eq!(
         ask(&mut net, 7, 1, &|a| a.known_digest = Some(digest.clone())),
-        (AnswerStatus::NotModified, Remark::Hit)
+        (AnswerStatus::NotModified, CacheStatus::Hit)
     );
     assert_eq!(
         ask(&mut net, 8, 1, &|a| a.max_age_ms = Some(20)),
-        (AnswerStatus::Fulfilled, Remark::FromOrigin),
+        (AnswerStatus::Fulfilled, CacheStatus::FromOrigin),
         "too old"
     );
     let body = |a: &mut IncomingRequest| a.body = Bytes::from_static(b"filing");
     assert_eq!(
         ask(&mut net, 9, 1, &body),
-        (AnswerStatus::Busy, Remark::SourceRefused),
+        (AnswerStatus::Busy, CacheStatus::SourceRefused),
         "no hub runs a write"
     );
 }
@@ -535,11 +544,11 @@
         net.run(200);
         net.answers.iter().find(|(conn, _)| *conn == no).map(|(_, given)| given.remark)
     };
-    assert_eq!(aged(&mut net, 2, false), Some(Remark::Aged));
+    assert_eq!(aged(&mut net, 2, false), Some(CacheStatus::Stale));
     assert_eq!(net.fetches.len(), 1, "nobody asked for a renewal");
-    assert_eq!(aged(&mut net, 3, true), Some(Remark::Aged), "the answer does not wait for it");
+    assert_eq!(aged(&mut net, 3, true), Some(CacheStatus::Stale), "the answer does not wait for it");
     assert_eq!(net.fetches.len(), 2);
-    assert_eq!(aged(&mut net, 4, true), Some(Remark::Hit));
+    assert_eq!(aged(&mut net, 4, true), Some(CacheStatus::Hit));
     assert_eq!((net.fetches.len(), net.desks["a"].fills()), (2, 0));
 }
 
--- a/crates/hub/tests/keeping.rs
+++ b/crates/hub/tests/keeping.rs
@@ -1,15 +1,15 @@
 //! A hub that kept its copies through a loss of power: what goes out and when, by the desk alone.
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
-use harestage_copies::record::Marks;
-use harestage_copies::shelf::Meta;
+use harestage_copies::index::CopyMetadata;
+use harestage_copies::record::Checkpoint;
 use harestage_hub::desk::{Bounds, Desk, Keeping, News, Order};
 use harestage_hub::store::Copy;
 use harestage_purge::scope::Scope;
 use harestage_restart::stage::Stage;
-use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
-use harestage_shape::parts::Part;
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::{ArchiveConfig, HubConfig, ShapeConfig};
 use harestage_wire::fields::HexId;
 use harestage_wire::node::{Answer, AnswerStatus, CopyTag, IncomingRequest};
 use std::collections::HashMap;
@@ -20,8 +20,8 @@
     Moment::at_micros((DAY + ms) * 1_000)
 }
 
-fn shape() -> ShapeForm {
-    let hub = HubForm {
+fn shape() -> ShapeConfig {
+    let hub = HubConfig {
         name: "a".into(),
         address: "127.0.0.1:1".into(),
         site: String::new(),
@@ -34,14 +34,14 @@
         falls_within_ms: 1_000,
         up: vec!["archive".into()],
     };
-    let archive = ArchiveForm {
+    let archive = ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:2".into(),
         capacity: 1e4,
         stops_at: 2.5,
         stops_within_ms: 3_000,
     };
-    ShapeForm { version: 1, archive, hubs: vec![hub], branches: Vec::new(), links: Vec::new() }
+    ShapeConfig { version: 1, archive, hubs: vec![hub], branches: Vec::new(), links: Vec::new() }
 }
 
 struct Bed {
@@ -64,14 +64,19 @@
         if !no_purges {
             desk.waits_for_purges();
         }
-        let meta = |object: u64| Meta {
+        let meta = |object: u64| CopyMetadata {
             key: (object, 0),
             digest: b"old".to_vec(),
             dated_us: at(0).micros() - 10_000_000,
             group: Some(object as u32 % 3),
             rank: 1,
         };
-        let marks = Marks { purges: 5, seen_ms: DAY - 1_000, lasted: 0.01, fetched: 0.01 };
+        let marks = Checkpoint {
+            applied_purge: 5,
+            latest_clock_ms: DAY - 1_000,
+            fill_seconds: 0.01,
+            fetch_seconds: 0.01,
+        };
         desk.has_kept((1..10).map(meta).collect(), marks, no_purges, at(0));
         Bed { desk, ms: 0, no: 0, orders: Vec::new() }
     }
@@ -90,7 +95,7 @@
     }
 
     fn ready(&mut self) {
-        let part = Part { rate: 1_000.0, floor: 1_000.0, number: 1 };
+        let part = RateShare { rate: 1_000.0, floor: 1_000.0, number: 1 };
         let asked = at(self.ms);
         self.step(vec![News::Told(Box::new(shape())), News::Part { part, asked }]);
     }
@@ -133,7 +138,7 @@
         });
         let pull = pull.expect("it is fetched");
         let copy = Some(CopyTag { digest: Bytes::from_static(b"new"), dated_ms: archive_ms, group: Some(1) });
-        let (id, word, remark) = (HexId::from_u64(pull), AnswerStatus::Fulfilled, Remark::Nothing);
+        let (id, word, remark) = (HexId::from_u64(pull), AnswerStatus::Fulfilled, CacheStatus::Unknown);
         let answer =
             Answer { id, status: word, remark, first_byte_ms: 1.0, body: Bytes::from_static(b"newer") };
         self.step(vec![News::Answered { pull, answer, copy }])
@@ -161,7 +166,7 @@
     assert!(word(&orders) == Some(AnswerStatus::Busy) && !reads(&orders));
     // All that lives is told: objects 2 and 3 went while it was away, and everything of group 1.
     let covered =
-        |scope: Scope, ms: u64| News::Covered { scope: Box::new(scope.checked().unwrap()), at: at(ms) };
+        |scope: Scope, ms: u64| News::Covered { scope: Box::new(scope.compile().unwrap()), at: at(ms) };
     bed.step(vec![
         covered(Scope::Object(format!("{:016x}", 2)), 0),
         covered(Scope::Object(format!("{:016x}", 3)), 0),
@@ -179,9 +184,9 @@
         .flatten()
         .collect();
     assert_eq!(unkept, [2, 3, 1, 4, 7], "what goes from the disk");
-    assert!(bed.orders.iter().any(|order| matches!(order, Order::Mark(marks) if marks.purges == 9)));
+    assert!(bed.orders.iter().any(|order| matches!(order, Order::Mark(marks) if marks.applied_purge == 9)));
     bed.run(200);
-    assert_eq!(bed.desk.start().stage(), Stage::FromCopies);
+    assert_eq!(bed.desk.start().stage(), Stage::CopiesOnly);
     let orders = bed.ask(5, "clip", None);
     assert!(reads(&orders) && word(&orders).is_none());
     assert_eq!(word(&bed.disk_gives(5)), Some(AnswerStatus::Fulfilled));
@@ -200,7 +205,7 @@
     bed.ready();
     bed.run(300);
     assert!(reads(&bed.ask(5, "clip", None)));
-    bed.step(vec![News::Covered { scope: Box::new(Scope::Group(2).checked().unwrap()), at: at(400) }]);
+    bed.step(vec![News::Covered { scope: Box::new(Scope::Group(2).compile().unwrap()), at: at(400) }]);
     bed.run(3_000);
     let orders = bed.disk_gives(5);
     assert!(!orders.iter().any(
@@ -213,7 +218,7 @@
     let mut bed = Bed::new(true);
     bed.ready();
     bed.run(4_000);
-    assert!(bed.desk.start().stage().fills());
+    assert!(bed.desk.start().stage().allows_fills());
     // No older than a minute is wanted, and by this clock it is ten seconds old: but which clock is right is not known.
     let orders = bed.ask(5, "page", None);
     assert!(!reads(&orders));
@@ -235,7 +240,7 @@
     let mut bed = Bed::new(false);
     bed.ready();
     bed.run(9_000);
-    assert_eq!(bed.desk.start().stage(), Stage::Alone);
+    assert_eq!(bed.desk.start().stage(), Stage::WithoutPurges);
     for _ in 0..2 {
         let mut orders = bed.ask(5, "clip", None);
         assert!(!reads(&orders));
--- a/crates/hub/tests/rationing.rs
+++ b/crates/hub/tests/rationing.rs
@@ -1,16 +1,16 @@
 //! A hub that is asked for more than it can do, and one whose sources fail: what it refuses first, and how much it repeats.
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage::time::{Moment, Span};
 use harestage_hub::desk::{Bounds, Desk, Keeping, News, Order};
-use harestage_shape::form::{ArchiveForm, HubForm, ShapeForm};
-use harestage_shape::parts::Part;
+use harestage_shape::archive_share::RateShare;
+use harestage_shape::config::{ArchiveConfig, HubConfig, ShapeConfig};
 use harestage_wire::fields::HexId;
 use harestage_wire::node::{Answer, AnswerStatus, CopyTag, IncomingRequest};
 use std::collections::{BTreeMap, HashMap};
 
-fn hub(name: &str, site: &str, capacity: f64) -> HubForm {
-    HubForm {
+fn hub(name: &str, site: &str, capacity: f64) -> HubConfig {
+    HubConfig {
         name: name.into(),
         address: "127.0.0.1:1".into(),
         site: site.into(),
@@ -25,15 +25,15 @@
     }
 }
 
-fn shape(hubs: Vec<HubForm>) -> ShapeForm {
-    let archive = ArchiveForm {
+fn shape(hubs: Vec<HubConfig>) -> ShapeConfig {
+    let archive = ArchiveConfig {
         name: "archive".into(),
         address: "127.0.0.1:2".into(),
         capacity: 1e5,
         stops_at: 2.5,
         stops_within_ms: 3_000,
     };
-    ShapeForm { version: 1, archive, hubs, branches: Vec::new(), links: Vec::new() }
+    ShapeConfig { version: 1, archive, hubs, branches: Vec::new(), links: Vec::new() }
 }
 
 fn asked(no: u64, content: &'static str, object: u64) -> Box<IncomingRequest> {
@@ -72,7 +72,7 @@
 }
 
 impl Bed {
-    fn new(site: &str, form: ShapeForm) -> Bed {
+    fn new(site: &str, form: ShapeConfig) -> Bed {
         let keeping = |benefit| Keeping { fresh: None, grace: Span::ZERO, benefit };
         let named = |name: &'static str| Bytes::from_static(name.as_bytes());
         let contents = HashMap::from([(named("clip"), keeping(8.0)), (named("page"), keeping(1.0))]);
@@ -81,7 +81,7 @@
         let mut desk = Desk::open("a", bounds, contents, at);
         desk.is_at(site, at);
         desk.step(at, std::iter::once(News::Told(Box::new(form))));
-        let part = Part { rate: 1e5, floor: 1e5, number: 1 };
+        let part = RateShare { rate: 1e5, floor: 1e5, number: 1 };
         desk.step(at, std::iter::once(News::Part { part, asked: at }));
         let (became, content) = Default::default();
         Bed { desk, ms: 1_000, no: 0, became, content, hubs: 0, fetches: 0, others: true }
@@ -115,7 +115,7 @@
 
     fn good(&self, pull: u64) -> News {
         let copy = CopyTag { digest: Bytes::from_static(b"d"), dated_ms: self.ms, group: None };
-        let (id, word, remark) = (HexId::from_u64(pull), AnswerStatus::Fulfilled, Remark::FromOrigin);
+        let (id, word, remark) = (HexId::from_u64(pull), AnswerStatus::Fulfilled, CacheStatus::FromOrigin);
         let answer =
             Answer { id, status: word, remark, first_byte_ms: 1.0, body: Bytes::from_static(b"body") };
         News::Answered { pull, answer, copy: Some(copy) }
@@ -217,7 +217,7 @@
     let answer = Answer {
         id: HexId::from_u64(pull),
         status: AnswerStatus::Busy,
-        remark: Remark::NoPlace,
+        remark: CacheStatus::NoFillSlot,
         first_byte_ms: 0.0,
         body: Bytes::new(),
     };
--- a/crates/measure/src/capacity/real.rs
+++ b/crates/measure/src/capacity/real.rs
@@ -3,9 +3,9 @@
 use super::fleet::Fleet;
 use crate::purge::ask;
 use crate::rig::{archive_form, free_address, hub_form, unix_ms};
-use harestage_purge::lines::{Answer, Call};
+use harestage_purge::messages::{Request, Response};
 use harestage_purge::scope::Scope;
-use harestage_shape::form::ShapeForm;
+use harestage_shape::config::ShapeConfig;
 use harestage_standins::{Archive, ArchiveScript, Caller, pull};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
         let addresses: Vec<SocketAddr> = (0..many).map(|_| free_address()).collect();
         let names: Vec<String> = (0..many).map(|n| format!("real-{n}")).collect();
         let hubs = names.iter().zip(&addresses).map(|(name, at)| hub_form(name, *at, CAPACITY, 0));
-        let shape = ShapeForm {
+        let shape = ShapeConfig {
             version: 1,
             archive: archive_form(&archive, CAPACITY),
             hubs: hubs.collect(),
@@ -99,12 +99,12 @@
             std::thread::sleep(Duration::from_millis(2));
             let asked_ms = unix_ms();
             let scope = Scope::Object(format!("{object:016x}"));
-            let call = Call::Submit { scope, tenant: 77, key: format!("real-{n}") };
-            let Some(Answer::Accepted { number, .. }) = ask(service, &call) else { continue };
-            let Some(Answer::Report(report)) = ask(service, &Call::Wait { number }) else { continue };
+            let call = Request::Submit { scope, tenant: 77, key: format!("real-{n}") };
+            let Some(Response::Accepted { number, .. }) = ask(service, &call) else { continue };
+            let Some(Response::Report(report)) = ask(service, &Request::Wait { number }) else { continue };
             looked.reports += 1;
-            let status = match ask(service, &Call::Status) {
-                Some(Answer::Status(status)) => status.members,
+            let status = match ask(service, &Request::Status) {
+                Some(Response::Status(status)) => status.members,
                 _ => continue,
             };
             for hub in 0..self.many() {
--- a/crates/router/src/program/config.rs
+++ b/crates/router/src/program/config.rs
@@ -1,7 +1,7 @@
 //! Reads and checks the configuration and fills in defaults. Every error names the key.
 use super::limits::Limits;
-use harestage::door::ServiceProfile;
-use harestage_profile::{Kinds, Outside, read_outside, read_profile};
+use harestage::interface::ServiceProfile;
+use harestage_profile::{NodeKinds, RouterSettings, read_profile, read_router_settings};
 use harestage_wire::feed::{FeedEvent, decode_known};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -28,8 +28,8 @@
     /// Events that are known before the feed is read.
     pub initial_events: Vec<FeedEvent>,
     pub profile: ServiceProfile,
-    pub kinds: Kinds,
-    pub outside: Outside,
+    pub kinds: NodeKinds,
+    pub outside: RouterSettings,
     pub limits: Limits,
 }
 
@@ -67,7 +67,7 @@
     let settings = required("settings")?;
     let in_settings = |why: String| format!("settings: {why}");
     let (profile, kinds) = read_profile(settings).map_err(in_settings)?;
-    let outside = read_outside(settings).map_err(in_settings)?;
+    let outside = read_router_settings(settings).map_err(in_settings)?;
     let memory_mb = limit("memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)? as usize;
     let sockets = limit("sockets", DEFAULT_SOCKETS, MIN_SOCKETS)? as usize;
     Ok(Config {
--- a/crates/router/src/program/limits.rs
+++ b/crates/router/src/program/limits.rs
@@ -1,6 +1,6 @@
 //! All sizes, counts and times that bound the router, computed once from the configuration.
 use harestage::time::Span;
-use harestage_profile::Outside;
+use harestage_profile::RouterSettings;
 use std::time::Duration;
 
 /// Sizes in bytes and counts that the protocol defines.
@@ -109,19 +109,18 @@
 
 impl Limits {
     /// Divides the configured memory and file descriptors among the limits; `outside` is what the settings allow.
-    pub fn new(memory_mb: usize, sockets: usize, outside: &Outside) -> Limits {
+    pub fn new(memory_mb: usize, sockets: usize, outside: &RouterSettings) -> Limits {
         let memory = memory_mb << 20;
         // The program's own files are logs, signals, timers, the listener and the feed; most of them are
         // needed at any size.
         let connections = sockets - (sockets / 8).max(OWN_FILE_DESCRIPTORS.min(sockets / 2));
         // The process is killed at the longest deadline plus 0.7 s after the signal: a shorter deadline leaves
         // less time.
-        let drain_abandon =
-            Duration::from(outside.longest_wait).min(MAX_DEADLINE) + Duration::from_millis(350);
+        let drain_abandon = Duration::from(outside.max_wait).min(MAX_DEADLINE) + Duration::from_millis(350);
         Limits {
             clients: (connections / 7 * 5).max(1),
             node_connections: (connections / 7 * 2).max(1),
-            downloads: outside.most_held.max(1),
+            downloads: outside.max_held_downloads.max(1),
             held_bytes: memory / 8,
             client_held_bytes: memory / 64,
             download_bytes: 1_500,
@@ -132,7 +131,7 @@
             node_item_room: 64 << 10,
             client_unsent_bytes: 4 * MAX_BODY_BYTES,
             client_unsent_answers: 8 * MAX_OPEN_PER_CONNECTION,
-            full_retry_after: outside.longest_retry_after.into(),
+            full_retry_after: outside.max_retry_after.into(),
             packets_at_once: 32,
             unsent_bytes: (memory / 4).max(2 * MAX_BODY_BYTES),
             client_stall: Duration::from_secs(6),
@@ -149,13 +148,13 @@
             node_items: 8,
             body_bytes: MAX_BODY_BYTES,
             node_pulls: outside.pulls_per_connection,
-            connect_within: outside.connect_within.into(),
+            connect_within: outside.connect_timeout.into(),
             node_few: 3,
             node_own_connections: (sockets / 32).max(1),
             node_silence: Duration::from_millis(250),
             node_halt: Duration::from_millis(700),
             node_spent_ids: 256,
-            node_idle: Duration::from(outside.idle_closes_after).mul_f64(0.8),
+            node_idle: Duration::from(outside.idle_timeout).mul_f64(0.8),
             answer_grace: Span::millis(20),
             call_back_settles: Span::millis(10),
             gone_kept: Span::millis(90_000),
--- a/crates/router/src/program/mod.rs
+++ b/crates/router/src/program/mod.rs
@@ -96,7 +96,7 @@
     let mut transport = SocketTransport { clients: clients.clone(), nodes };
     let (answer_grace, cancel_settles) = (limits.answer_grace, limits.call_back_settles);
     let removed_node_retention = limits.gone_kept;
-    let purge_retention = profile.purge_settles;
+    let purge_retention = profile.purge_settle_time;
     let config =
         RoutingConfig { profile, kinds, outside, answer_grace, cancel_settles, removed_node_retention };
     let mut routing = Routing::new(config, seed, clock.now());
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -7,11 +7,11 @@
 
 use async_channel::Sender;
 use bytes::Bytes;
-use harestage::brain::Brain;
-use harestage::door::{Event, Order, Pull, Register, ServiceProfile};
+use harestage::interface::{Action, Event, IdRegistry, Pull, ServiceProfile};
+use harestage::policy::Policy;
 use harestage::state::*;
 use harestage::time::{Moment, Span};
-use harestage_profile::{Kinds, Outside};
+use harestage_profile::{NodeKinds, RouterSettings};
 use harestage_sockets::clock;
 use harestage_wire::client::{DownloadRequest, ToClient};
 use harestage_wire::feed::{FeedEvent, ServiceState};
@@ -133,7 +133,7 @@
     client: ClientId,
     tag: u64,
     request: DownloadRequest,
-    content: ContentIx,
+    content: ContentIndex,
     leaves_at: Moment,
     deadline_timer: TimerKey,
     answered: bool,
@@ -146,8 +146,8 @@
 /// Settings of the routing task.
 pub struct RoutingConfig {
     pub profile: ServiceProfile,
-    pub kinds: Kinds,
-    pub outside: Outside,
+    pub kinds: NodeKinds,
+    pub outside: RouterSettings,
     /// How long after its deadline a download waits for the core's answer before the router abandons it.
     pub answer_grace: Span,
     /// How long a cancelled pull is assumed to be still running at its node.
@@ -158,14 +158,14 @@
 
 /// Runs the decision core on inputs and timers.
 pub struct Routing {
-    brain: Brain,
-    register: Register,
-    kinds: Kinds,
-    outside: Outside,
+    policy: Policy,
+    register: IdRegistry,
+    kinds: NodeKinds,
+    outside: RouterSettings,
     answer_grace: Span,
     cancel_settles: Span,
     removed_node_retention: Span,
-    contents: HashMap<Vec<u8>, ContentIx>,
+    contents: HashMap<Vec<u8>, ContentIndex>,
     node_table: NodeTable,
     held: HashMap<DownloadId, HeldDownload>,
     open: HashMap<(ClientId, u64), DownloadId>,
@@ -191,13 +191,13 @@
             config;
         let names = outside.contents.iter().enumerate();
         Routing {
-            brain: Brain::open(profile, seed, now),
-            register: Register::default(),
+            policy: Policy::new(profile, seed, now),
+            register: IdRegistry::default(),
             kinds,
             answer_grace,
             cancel_settles,
             removed_node_retention,
-            contents: names.map(|(at, n)| (n.clone().into_bytes(), ContentIx(at as u16))).collect(),
+            contents: names.map(|(at, n)| (n.clone().into_bytes(), ContentIndex(at as u16))).collect(),
             outside,
             node_table: NodeTable::default(),
             held: HashMap::new(),
@@ -243,7 +243,7 @@
         }
         let mut orders = Vec::new();
         while !self.events.is_empty() {
-            self.brain.turn(now, std::mem::take(&mut self.events), &mut orders);
+            self.policy.step(now, std::mem::take(&mut self.events), &mut orders);
             for order in orders.drain(..) {
                 self.execute(order, now, transport);
             }
@@ -274,9 +274,12 @@
                 self.on_answer(pull, answer, copy_digest, now, transport)
             }
             Input::Lost { pull, loss } => {
-                let ending =
-                    if loss == Loss::ConnectionBroken { Ending::Broken } else { Ending::NoConnection };
-                self.end_pull(pull, ending, Remark::Nothing, Span::ZERO, now);
+                let ending = if loss == Loss::ConnectionBroken {
+                    PullOutcome::Broken
+                } else {
+                    PullOutcome::NoConnection
+                };
+                self.end_pull(pull, ending, CacheStatus::Unknown, Span::ZERO, now);
             }
             Input::Feed(event) => self.on_feed_event(event, now, transport),
             Input::Confirm { number, to } => self.confirms.push((number, to)),
@@ -288,7 +291,7 @@
 
     /// The delay after which a client may retry, if the router must not act on the state that it has. The
     /// core does not see such a download.
-    fn refusal_delay(&self, content: ContentIx, id: u64, now: Moment) -> Option<u64> {
+    fn refusal_delay(&self, content: ContentIndex, id: u64, now: Moment) -> Option<u64> {
         let observer = self.observer.as_ref().filter(|observer| !observer.may_send())?;
         observer.on_download_end(content, DownloadOutcome::Throttled, id, None, now);
         Some(observer.retry_after_ms())
@@ -322,8 +325,8 @@
             part: request.part,
             group: request.group,
             kilobytes: request.kilobytes,
-            leaves_at,
-            repeat: request.repeat,
+            deadline: leaves_at,
+            is_retry: request.repeat,
         };
         let deadline_timer = self.set_timer(leaves_at, Timer::Deadline(dl));
         let (answered, pulls, state_number) = (false, Vec::new(), None);
@@ -340,7 +343,7 @@
         };
         self.held.insert(dl, held);
         self.open.insert((client, tag), dl);
-        self.events.push(Event::Arrived { dl: self.register.enter_dl(dl), download });
+        self.events.push(Event::Arrived { dl: self.register.register_download(dl), download });
     }
 
     /// Marks a download as answered. Returns its client and tag, or `None` if it was answered before.
@@ -358,7 +361,7 @@
             return;
         }
         self.report_end(dl, DownloadOutcome::Left);
-        self.events.extend(self.register.dl(dl).map(|dl| Event::Left { dl }));
+        self.events.extend(self.register.dl(dl).map(|dl| Event::ClientLeft { dl }));
     }
 
     /// Answers the client, unless that was done before.
@@ -401,39 +404,46 @@
         let known = self.held.get(&dl).and_then(|held| held.request.known_digest.as_ref());
         let is_current = known.is_some() && known == copy_digest.as_ref();
         let ending = match answer.status {
-            AnswerStatus::Fulfilled => Ending::Fulfilled,
+            AnswerStatus::Fulfilled => PullOutcome::Fulfilled,
             // A corrupted answer may name no copy, or another one than the client holds.
-            AnswerStatus::NotModified if is_current => Ending::Fulfilled,
-            AnswerStatus::NotModified | AnswerStatus::Failed => Ending::Error,
-            AnswerStatus::NotFound => Ending::Missed,
-            AnswerStatus::Busy => Ending::Full,
-            AnswerStatus::TooLate => Ending::NotSent,
+            AnswerStatus::NotModified if is_current => PullOutcome::Fulfilled,
+            AnswerStatus::NotModified | AnswerStatus::Failed => PullOutcome::Error,
+            AnswerStatus::NotFound => PullOutcome::Missed,
+            AnswerStatus::Busy => PullOutcome::Full,
+            AnswerStatus::TooLate => PullOutcome::NotSent,
         };
-        if ending == Ending::Fulfilled {
+        if ending == PullOutcome::Fulfilled {
             let good = match answer.status {
                 AnswerStatus::NotModified => ToClient::NotModified,
                 _ => ToClient::Fulfilled { body: answer.body },
             };
             self.reply(dl, good, transport);
         }
-        self.end_pull(pull, ending, answer.remark, Span::of_seconds(answer.first_byte_ms / 1e3), now);
+        self.end_pull(pull, ending, answer.remark, Span::from_seconds(answer.first_byte_ms / 1e3), now);
     }
 
     /// Reports the end of a pull to the core.
-    fn end_pull(&mut self, pull: PullId, ending: Ending, remark: Remark, first_byte: Span, now: Moment) {
+    fn end_pull(
+        &mut self,
+        pull: PullId,
+        ending: PullOutcome,
+        remark: CacheStatus,
+        first_byte: Span,
+        now: Moment,
+    ) {
         let Some(sent) = self.in_flight.remove(&pull) else { return };
         let Some(held) = self.held.get(&sent.dl) else { return };
         let Some((dl, node)) = self.register.dl(sent.dl).zip(self.register.node(sent.node)) else { return };
         let (closed, took) = (held.answered, now.since(sent.sent_at));
         let number = sent.number;
-        self.events.push(Event::Ended(PullEnd {
+        self.events.push(Event::PullEnded(PullResult {
             dl,
-            pull: number,
+            attempt: number,
             node,
-            ending,
-            remark,
-            closed,
-            took,
+            outcome: ending,
+            cache_status: remark,
+            answered: closed,
+            duration: took,
             first_byte,
         }));
     }
@@ -454,7 +464,7 @@
                     match update.record.phase {
                         Phase::Ready => {}
                         Phase::Draining => draining.push(update.node),
-                        Phase::Gone => removed.push(update.node),
+                        Phase::Removed => removed.push(update.node),
                     }
                     listings.push(update.record);
                 }
@@ -466,8 +476,8 @@
                     self.set_timer(now + self.removed_node_retention, Timer::ForgetNode(*node));
                 }
                 draining.extend(removed);
-                let news = if is_snapshot { RosterNews::Whole } else { RosterNews::Changes };
-                self.events.push(Event::Roster { news, listings });
+                let news = if is_snapshot { MembershipUpdate::Snapshot } else { MembershipUpdate::Delta };
+                self.events.push(Event::Membership { update: news, records: listings });
                 let is_unusable = |node: &NodeId| draining.contains(node);
                 self.remove_queued(
                     |sent, _| is_unusable(&sent.node) || sent.source.iter().any(is_unusable),
@@ -504,7 +514,7 @@
         pulls.sort_unstable();
         for (pull, node) in pulls {
             if transport.remove_queued(node, pull) {
-                self.end_pull(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
+                self.end_pull(pull, PullOutcome::NotSent, CacheStatus::Unknown, Span::ZERO, now);
             }
         }
     }
@@ -526,12 +536,12 @@
                 {
                     self.set_timer(now + self.cancel_settles, Timer::CancelSettled(pull));
                 } else {
-                    self.end_pull(pull, Ending::Cancelled, Remark::Nothing, Span::ZERO, now);
+                    self.end_pull(pull, PullOutcome::Cancelled, CacheStatus::Unknown, Span::ZERO, now);
                 }
             }
             Timer::StartDeadline(pull) => {
                 if self.in_flight.get(&pull).is_some_and(|sent| transport.remove_queued(sent.node, pull)) {
-                    self.end_pull(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
+                    self.end_pull(pull, PullOutcome::NotSent, CacheStatus::Unknown, Span::ZERO, now);
                 }
             }
             Timer::Deadline(dl) => {
@@ -552,7 +562,7 @@
             Timer::AnswerOverdue(dl) => {
                 if self.held.get(&dl).is_some_and(|h| !h.answered) {
                     self.reply(dl, ToClient::Abandoned, transport);
-                    self.events.extend(self.register.dl(dl).map(|dl| Event::Left { dl }));
+                    self.events.extend(self.register.dl(dl).map(|dl| Event::ClientLeft { dl }));
                 }
             }
         }
@@ -561,48 +571,50 @@
     fn time_out_pull(&mut self, pull: PullId, now: Moment, transport: &mut dyn Transport) {
         let Some(node) = self.in_flight.get(&pull).map(|sent| sent.node) else { return };
         let not_sent = transport.cancel_pull(node, pull);
-        let ending = if not_sent { Ending::NotSent } else { Ending::TimedOut };
-        self.end_pull(pull, ending, Remark::Nothing, Span::ZERO, now);
+        let ending = if not_sent { PullOutcome::NotSent } else { PullOutcome::TimedOut };
+        self.end_pull(pull, ending, CacheStatus::Unknown, Span::ZERO, now);
     }
 
-    fn execute(&mut self, order: Order, now: Moment, transport: &mut dyn Transport) {
+    fn execute(&mut self, order: Action, now: Moment, transport: &mut dyn Transport) {
         match order {
-            Order::Pull(pull) => self.send_pull(pull, now, transport),
-            Order::Cancel { dl, pull: number } => {
-                let dl = self.register.dl_id(dl);
+            Action::Pull(pull) => self.send_pull(pull, now, transport),
+            Action::Cancel { dl, attempt: number } => {
+                let dl = self.register.download_id(dl);
                 let pulls = self.held.get(&dl).map(|held| &held.pulls);
                 let Some(pull) = pulls.and_then(|p| p.get(number as usize)).copied() else { return };
                 let Some(node) = self.in_flight.get(&pull).map(|sent| sent.node) else { return };
                 let not_sent = transport.cancel_pull(node, pull);
                 if not_sent || self.held.get(&dl).is_none_or(|held| held.answered) {
-                    let ending = if not_sent { Ending::NotSent } else { Ending::Cancelled };
-                    return self.end_pull(pull, ending, Remark::Nothing, Span::ZERO, now);
+                    let ending = if not_sent { PullOutcome::NotSent } else { PullOutcome::Cancelled };
+                    return self.end_pull(pull, ending, CacheStatus::Unknown, Span::ZERO, now);
                 }
                 // Guards against two concurrent pulls of one download: the next pull may use another
                 // connection, and would overtake the cancel.
                 self.set_timer(now + self.cancel_settles, Timer::CancelSettled(pull));
             }
-            Order::Throttle { dl, retry_after } => {
+            Action::Throttle { dl, retry_after } => {
                 let retry_after_ms = retry_after.as_micros().div_ceil(1_000);
-                self.reply(self.register.dl_id(dl), ToClient::Throttled { retry_after_ms }, transport);
+                self.reply(self.register.download_id(dl), ToClient::Throttled { retry_after_ms }, transport);
+            }
+            Action::Abandon { dl } => {
+                self.reply(self.register.download_id(dl), ToClient::Abandoned, transport)
             }
-            Order::Abandon { dl } => self.reply(self.register.dl_id(dl), ToClient::Abandoned, transport),
-            Order::SetTimer { after, timer } => {
+            Action::SetTimer { after, timer } => {
                 self.set_timer(now + after, Timer::Core(timer));
             }
             // The router subscribes to the feed at its start, whether the core asks for it or not.
-            Order::WatchRoster => {}
-            Order::Forget { dl } => {
-                if let Some(held) = self.held.remove(&self.register.dl_id(dl)) {
+            Action::WatchMembership => {}
+            Action::Release { dl } => {
+                if let Some(held) = self.held.remove(&self.register.download_id(dl)) {
                     self.ids.remove(&held.request.id);
                 }
-                self.register.forget_dl(dl);
+                self.register.release_download(dl);
             }
         }
     }
 
     fn send_pull(&mut self, order: Pull, now: Moment, transport: &mut dyn Transport) {
-        let dl = self.register.dl_id(order.dl);
+        let dl = self.register.download_id(order.dl);
         let Some((node, contact)) = self.node_table.by_index(&self.register, order.node) else { return };
         let source = order.source.and_then(|source| self.node_table.by_index(&self.register, source));
         let Some(held) = self.held.get_mut(&dl) else { return };
@@ -611,7 +623,7 @@
         held.pulls.push(pull);
         held.state_number =
             self.observer.as_ref().map(|observer| observer.state_number()).or(held.state_number);
-        let until = match order.time_out {
+        let until = match order.timeout {
             Span::ZERO => held.leaves_at,
             time_out => held.leaves_at.min(now + time_out),
         };
@@ -626,7 +638,7 @@
             source: source.map(|(_, contact)| contact.name.as_str()),
             rank: order.rank,
             // Rounded down, since a slightly older copy is not acceptable; 0 would mean the default age.
-            max_age_ms: (order.oldest > Span::ZERO).then(|| (order.oldest.as_micros() / 1_000).max(1)),
+            max_age_ms: (order.max_age > Span::ZERO).then(|| (order.max_age.as_micros() / 1_000).max(1)),
             join: order.join,
             only_if_cached: order.only_held,
             no_store: order.no_copy,
@@ -644,13 +656,13 @@
         let source = source.map(|(source, _)| source);
         self.in_flight.insert(pull, InFlightPull { dl, number, node, source, sent_at: now });
         if !queued {
-            return self.end_pull(pull, Ending::NotSent, Remark::Nothing, Span::ZERO, now);
+            return self.end_pull(pull, PullOutcome::NotSent, CacheStatus::Unknown, Span::ZERO, now);
         }
-        if order.time_out > Span::ZERO {
+        if order.timeout > Span::ZERO {
             self.set_timer(until, Timer::PullTimeout(pull));
         }
-        if order.start_within > Span::ZERO {
-            self.set_timer(now + order.start_within, Timer::StartDeadline(pull));
+        if order.connect_within > Span::ZERO {
+            self.set_timer(now + order.connect_within, Timer::StartDeadline(pull));
         }
     }
 }
--- a/crates/router/src/routing/nodes.rs
+++ b/crates/router/src/routing/nodes.rs
@@ -1,8 +1,8 @@
 //! Names and addresses of caches, parents and the origin, from the control feed.
-use harestage::door::Register;
-use harestage::state::{Listing, NodeIx, Phase, Role};
+use harestage::interface::IdRegistry;
+use harestage::state::{NodeIndex, NodeRecord, Phase, Role};
 use harestage::time::{Moment, Span};
-use harestage_profile::{Kinds, Outside};
+use harestage_profile::{NodeKinds, RouterSettings};
 use harestage_sockets::clock::moment_from_unix_ms;
 use harestage_wire::feed::{Member, MemberState};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -34,7 +34,7 @@
 /// Result of applying a node's entry from the feed.
 pub struct NodeUpdate {
     pub node: NodeId,
-    pub record: Listing,
+    pub record: NodeRecord,
     /// The name now belongs to another process than before.
     pub replaced: bool,
 }
@@ -49,15 +49,15 @@
     pub fn apply(
         &mut self,
         member: &Member,
-        register: &mut Register,
-        kinds: Kinds,
-        outside: &Outside,
+        register: &mut IdRegistry,
+        kinds: NodeKinds,
+        outside: &RouterSettings,
         now: Moment,
     ) -> NodeUpdate {
         let phase = match member.state {
             MemberState::Ready => Phase::Ready,
             MemberState::Draining => Phase::Draining,
-            MemberState::Removed => Phase::Gone,
+            MemberState::Removed => Phase::Removed,
         };
         let address: Option<SocketAddr> = member.address.parse().ok();
         let node = *self.by_name.entry(member.name.clone()).or_insert_with(|| {
@@ -67,19 +67,19 @@
             self.next_id - 1
         });
         let entry = self.entries.get_mut(&node).expect("known by its name");
-        if phase == Phase::Gone && entry.phase != Phase::Gone {
+        if phase == Phase::Removed && entry.phase != Phase::Removed {
             entry.removed_at = now;
         }
         let replaced = phase == Phase::Ready
-            && (entry.phase == Phase::Gone
+            && (entry.phase == Phase::Removed
                 || entry.since_ms != member.since_ms
                 || address.is_some() && entry.address != address);
         entry.address = address.or(entry.address);
         (entry.phase, entry.since_ms) = (phase, member.since_ms);
         let kind = position_of(&outside.kinds, &member.kind).map(|k| k as u8);
-        let record = Listing {
-            node: register.enter_node(node),
-            stamp: name_hash(&member.name),
+        let record = NodeRecord {
+            node: register.register_node(node),
+            hash_key: name_hash(&member.name),
             zone: position_of(&outside.zones, &member.zone).map_or(u16::MAX, |z| z as u16),
             cell: member.cell,
             kind: kind.unwrap_or(u8::MAX),
@@ -101,8 +101,8 @@
         let mut missing = Vec::new();
         for (node, entry) in self.entries.iter_mut().filter(|(_, entry)| !named.contains(entry.name.as_str()))
         {
-            if entry.phase != Phase::Gone {
-                (entry.phase, entry.removed_at) = (Phase::Gone, now);
+            if entry.phase != Phase::Removed {
+                (entry.phase, entry.removed_at) = (Phase::Removed, now);
             }
             missing.push(*node);
         }
@@ -111,18 +111,18 @@
 
     /// Forgets a node that was removed at least `after` ago, so that memory does not grow with each new name.
     /// `false`: it was not removed, or not that long ago.
-    pub fn forget(&mut self, node: NodeId, after: Span, now: Moment, register: &mut Register) -> bool {
+    pub fn forget(&mut self, node: NodeId, after: Span, now: Moment, register: &mut IdRegistry) -> bool {
         let is_expired =
-            |entry: &&NodeEntry| entry.phase == Phase::Gone && now.since(entry.removed_at) >= after;
+            |entry: &&NodeEntry| entry.phase == Phase::Removed && now.since(entry.removed_at) >= after;
         let Some(entry) = self.entries.get(&node).filter(is_expired) else { return false };
         self.by_name.remove(&entry.name);
         self.entries.remove(&node);
-        register.forget_node(node);
+        register.release_node(node);
         true
     }
 
     /// The node that the core knows under this index.
-    pub fn by_index(&self, register: &Register, node: NodeIx) -> Option<(NodeId, &NodeEntry)> {
+    pub fn by_index(&self, register: &IdRegistry, node: NodeIndex) -> Option<(NodeId, &NodeEntry)> {
         let no = register.node_id(node);
         self.entries.get(&no).map(|entry| (no, entry))
     }
--- a/crates/router/src/routing/observer.rs
+++ b/crates/router/src/routing/observer.rs
@@ -1,7 +1,7 @@
 //! Interface for auditing a router: an observer sees which state the router acts on and how downloads end,
 //! and can stop it from sending pulls. Only audited installations attach one; the platform's router has none
 //! and links no code for it.
-use harestage::state::ContentIx;
+use harestage::state::ContentIndex;
 use harestage::time::Moment;
 use harestage_wire::feed::ServiceState;
 use harestage_wire::peer::AuditMark;
@@ -28,7 +28,7 @@
     /// pull.
     fn on_download_end(
         &self,
-        content: ContentIx,
+        content: ContentIndex,
         outcome: DownloadOutcome,
         id: u64,
         state_number: Option<u64>,
--- a/crates/router/tests/feed_acks.rs
+++ b/crates/router/tests/feed_acks.rs
@@ -7,7 +7,7 @@
 use async_io::{Timer, block_on};
 use fixture::{Fixture, Reply, TIMEOUT, accept_subscription};
 use harestage::time::Span;
-use harestage_profile::Outside;
+use harestage_profile::RouterSettings;
 use harestage_router::program::limits::Limits;
 use harestage_router::routing::Input;
 use harestage_router::transport::feed;
@@ -170,16 +170,16 @@
     let executor = Rc::new(LocalExecutor::new());
     let (inbox, inputs) = bounded(16);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let outside = Outside {
+    let outside = RouterSettings {
         contents: vec![],
         zones: vec![],
         kinds: vec![],
-        connect_within: Span::millis(400),
-        idle_closes_after: Span::millis(30_000),
+        connect_timeout: Span::millis(400),
+        idle_timeout: Span::millis(30_000),
         pulls_per_connection: 100,
-        most_held: 10_000,
-        longest_retry_after: Span::millis(500),
-        longest_wait: Span::millis(3_000),
+        max_held_downloads: 10_000,
+        max_retry_after: Span::millis(500),
+        max_wait: Span::millis(3_000),
     };
     let feed_client = feed::FeedClient {
         limits: Rc::new(Limits::new(192, 1_024, &outside)),
--- a/crates/router/tests/node_connections.rs
+++ b/crates/router/tests/node_connections.rs
@@ -2,9 +2,9 @@
 use async_executor::LocalExecutor;
 use async_io::{Timer, block_on};
 use bytes::Bytes;
-use harestage::door::Register;
+use harestage::interface::IdRegistry;
 use harestage::time::{Moment, Span};
-use harestage_profile::{Kinds, Outside};
+use harestage_profile::{NodeKinds, RouterSettings};
 use harestage_router::program::limits::Limits;
 use harestage_router::routing::nodes::{NodeEntry, NodeTable};
 use harestage_router::routing::{Input, Loss};
@@ -73,24 +73,24 @@
     max_connections: usize,
     script: impl AsyncFnOnce(&mut NodeConnections, &NodeEntry, &TcpListener),
 ) -> Vec<Input> {
-    let outside = Outside {
+    let outside = RouterSettings {
         contents: vec![],
         zones: vec![],
         kinds: vec![],
-        connect_within: Span::millis(400),
-        idle_closes_after: Span::millis(30_000),
+        connect_timeout: Span::millis(400),
+        idle_timeout: Span::millis(30_000),
         pulls_per_connection: 100,
-        most_held: 100,
-        longest_retry_after: Span::millis(500),
-        longest_wait: Span::millis(3_000),
+        max_held_downloads: 100,
+        max_retry_after: Span::millis(500),
+        max_wait: Span::millis(3_000),
     };
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (name, zone, kind) = ("s-1".into(), String::new(), String::new());
     let (address, state) = (listener.local_addr().unwrap().to_string(), MemberState::Ready);
     let member = Member { name, address, zone, kind, cell: 0, state, scale: 1.0, since_ms: 0 };
     let mut node_table = NodeTable::default();
-    let (kinds, now) = (Kinds { parent: None, origin: None }, Moment::at_micros(1));
-    node_table.apply(&member, &mut Register::default(), kinds, &outside, now);
+    let (kinds, now) = (NodeKinds { parent: None, origin: None }, Moment::at_micros(1));
+    node_table.apply(&member, &mut IdRegistry::default(), kinds, &outside, now);
     let executor = Rc::new(LocalExecutor::new());
     let (inbox, input) = async_channel::bounded(64);
     let default_limits = Limits::new(192, 1_024, &outside);
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -6,11 +6,11 @@
 use async_channel::{Receiver, bounded};
 use bytes::Bytes;
 use common::{CACHES, ORIGIN, PARENTS, profile};
-use harestage::brain::Brain;
-use harestage::door::{Event, Order, Register};
+use harestage::interface::{Action, Event, IdRegistry};
+use harestage::policy::Policy;
 use harestage::state::*;
 use harestage::time::{Moment, Span};
-use harestage_profile::{Kinds, Outside};
+use harestage_profile::{NodeKinds, RouterSettings};
 use harestage_router::routing::nodes::{NodeEntry, NodeId, NodeTable};
 use harestage_router::routing::{ClientId, Input, Loss, PullId, Routing, RoutingConfig, Transport};
 use harestage_wire::client::{DownloadRequest, ToClient};
@@ -19,7 +19,7 @@
 use harestage_wire::{Packet, fields::HexId};
 
 const START: Moment = Moment::at_micros(1_764_576_000_000_000);
-const KINDS: Kinds = Kinds { parent: Some(1), origin: Some(2) };
+const KINDS: NodeKinds = NodeKinds { parent: Some(1), origin: Some(2) };
 
 /// Records all output; pulls stay unwritten while `stuck` is set.
 #[derive(Default)]
@@ -71,18 +71,18 @@
     }
 }
 
-fn outside() -> Outside {
+fn outside() -> RouterSettings {
     let names = |names: &[&str]| names.iter().map(|n| n.to_string()).collect();
-    Outside {
+    RouterSettings {
         contents: names(&["page", "write", "cell", "all"]),
         zones: names(&["hub", "other", "here"]),
         kinds: names(&["cache", "parent", "origin"]),
-        connect_within: Span::millis(400),
-        idle_closes_after: Span::millis(30_000),
+        connect_timeout: Span::millis(400),
+        idle_timeout: Span::millis(30_000),
         pulls_per_connection: 100,
-        most_held: 1_000,
-        longest_retry_after: Span::millis(500),
-        longest_wait: Span::millis(3_000),
+        max_held_downloads: 1_000,
+        max_retry_after: Span::millis(500),
+        max_wait: Span::millis(3_000),
     }
 }
 
@@ -129,7 +129,7 @@
     }
 }
 
-fn answer(word: AnswerStatus, remark: Remark) -> Answer {
+fn answer(word: AnswerStatus, remark: CacheStatus) -> Answer {
     let id = HexId::parse(b"0000000000000001").unwrap();
     Answer { id, status: word, remark, first_byte_ms: 0.0, body: Bytes::from("bytes") }
 }
@@ -183,8 +183,8 @@
 #[test]
 fn the_router_adds_nothing_to_the_orders_of_the_core() {
     let mut fixture = Fixture::open();
-    let (mut register, mut node_table) = (Register::default(), NodeTable::default());
-    let mut brain = Brain::open(profile(), 11, START);
+    let (mut register, mut node_table) = (IdRegistry::default(), NodeTable::default());
+    let mut policy = Policy::new(profile(), 11, START);
     let FeedEvent::Members { members, .. } = all_ready() else { unreachable!() };
     let enter = |m| node_table.apply(m, &mut register, KINDS, &outside(), START).record;
     let listings = members.iter().map(enter).collect();
@@ -193,35 +193,40 @@
     let mut throttled = 0;
     let mut step = |now: Moment, event: Event, direct: &mut Vec<(u32, u32)>, timers: &mut Vec<Moment>| {
         let mut orders = Vec::new();
-        brain.turn(now, vec![event], &mut orders);
+        policy.step(now, vec![event], &mut orders);
         for order in orders {
             match order {
-                Order::Pull(pull) => direct.push((pull.dl.0, register.node_id(pull.node))),
-                Order::SetTimer { after, .. } => timers.push(now + after),
-                Order::Throttle { .. } => throttled += 1,
+                Action::Pull(pull) => direct.push((pull.dl.0, register.node_id(pull.node))),
+                Action::SetTimer { after, .. } => timers.push(now + after),
+                Action::Throttle { .. } => throttled += 1,
                 _ => {}
             }
         }
     };
-    step(START, Event::Roster { news: RosterNews::Whole, listings }, &mut direct, &mut timers);
+    step(
+        START,
+        Event::Membership { update: MembershipUpdate::Snapshot, records: listings },
+        &mut direct,
+        &mut timers,
+    );
     let endings = [
-        (AnswerStatus::Fulfilled, Ending::Fulfilled, Remark::FromOrigin),
-        (AnswerStatus::Failed, Ending::Error, Remark::Nothing),
-        (AnswerStatus::Busy, Ending::Full, Remark::SourceRefused),
-        (AnswerStatus::Fulfilled, Ending::Fulfilled, Remark::Hit),
-        (AnswerStatus::NotFound, Ending::Missed, Remark::SourceLacks),
+        (AnswerStatus::Fulfilled, PullOutcome::Fulfilled, CacheStatus::FromOrigin),
+        (AnswerStatus::Failed, PullOutcome::Error, CacheStatus::Unknown),
+        (AnswerStatus::Busy, PullOutcome::Full, CacheStatus::SourceRefused),
+        (AnswerStatus::Fulfilled, PullOutcome::Fulfilled, CacheStatus::Hit),
+        (AnswerStatus::NotFound, PullOutcome::Missed, CacheStatus::SourceLacks),
     ];
     for round in 0..400u64 {
         // Each download is forgotten before the next arrives, so that both use the same indices.
         let (object, before) = (round % 37 * 1_000, fixture.transport.pulls.len());
         let download = Download {
-            content: ContentIx(0),
+            content: ContentIndex(0),
             object: ObjectKey(object),
             part: 0,
             group: 3,
             kilobytes: 0.0,
-            leaves_at: fixture.now + Span::millis(2_000),
-            repeat: false,
+            deadline: fixture.now + Span::millis(2_000),
+            is_retry: false,
         };
         fixture.handle(vec![Input::Download {
             client: 1,
@@ -229,16 +234,25 @@
             request: download_request("page", object, 2_000),
             at: fixture.now,
         }]);
-        step(fixture.now, Event::Arrived { dl: DlIx(0), download }, &mut direct, &mut timers);
+        step(fixture.now, Event::Arrived { dl: DownloadIndex(0), download }, &mut direct, &mut timers);
         let mut number = 0;
         while fixture.transport.pulls.len() > before + number {
             let (node, pull, _) = fixture.transport.pulls[before + number].clone();
             let (word, ending, remark) = endings[(round as usize + number) % endings.len()];
             fixture.handle(vec![Input::Answered { pull, answer: answer(word, remark), copy_digest: None }]);
-            let (dl, node, closed) = (DlIx(0), NodeIx(node), ending == Ending::Fulfilled);
+            let (dl, node, closed) = (DownloadIndex(0), NodeIndex(node), ending == PullOutcome::Fulfilled);
             let (took, first_byte) = (Span::ZERO, Span::ZERO);
-            let end = PullEnd { dl, pull: number as u8, node, ending, remark, closed, took, first_byte };
-            step(fixture.now, Event::Ended(end), &mut direct, &mut timers);
+            let end = PullResult {
+                dl,
+                attempt: number as u8,
+                node,
+                outcome: ending,
+                cache_status: remark,
+                answered: closed,
+                duration: took,
+                first_byte,
+            };
+            step(fixture.now, Event::PullEnded(end), &mut direct, &mut timers);
             number += 1;
         }
         let until = fixture.now + Span::millis(7 + round % 11);
@@ -268,7 +282,7 @@
     // Input after the end is ignored.
     fixture.handle(vec![Input::Answered {
         pull,
-        answer: answer(AnswerStatus::Fulfilled, Remark::Hit),
+        answer: answer(AnswerStatus::Fulfilled, CacheStatus::Hit),
         copy_digest: None,
     }]);
     fixture.wait(500);
@@ -283,7 +297,7 @@
     fixture.now = fixture.now + Span::millis(300);
     fixture.handle(vec![Input::Answered {
         pull,
-        answer: answer(AnswerStatus::Fulfilled, Remark::Hit),
+        answer: answer(AnswerStatus::Fulfilled, CacheStatus::Hit),
         copy_digest: None,
     }]);
     fixture.wait(200);
@@ -306,7 +320,7 @@
         let pull = fixture.ask(2, "write", 2_000);
         fixture.handle(vec![Input::Answered {
             pull,
-            answer: answer(word, Remark::Nothing),
+            answer: answer(word, CacheStatus::Unknown),
             copy_digest: None,
         }]);
         let failed = fixture.answered(2).contains(&&ToClient::Abandoned);
@@ -396,14 +410,14 @@
         assert!(!fixture.transport.forgotten.contains(&fixture.transport.pulls.last().unwrap().0));
         fixture.handle(vec![Input::Answered {
             pull,
-            answer: answer(AnswerStatus::Fulfilled, Remark::Hit),
+            answer: answer(AnswerStatus::Fulfilled, CacheStatus::Hit),
             copy_digest: None,
         }]);
     }
     assert!(fixture.transport.forgotten.len() >= 34, "{:?}", fixture.transport.forgotten);
     let (first, last) = (fixture.transport.forgotten[0], *fixture.transport.forgotten.last().unwrap());
     assert_eq!(last - first + 1, fixture.transport.forgotten.len() as u32, "one after the other, none twice");
-    let mut register = Register::default();
+    let mut register = IdRegistry::default();
     let mut node_table = NodeTable::default();
     for day in 0..40u32 {
         let entry = |state| member(100 + day, state, 1);
@@ -439,7 +453,7 @@
     let pull = fixture.transport.pulls[0].1;
     fixture.handle(vec![Input::Answered {
         pull,
-        answer: answer(AnswerStatus::Fulfilled, Remark::Hit),
+        answer: answer(AnswerStatus::Fulfilled, CacheStatus::Hit),
         copy_digest: None,
     }]);
     assert_eq!(fixture.answered(1).len(), 1);
--- a/crates/standins/src/edge.rs
+++ b/crates/standins/src/edge.rs
@@ -1,7 +1,7 @@
 //! An edge cache: keeps what it gets, and fills what it lacks from the source that a pull names.
 use crate::talk::{self, Caller, Reply};
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage_wire::fields::HexId;
 use harestage_wire::node::{AnswerStatus, CopyTag, IncomingRequest, OutgoingAnswer, Request};
 use std::collections::HashMap;
@@ -96,11 +96,11 @@
             asked.max_age_ms.is_none_or(|oldest| now_ms.saturating_sub(copy.dated_ms) <= oldest)
         };
         if let Some((copy, body)) = held.filter(|(copy, _)| asked.body.is_empty() && young(copy)) {
-            return given(AnswerStatus::Fulfilled, Remark::Hit, Some(copy), body);
+            return given(AnswerStatus::Fulfilled, CacheStatus::Hit, Some(copy), body);
         }
         let source = asked.source.as_ref().map(|name| String::from_utf8_lossy(name).into_owned());
         let Some(source) = source else {
-            return given(AnswerStatus::NotFound, Remark::Nothing, None, Bytes::new());
+            return given(AnswerStatus::NotFound, CacheStatus::Unknown, None, Bytes::new());
         };
         match self.fill(&asked, &source) {
             Some((copy, body, remark)) => {
@@ -109,7 +109,7 @@
                 }
                 given(AnswerStatus::Fulfilled, remark, Some(copy), body)
             }
-            None => given(AnswerStatus::Failed, Remark::SourceLost, None, Bytes::new()),
+            None => given(AnswerStatus::Failed, CacheStatus::SourceLost, None, Bytes::new()),
         }
     }
 
@@ -131,7 +131,7 @@
         Some(reply)
     }
 
-    fn fill(&self, asked: &IncomingRequest, source: &str) -> Option<(CopyTag, Bytes, Remark)> {
+    fn fill(&self, asked: &IncomingRequest, source: &str) -> Option<(CopyTag, Bytes, CacheStatus)> {
         let address = *self.sources.lock().expect("no holder panics").get(source)?;
         *self.filled.lock().expect("no holder panics").entry(source.into()).or_default() += 1;
         let content = String::from_utf8_lossy(&asked.content).into_owned();
@@ -147,8 +147,8 @@
         };
         let reply = self.ask(address, &request, Duration::from_millis(asked.timeout_ms))?;
         let remark = match reply.answer.remark {
-            Remark::FromOrigin => Remark::FromOrigin,
-            _ => Remark::Filled,
+            CacheStatus::FromOrigin => CacheStatus::FromOrigin,
+            _ => CacheStatus::Filled,
         };
         (reply.answer.status == AnswerStatus::Fulfilled).then_some((reply.copy?, reply.answer.body, remark))
     }
--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -4,7 +4,7 @@
 use crate::peer::{self, AuditMark, CycleProbe, HubRoute};
 use crate::resp;
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 
 /// A pull as it is sent to a node.
 #[derive(Clone, Debug, PartialEq)]
@@ -64,7 +64,7 @@
     pub id: HexId,
     pub status: AnswerStatus,
     /// What the node says about how it found the object.
-    pub remark: Remark,
+    pub remark: CacheStatus,
     /// Time in milliseconds that the node waited for the first byte from its source.
     pub first_byte_ms: f64,
     pub body: Bytes,
@@ -122,7 +122,7 @@
         b"STALE" => AnswerStatus::TooLate,
         _ => return None,
     };
-    let (mut remark, mut first_byte_ms) = (Remark::Nothing, 0.0);
+    let (mut remark, mut first_byte_ms) = (CacheStatus::Unknown, 0.0);
     for (name, value) in fields::parse_list(list) {
         match name {
             b"res" => remark = decode_remark(&value),
@@ -135,19 +135,19 @@
     Some(Answer { id, status, remark, first_byte_ms, body: body.clone() })
 }
 
-fn decode_remark(word: &[u8]) -> Remark {
+fn decode_remark(word: &[u8]) -> CacheStatus {
     match word {
-        b"HIT" => Remark::Hit,
-        b"MISS" => Remark::Filled,
-        b"MISS_ORIGIN" => Remark::FromOrigin,
-        b"COLLAPSED" => Remark::Joined,
-        b"STALE" => Remark::Aged,
-        b"UP_BUSY" => Remark::SourceRefused,
-        b"UP_DOWN" => Remark::SourceLost,
-        b"UP_MISS" => Remark::SourceLacks,
-        b"NO_FILL" => Remark::NoPlace,
-        b"ORIGIN_ERR" => Remark::OriginFailed,
-        _ => Remark::Nothing,
+        b"HIT" => CacheStatus::Hit,
+        b"MISS" => CacheStatus::Filled,
+        b"MISS_ORIGIN" => CacheStatus::FromOrigin,
+        b"COLLAPSED" => CacheStatus::Joined,
+        b"STALE" => CacheStatus::Stale,
+        b"UP_BUSY" => CacheStatus::SourceRefused,
+        b"UP_DOWN" => CacheStatus::SourceLost,
+        b"UP_MISS" => CacheStatus::SourceLacks,
+        b"NO_FILL" => CacheStatus::NoFillSlot,
+        b"ORIGIN_ERR" => CacheStatus::OriginFailed,
+        _ => CacheStatus::Unknown,
     }
 }
 
@@ -270,7 +270,7 @@
 pub struct OutgoingAnswer {
     pub id: HexId,
     pub status: AnswerStatus,
-    pub remark: Remark,
+    pub remark: CacheStatus,
     pub first_byte_ms: f64,
     /// The copy that the answer is about.
     pub copy: Option<CopyTag>,
@@ -343,18 +343,18 @@
     Some(CopyTag { digest: digest?, dated_ms: dated_ms?, group })
 }
 
-fn encode_remark(remark: Remark) -> Option<&'static str> {
+fn encode_remark(remark: CacheStatus) -> Option<&'static str> {
     Some(match remark {
-        Remark::Nothing => return None,
-        Remark::Hit => "HIT",
-        Remark::Filled => "MISS",
-        Remark::FromOrigin => "MISS_ORIGIN",
-        Remark::Joined => "COLLAPSED",
-        Remark::Aged => "STALE",
-        Remark::SourceRefused => "UP_BUSY",
-        Remark::SourceLost => "UP_DOWN",
-        Remark::SourceLacks => "UP_MISS",
-        Remark::NoPlace => "NO_FILL",
-        Remark::OriginFailed => "ORIGIN_ERR",
+        CacheStatus::Unknown => return None,
+        CacheStatus::Hit => "HIT",
+        CacheStatus::Filled => "MISS",
+        CacheStatus::FromOrigin => "MISS_ORIGIN",
+        CacheStatus::Joined => "COLLAPSED",
+        CacheStatus::Stale => "STALE",
+        CacheStatus::SourceRefused => "UP_BUSY",
+        CacheStatus::SourceLost => "UP_DOWN",
+        CacheStatus::SourceLacks => "UP_MISS",
+        CacheStatus::NoFillSlot => "NO_FILL",
+        CacheStatus::OriginFailed => "ORIGIN_ERR",
     })
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,6 +1,6 @@
 //! Codecs: round trips, every split of the input, the examples of the protocol's specification, and malformed input.
 use bytes::Bytes;
-use harestage::state::Remark;
+use harestage::state::CacheStatus;
 use harestage_wire::client::{self, FromClient, ToClient};
 use harestage_wire::feed::{FeedEvent, FeedMessage, MemberState, decode_known, decode_line};
 use harestage_wire::fields::{Fields, HexId, parse_list as read_fields};
@@ -243,7 +243,7 @@
     let good = answer("ACK", "res=MISS_ORIGIN,first=36.5,digest=aa,dated=1764576000123").unwrap();
     assert_eq!(
         (good.status, good.remark, good.first_byte_ms),
-        (AnswerStatus::Fulfilled, Remark::FromOrigin, 36.5)
+        (AnswerStatus::Fulfilled, CacheStatus::FromOrigin, 36.5)
     );
     assert_eq!((&good.body[..], good.id), (&b"body"[..], request.id));
     let words = ["NOMOD", "NOENT", "AGAIN", "EIO", "STALE"].map(|w| answer(w, "-").unwrap().status);
@@ -257,7 +257,7 @@
             AnswerStatus::TooLate
         ]
     );
-    assert_eq!(answer("EIO", "res=UP_DOWN,first=NaN").unwrap().remark, Remark::SourceLost);
+    assert_eq!(answer("EIO", "res=UP_DOWN,first=NaN").unwrap().remark, CacheStatus::SourceLost);
     assert!(answer("WHAT", "-").is_none() && node::decode_answer(&[]).is_none());
     // An answer without its body was truncated; it must not be taken for that of an empty object.
     let short = ["9b1f03aa5c7e2d41", "ACK", "res=HIT"].map(|i| Bytes::copy_from_slice(i.as_bytes()));
@@ -364,7 +364,7 @@
     let given = OutgoingAnswer {
         id: HexId::from_u64(0x1f),
         status: AnswerStatus::Fulfilled,
-        remark: Remark::FromOrigin,
+        remark: CacheStatus::FromOrigin,
         first_byte_ms: 9.5,
         copy: Some(copy.clone()),
         body: Bytes::from_static(b"bytes"),
@@ -376,7 +376,7 @@
     let answer = node::decode_answer(&items).unwrap();
     assert_eq!(
         (answer.status, answer.remark, answer.first_byte_ms),
-        (AnswerStatus::Fulfilled, Remark::FromOrigin, 9.5)
+        (AnswerStatus::Fulfilled, CacheStatus::FromOrigin, 9.5)
     );
     assert_eq!(node::decode_copy_tag(&items), Some(copy));
 }
