--- a/crates/hub/src/desk/above.rs
+++ b/crates/hub/src/desk/above.rs
@@ -45,7 +45,7 @@
                 return self.stage(key, Stage::Resting, Some(now + AGAIN), now);
             }
             // The former home is fetching it: to join that is to fetch it once.
-            (AnswerStatus::NotFound, _) if asking && answer.remark == CacheStatus::Joined => {
+            (AnswerStatus::NotFound, _) if asking && answer.cache_status == CacheStatus::Joined => {
                 fill.asked.push(on);
                 let shape = self.versions.get(fill.version).cloned();
                 return match shape {
@@ -130,7 +130,7 @@
         let (too_old, served): (Vec<_>, Vec<_>) = std::mem::take(&mut fill.waiters)
             .into_iter()
             .partition(|waiter| waiter.oldest.is_some_and(|oldest| now.since(dated) > oldest));
-        let origin = fetched || answer.remark == CacheStatus::FromOrigin;
+        let origin = fetched || answer.cache_status == CacheStatus::FromOrigin;
         for waiter in served {
             let remark = match (waiter.joined, origin) {
                 (true, _) => CacheStatus::Joined,
@@ -196,7 +196,8 @@
                 let tag =
                     CopyTag { digest: copy.digest, dated_ms: copy.dated.micros() / 1_000, group: copy.group };
                 let (id, word, remark) = (HexId::from_u64(0), AnswerStatus::Fulfilled, CacheStatus::Hit);
-                let answer = Answer { id, status: word, remark, first_byte_ms: 0.0, body: copy.body };
+                let answer =
+                    Answer { id, status: word, cache_status: remark, first_byte_ms: 0.0, body: copy.body };
                 self.filled(key, answer, tag, false, now);
             }
             None if !self.start.stage().allows_fills() => self.turn_away(key, now),
--- a/crates/hub/src/desk/audited.rs
+++ b/crates/hub/src/desk/audited.rs
@@ -106,7 +106,7 @@
             let given = OutgoingAnswer {
                 id: asked.id,
                 status: word,
-                remark,
+                cache_status: remark,
                 first_byte_ms: first_ms,
                 copy,
                 body,
--- a/crates/hub/src/desk/below.rs
+++ b/crates/hub/src/desk/below.rs
@@ -82,7 +82,7 @@
         let given = OutgoingAnswer {
             id,
             status: word,
-            remark,
+            cache_status: remark,
             first_byte_ms: first_ms,
             copy,
             body,
@@ -100,7 +100,7 @@
         let given = OutgoingAnswer {
             id,
             status: word,
-            remark,
+            cache_status: remark,
             first_byte_ms: first_ms,
             copy,
             body,
@@ -206,7 +206,7 @@
     OutgoingAnswer {
         id,
         status: word,
-        remark,
+        cache_status: remark,
         first_byte_ms: first_ms,
         copy: Some(tag),
         body,
--- a/crates/hub/tests/audited.rs
+++ b/crates/hub/tests/audited.rs
@@ -143,7 +143,7 @@
     let answer = Answer {
         id: HexId::from_u64(pull),
         status: AnswerStatus::Fulfilled,
-        remark: CacheStatus::Unknown,
+        cache_status: CacheStatus::Unknown,
         first_byte_ms: 1.0,
         body: Bytes::from_static(b"body"),
     };
--- a/crates/hub/tests/desks.rs
+++ b/crates/hub/tests/desks.rs
@@ -167,7 +167,7 @@
                     let answer = Answer {
                         id: given.id,
                         status: given.status,
-                        remark: given.remark,
+                        cache_status: given.cache_status,
                         first_byte_ms: given.first_byte_ms,
                         body: given.body,
                     };
@@ -237,7 +237,7 @@
                 let answer = Answer {
                     id: HexId::from_u64(pull),
                     status: AnswerStatus::Fulfilled,
-                    remark: CacheStatus::Unknown,
+                    cache_status: CacheStatus::Unknown,
                     first_byte_ms: 0.0,
                     body: Bytes::from_static(b"bytes"),
                 };
@@ -481,7 +481,7 @@
         net.step("a", vec![News::Asked { conn: no, asked: Box::new(asked) }]);
         net.run(100);
         let found = net.answers.iter().rev().find(|(conn, _)| *conn == no).unwrap();
-        (found.1.status, found.1.remark)
+        (found.1.status, found.1.cache_status)
     };
     assert_eq!(
         ask(&mut net, 1, 1, &|a| a.source = None),
@@ -542,7 +542,7 @@
         (asked.max_age_ms, asked.stale_while_revalidate) = (Some(5_000), renew);
         net.step("a", vec![News::Asked { conn: no, asked: Box::new(asked) }]);
         net.run(200);
-        net.answers.iter().find(|(conn, _)| *conn == no).map(|(_, given)| given.remark)
+        net.answers.iter().find(|(conn, _)| *conn == no).map(|(_, given)| given.cache_status)
     };
     assert_eq!(aged(&mut net, 2, false), Some(CacheStatus::Stale));
     assert_eq!(net.fetches.len(), 1, "nobody asked for a renewal");
--- a/crates/hub/tests/keeping.rs
+++ b/crates/hub/tests/keeping.rs
@@ -139,8 +139,13 @@
         let pull = pull.expect("it is fetched");
         let copy = Some(CopyTag { digest: Bytes::from_static(b"new"), dated_ms: archive_ms, group: Some(1) });
         let (id, word, remark) = (HexId::from_u64(pull), AnswerStatus::Fulfilled, CacheStatus::Unknown);
-        let answer =
-            Answer { id, status: word, remark, first_byte_ms: 1.0, body: Bytes::from_static(b"newer") };
+        let answer = Answer {
+            id,
+            status: word,
+            cache_status: remark,
+            first_byte_ms: 1.0,
+            body: Bytes::from_static(b"newer"),
+        };
         self.step(vec![News::Answered { pull, answer, copy }])
     }
 }
--- a/crates/hub/tests/rationing.rs
+++ b/crates/hub/tests/rationing.rs
@@ -116,8 +116,13 @@
     fn good(&self, pull: u64) -> News {
         let copy = CopyTag { digest: Bytes::from_static(b"d"), dated_ms: self.ms, group: None };
         let (id, word, remark) = (HexId::from_u64(pull), AnswerStatus::Fulfilled, CacheStatus::FromOrigin);
-        let answer =
-            Answer { id, status: word, remark, first_byte_ms: 1.0, body: Bytes::from_static(b"body") };
+        let answer = Answer {
+            id,
+            status: word,
+            cache_status: remark,
+            first_byte_ms: 1.0,
+            body: Bytes::from_static(b"body"),
+        };
         News::Answered { pull, answer, copy: Some(copy) }
     }
 
@@ -217,7 +222,7 @@
     let answer = Answer {
         id: HexId::from_u64(pull),
         status: AnswerStatus::Busy,
-        remark: CacheStatus::NoFillSlot,
+        cache_status: CacheStatus::NoFillSlot,
         first_byte_ms: 0.0,
         body: Bytes::new(),
     };
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -419,7 +419,7 @@
             };
             self.reply(dl, good, transport);
         }
-        self.end_pull(pull, ending, answer.remark, Span::from_seconds(answer.first_byte_ms / 1e3), now);
+        self.end_pull(pull, ending, answer.cache_status, Span::from_seconds(answer.first_byte_ms / 1e3), now);
     }
 
     /// Reports the end of a pull to the core.
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -131,7 +131,7 @@
 
 fn answer(word: AnswerStatus, remark: CacheStatus) -> Answer {
     let id = HexId::parse(b"0000000000000001").unwrap();
-    Answer { id, status: word, remark, first_byte_ms: 0.0, body: Bytes::from("bytes") }
+    Answer { id, status: word, cache_status: remark, first_byte_ms: 0.0, body: Bytes::from("bytes") }
 }
 
 struct Fixture {
--- a/crates/standins/src/archive.rs
+++ b/crates/standins/src/archive.rs
@@ -115,7 +115,7 @@
         Some(OutgoingAnswer {
             id,
             status: word,
-            remark,
+            cache_status: remark,
             first_byte_ms: 0.0,
             copy,
             body,
--- a/crates/standins/src/edge.rs
+++ b/crates/standins/src/edge.rs
@@ -84,7 +84,7 @@
         let given = |word, remark, copy, body| OutgoingAnswer {
             id: asked.id,
             status: word,
-            remark,
+            cache_status: remark,
             first_byte_ms: 0.0,
             copy,
             body,
@@ -146,7 +146,7 @@
             ..talk::pull(id, &content, asked.object.as_u64(), asked.timeout_ms)
         };
         let reply = self.ask(address, &request, Duration::from_millis(asked.timeout_ms))?;
-        let remark = match reply.answer.remark {
+        let remark = match reply.answer.cache_status {
             CacheStatus::FromOrigin => CacheStatus::FromOrigin,
             _ => CacheStatus::Filled,
         };
--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -64,7 +64,7 @@
     pub id: HexId,
     pub status: AnswerStatus,
     /// What the node says about how it found the object.
-    pub remark: CacheStatus,
+    pub cache_status: CacheStatus,
     /// Time in milliseconds that the node waited for the first byte from its source.
     pub first_byte_ms: f64,
     pub body: Bytes,
@@ -122,20 +122,20 @@
         b"STALE" => AnswerStatus::TooLate,
         _ => return None,
     };
-    let (mut remark, mut first_byte_ms) = (CacheStatus::Unknown, 0.0);
+    let (mut cache_status, mut first_byte_ms) = (CacheStatus::Unknown, 0.0);
     for (name, value) in fields::parse_list(list) {
         match name {
-            b"res" => remark = decode_remark(&value),
+            b"res" => cache_status = decode_cache_status(&value),
             b"first" => {
                 first_byte_ms = fields::parse_number(&value).filter(|ms: &f64| ms.is_finite()).unwrap_or(0.0)
             }
             _ => {}
         }
     }
-    Some(Answer { id, status, remark, first_byte_ms, body: body.clone() })
+    Some(Answer { id, status, cache_status, first_byte_ms, body: body.clone() })
 }
 
-fn decode_remark(word: &[u8]) -> CacheStatus {
+fn decode_cache_status(word: &[u8]) -> CacheStatus {
     match word {
         b"HIT" => CacheStatus::Hit,
         b"MISS" => CacheStatus::Filled,
@@ -270,7 +270,7 @@
 pub struct OutgoingAnswer {
     pub id: HexId,
     pub status: AnswerStatus,
-    pub remark: CacheStatus,
+    pub cache_status: CacheStatus,
     pub first_byte_ms: f64,
     /// The copy that the answer is about.
     pub copy: Option<CopyTag>,
@@ -304,7 +304,7 @@
     let copy = answer.copy.as_ref();
     let digest = copy.and_then(|c| std::str::from_utf8(&c.digest).ok());
     let fields = Fields::default()
-        .with_some("res", encode_remark(answer.remark))
+        .with_some("res", encode_cache_status(answer.cache_status))
         .with_some("first", Some(answer.first_byte_ms).filter(|ms| *ms > 0.0))
         .with_some("digest", digest)
         .with_some("dated", copy.map(|c| c.dated_ms))
@@ -343,8 +343,8 @@
     Some(CopyTag { digest: digest?, dated_ms: dated_ms?, group })
 }
 
-fn encode_remark(remark: CacheStatus) -> Option<&'static str> {
-    Some(match remark {
+fn encode_cache_status(cache_status: CacheStatus) -> Option<&'static str> {
+    Some(match cache_status {
         CacheStatus::Unknown => return None,
         CacheStatus::Hit => "HIT",
         CacheStatus::Filled => "MISS",
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -242,7 +242,7 @@
     };
     let good = answer("ACK", "res=MISS_ORIGIN,first=36.5,digest=aa,dated=1764576000123").unwrap();
     assert_eq!(
-        (good.status, good.remark, good.first_byte_ms),
+        (good.status, good.cache_status, good.first_byte_ms),
         (AnswerStatus::Fulfilled, CacheStatus::FromOrigin, 36.5)
     );
     assert_eq!((&good.body[..], good.id), (&b"body"[..], request.id));
@@ -257,7 +257,7 @@
             AnswerStatus::TooLate
         ]
     );
-    assert_eq!(answer("EIO", "res=UP_DOWN,first=NaN").unwrap().remark, CacheStatus::SourceLost);
+    assert_eq!(answer("EIO", "res=UP_DOWN,first=NaN").unwrap().cache_status, CacheStatus::SourceLost);
     assert!(answer("WHAT", "-").is_none() && node::decode_answer(&[]).is_none());
     // An answer without its body was truncated; it must not be taken for that of an empty object.
     let short = ["9b1f03aa5c7e2d41", "ACK", "res=HIT"].map(|i| Bytes::copy_from_slice(i.as_bytes()));
@@ -364,7 +364,7 @@
     let given = OutgoingAnswer {
         id: HexId::from_u64(0x1f),
         status: AnswerStatus::Fulfilled,
-        remark: CacheStatus::FromOrigin,
+        cache_status: CacheStatus::FromOrigin,
         first_byte_ms: 9.5,
         copy: Some(copy.clone()),
         body: Bytes::from_static(b"bytes"),
@@ -375,7 +375,7 @@
     assert_eq!(peer::decode_retry_after(&items), Some(750));
     let answer = node::decode_answer(&items).unwrap();
     assert_eq!(
-        (answer.status, answer.remark, answer.first_byte_ms),
+        (answer.status, answer.cache_status, answer.first_byte_ms),
         (AnswerStatus::Fulfilled, CacheStatus::FromOrigin, 9.5)
     );
     assert_eq!(node::decode_copy_tag(&items), Some(copy));
