--- a/crates/purge/src/members.rs
+++ b/crates/purge/src/members.rs
@@ -726,7 +726,8 @@
             self.update_gatherer_tracking(gatherer_ix);
             if first > self.send_times_after {
                 let elapsed = now.since(self.sent_at(first));
-                let increase = Span::micros(elapsed.saturating_sub(before).as_micros() / ROUND_TRIP_SMOOTHING);
+                let increase =
+                    Span::micros(elapsed.saturating_sub(before).as_micros() / ROUND_TRIP_SMOOTHING);
                 let round_trip = if elapsed < before { elapsed } else { before + increase };
                 self.gatherers[gatherer_ix as usize].round_trip = round_trip.min(MAX_GATHERER_ROUND_TRIP);
             }
